--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -10,7 +10,7 @@
 use crate::core::{Input, Listed};
 use crate::interface::*;
 use crate::net::discovery::{Follow, Lists, Numbers};
-use crate::net::momentary;
+use crate::net::transient;
 use crate::net::socket::Socket;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
@@ -165,7 +165,7 @@
         let mut link = match self.link.take() {
             Some(link) => link,
             None => {
-                let stream = momentary::connect(self.server).await.ok()?;
+                let stream = transient::connect(self.server).await.ok()?;
                 // Each message follows its length in two bytes.
                 LengthDelimitedCodec::builder().length_field_type::<u16>().new_framed(Socket::new(stream))
             }
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,14 +21,14 @@
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::Held;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::accepting::Accepting;
+use linentrail::net::client_listeners::Accepting;
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, Pace};
 use linentrail::net::discovery::{Discovery, Lists, Service};
-use linentrail::net::fleet::Fleet;
-use linentrail::net::held_up;
+use linentrail::net::member_actors::Fleet;
+use linentrail::net::stall;
 use linentrail::net::listen::Phase;
-use linentrail::net::momentary;
+use linentrail::net::transient;
 use linentrail::net::startup::{self, ClientListener};
 use linentrail::operators::agreement::OnLapse;
 use linentrail::operators::{self, DnsSd, Odata};
@@ -103,7 +103,7 @@
 
 async fn bind_odata(odata: &Odata) -> Result<TcpListener, String> {
     let address = odata.listen;
-    momentary::listen(address).await.map_err(|e| format!("{address}: {e}"))
+    transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
 /// No ids of bookings yet. Answers that are remembered share the memory with all else.
@@ -261,7 +261,7 @@
     tokio::spawn(reload.run(hangup));
     if let Some(console) = &told.console {
         let listener =
-            momentary::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
+            transient::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
         log::info!("operators call at {}", listener.local_addr().map_err(|e| e.to_string())?);
         tokio::spawn(Console::new(control.clone(), closing.clone(), stored, fleet).run(listener));
     }
@@ -395,7 +395,7 @@
     let result = match arguments.command.or(former) {
         None | Some(Command::Serve) => {
             let mut builder = tokio::runtime::Builder::new_current_thread();
-            let runtime = builder.enable_all().on_thread_unpark(held_up::rested).build();
+            let runtime = builder.enable_all().on_thread_unpark(stall::rested).build();
             runtime.map_err(|e| format!("runtime: {e}")).and_then(|r| r.block_on(run(began)))
         }
         Some(Command::Check { file }) => return check(&file),
--- a/src/net/client_end.rs
+++ b/src/net/client_close.rs
@@ -282,5 +282,5 @@
 }
 
 #[cfg(test)]
-#[path = "client_end_tests.rs"]
+#[path = "client_close_tests.rs"]
 mod tests;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -11,7 +11,7 @@
 //! it has to tell counts as told seconds later, whether it was asked or not. Where all proxies may call at one moment,
 //! [`Listing`] says when this one does.
 
-use super::momentary;
+use super::transient;
 use super::socket::Socket;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Listed};
@@ -443,7 +443,7 @@
         let mut link = match self.link.take() {
             Some(link) => link,
             None => {
-                let connect = momentary::connect(address.as_str());
+                let connect = transient::connect(address.as_str());
                 let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()?;
                 Framed::new(Socket::new(stream), HttpClient::new(LIST_BYTES_MAX))
             }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,9 +1,9 @@
 //! Accepting clients, for whichever front, and how far the process is with its start and its end.
 
 use super::budget::DescriptorBudget;
-use super::client_end::{EndReason, EndReport, Ended, CONNECTION};
-use super::client_queue::{ClientQueue, Listener};
-use super::held_up;
+use super::client_close::{EndReason, EndReport, Ended, CONNECTION};
+use super::accept_queue::{ClientQueue, Listener};
+use super::stall;
 use super::socket::Socket;
 use crate::core::counters::{count, Count};
 use futures_util::future::FusedFuture;
@@ -252,7 +252,7 @@
 
 /// When a client may have come that is accepted now: whoever came while the process was held up has stood in the queue.
 fn came() -> Instant {
-    held_up::look().unwrap_or_else(Instant::now)
+    stall::look().unwrap_or_else(Instant::now)
 }
 
 /// Carries out what becomes of a connection, and tells its end.
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::budget::Budget;
-use crate::net::client_end;
+use crate::net::client_close;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::io::{Read, Write};
@@ -39,7 +39,7 @@
     let mut conn = Framed::new(stream, BytesCodec::new());
     conn.next().await.expect("a byte")?;
     conn.send(Bytes::from_static(with)).await?;
-    Ok(client_end::after_last_word(conn, EndReason::ClientLeft).await)
+    Ok(client_close::after_last_word(conn, EndReason::ClientLeft).await)
 }
 
 /// What accept(2) may fail with for a moment.
--- a/src/net/peer.rs
+++ b/src/net/member_actor.rs
@@ -5,9 +5,9 @@
 //! only in those tasks, never in its own loop, so that it always takes orders.
 
 use super::budget::Budget;
-use super::link::{Confirmation, Exchange, Guard, Link, Wire};
+use super::member_protocol::{Confirmation, Exchange, Guard, Link, Wire};
 use super::member_state::SharedState;
-use super::pool::{Before, Pool};
+use super::connection_pool::{Before, Pool};
 use super::timeout::Timeout;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
@@ -419,5 +419,5 @@
 }
 
 #[cfg(test)]
-#[path = "peer_tests.rs"]
+#[path = "member_actor_tests.rs"]
 mod tests;
--- a/src/net/fleet.rs
+++ b/src/net/member_actors.rs
@@ -4,9 +4,9 @@
 
 use super::budget::Budget;
 use super::discovery;
-use super::link::Wire;
+use super::member_protocol::Wire;
 use super::member_state::SharedState;
-use super::peer::{self, Order};
+use super::member_actor::{self, Order};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{violated, Attempt, Input, Listed, Members};
@@ -142,7 +142,7 @@
             let peer = self.peers.entry(member.id).or_insert_with(|| {
                 let (orders, mailbox) = mpsc::channel(MAILBOX);
                 let state = SharedState::new(*address, times);
-                let actor = peer::Peer::new(member.id, state.clone(), core, budget, clock, wire);
+                let actor = member_actor::Peer::new(member.id, state.clone(), core, budget, clock, wire);
                 tokio::spawn(actor.run(mailbox));
                 Peer { orders, state, leaves: false, gone: None }
             });
@@ -182,5 +182,5 @@
 }
 
 #[cfg(test)]
-#[path = "fleet_tests.rs"]
+#[path = "member_actors_tests.rs"]
 mod tests;
--- a/src/net/fleet_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::flow::Source;
 use crate::core::Work;
-use crate::net::link::{Confirmation, Exchange, Guard, Link};
+use crate::net::member_protocol::{Confirmation, Exchange, Guard, Link};
 use bytes::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -6,8 +6,8 @@
 //! connection hangs. So a [`Socket`] forgets that its stream is ready only where the kernel says so (`EAGAIN`), or where
 //! its user knows that nothing is due ([`Socket::expects_nothing`]).
 
-use super::held_up;
-use super::momentary::{no_memory, MemoryRetry};
+use super::stall;
+use super::transient::{no_memory, MemoryRetry};
 use crate::core::Presence;
 use crate::meter::{self, Cost};
 use futures_util::FutureExt;
@@ -132,7 +132,7 @@
             ready!(self.stream.poll_write_ready(cx))?;
             meter::add(Cost::Writes, 1);
             let written = write(&self.stream);
-            held_up::look();
+            stall::look();
             match written {
                 Err(e) if calls_again(&e) => {}
                 written if self.write_retry.again(&written) => {}
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -2,9 +2,9 @@
 //! answer in time, from the front itself or, where the rest of the start takes long, a refusal.
 
 use super::budget::{Budget, ByteBudget};
-use super::client_end::Ended;
+use super::client_close::Ended;
 use super::listen::{self, Acceptor, Closing, Refusal, Serves};
-use super::momentary;
+use super::transient;
 use super::socket::Socket;
 use crate::core::counters::Count;
 use std::fmt::Display;
@@ -157,7 +157,7 @@
     pub async fn bind(inherited: Option<&str>, address: &str) -> io::Result<Self> {
         match inherited {
             Some(descriptor) => listen::inherited(descriptor).map(ClientListener::Inherited),
-            None => Ok(ClientListener::Own(momentary::listen(address).await?, address.to_string())),
+            None => Ok(ClientListener::Own(transient::listen(address).await?, address.to_string())),
         }
     }
 
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -12,7 +12,7 @@
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{Budget, ByteBudget, Pace};
-use crate::net::client_end::{self, Ended};
+use crate::net::client_close::{self, Ended};
 use crate::net::frames::{next, ROOM};
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
@@ -71,7 +71,7 @@
     ) -> Result<Ended, HttpError> {
         why.count();
         let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), ROOM);
-        Ok(client_end::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
+        Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
     }
 }
 
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -6,7 +6,7 @@
 //! | a request is begun | its rest; `UNFINISHED_REQUEST_TIMEOUT` |
 //! | a response is owed | nothing but the client |
 //!
-//! All but the client's own end go through [`client_end`], which ends nothing that has no answer.
+//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
 
 use super::front::{refused, Front, MAX_BODY_LEN};
 use super::reply::Fault;
@@ -14,9 +14,9 @@
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
 use crate::net::budget::QUIET_MIN;
-use crate::net::client_end::{self, EndReason, Ended};
+use crate::net::client_close::{self, EndReason, Ended};
 use crate::net::frames::{next, next_or_end, shrink, Next, ROOM};
-use crate::net::held_up;
+use crate::net::stall;
 use crate::net::listen::{closed, Closing, Phase, Refusal};
 use crate::net::socket::Socket;
 use futures_util::SinkExt;
@@ -103,7 +103,7 @@
                     continue;
                 }
                 Waited::Fault(fault) => return Box::pin(self.end_with(fault)).await,
-                Waited::Left => return Ok(client_end::by_client(self.conn)),
+                Waited::Left => return Ok(client_close::by_client(self.conn)),
                 Waited::Ends(reason) => match end_at_rest(&mut self.conn, reason, self.asked).await {
                     Some(ended) => return Ok(ended),
                     None => {
@@ -116,12 +116,12 @@
             };
             (self.part, self.asked) = (false, true);
             let Some(Answered { mut response, broken }) = self.answer(&request).await? else {
-                return Ok(client_end::by_client(self.conn));
+                return Ok(client_close::by_client(self.conn));
             };
             let ends = *closing.borrow() >= Phase::Leaving
                 && self.ahead.is_empty()
                 && broken.is_none()
-                && !client_end::holds_unanswered(&mut self.conn);
+                && !client_close::holds_unanswered(&mut self.conn);
             response.closes = request.closes || ends;
             let closes = response.closes;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
@@ -130,7 +130,7 @@
             }
             if closes {
                 let reason = if ends { EndReason::Shutdown } else { EndReason::ClientLeft };
-                return Ok(Box::pin(client_end::announced(self.conn, reason)).await);
+                return Ok(Box::pin(client_close::announced(self.conn, reason)).await);
             }
             if let Some(fault) = broken {
                 return Box::pin(self.end_with(fault)).await;
@@ -174,7 +174,7 @@
     async fn answer(&mut self, request: &HttpRequest) -> Result<Option<Answered>, HttpError> {
         count(Count::odata_requests);
         // What was sent before the front was there has waited since then.
-        let waited = held_up::waited(self.waits_since.take());
+        let waited = stall::waited(self.waits_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
         let mut broken = None;
         loop {
@@ -209,7 +209,7 @@
         let Front { budget, pace, clock, .. } = &*self.front;
         // A sound request that finds no room is refused at once.
         let turn = (!no_room).then(|| pace.turn(clock.now()));
-        Ok(client_end::after_fault(self.conn, response, turn, &budget.clients).await)
+        Ok(client_close::after_fault(self.conn, response, turn, &budget.clients).await)
     }
 }
 
@@ -224,7 +224,7 @@
 /// Ends a connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
 async fn end_at_rest(conn: &mut Conn, reason: EndReason, asked: bool) -> Option<Ended> {
     let last_word = (!asked).then(|| last_refusal(Refusal::at_end(reason)));
-    client_end::at_rest(conn, reason, last_word).await
+    client_close::at_rest(conn, reason, last_word).await
 }
 
 /// A refusal behind which the connection ends.
--- a/src/parley/mod.rs
+++ b/src/parley/mod.rs
@@ -19,7 +19,7 @@
 use crate::handover::ControlHandle;
 use crate::interface::{ListKind, Time};
 use crate::net::discovery::{self, Lists};
-use crate::net::momentary;
+use crate::net::transient;
 use crate::operators::agreement::{Agreement, OnLapse};
 use crate::store::actor::Scribe;
 use crate::store::state::Finding;
@@ -205,8 +205,8 @@
         let file = &with.file;
         let at = file.proxies.get(&file.me).copied().ok_or("agreement.me is none of agreement.proxies")?;
         let bad = |e: std::io::Error| format!("agreement: {at}: {e}");
-        let socket = Arc::new(momentary::listen_datagrams(at).await.map_err(bad)?);
-        let listener = momentary::listen(at).await.map_err(bad)?;
+        let socket = Arc::new(transient::listen_datagrams(at).await.map_err(bad)?);
+        let listener = transient::listen(at).await.map_err(bad)?;
         let now = with.clock.now();
         let fleet = Fleet {
             me: file.me,
--- a/src/parley/pull.rs
+++ b/src/parley/pull.rs
@@ -5,7 +5,7 @@
 use crate::agreement::seal::Keys;
 use crate::agreement::Hash;
 use crate::core::counters::{count, Count};
-use crate::net::momentary;
+use crate::net::transient;
 use crate::net::socket::Socket;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -62,7 +62,7 @@
 pub async fn get(from: SocketAddr, keys: &Keys, want: Want, nonce: u64) -> Option<Vec<u8>> {
     count(Count::agreement_fetches);
     let call = async {
-        let mut link = framed(momentary::connect(from).await.ok()?);
+        let mut link = framed(transient::connect(from).await.ok()?);
         let question = postcard::to_extend(&(nonce, want), Vec::new()).ok()?;
         link.send(sign(keys, ASKS, &[], question)).await.ok()?;
         let answer = link.next().await?.ok()?;
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -6,7 +6,7 @@
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
-use crate::net::client_end::{self, Ended};
+use crate::net::client_close::{self, Ended};
 use crate::net::frames::ROOM;
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
@@ -64,7 +64,7 @@
     ) -> Result<Ended, WireError> {
         why.count();
         let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), ROOM);
-        Ok(client_end::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
+        Ok(client_close::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
     }
 }
 
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -14,8 +14,8 @@
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
 use crate::net::frames::{next, shrink, Next, ROOM};
-use crate::net::link::{Confirmation, Exchange, Guard, Link, Wire};
-use crate::net::momentary;
+use crate::net::member_protocol::{Confirmation, Exchange, Guard, Link, Wire};
+use crate::net::transient;
 use crate::net::socket::Socket;
 use bytes::Bytes;
 use futures_util::SinkExt;
@@ -92,7 +92,7 @@
     type Link = Connection;
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
-        let stream = momentary::connect(address).await.map_err(|_| Outcome::Refused)?;
+        let stream = transient::connect(address).await.map_err(|_| Outcome::Refused)?;
         let framed = Framed::with_capacity(Socket::new(stream), ClientCodec::new(self.bytes.clone()), ROOM);
         let mut link = Connection { framed, begun: None, _permit: permit };
         link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
--- a/src/pg/replies.rs
+++ b/src/pg/replies.rs
@@ -6,7 +6,7 @@
 use crate::core::counters::{add, Count};
 use crate::core::flow::Chunk;
 use crate::core::{Pending, Value};
-use crate::net::client_end::CONNECTION;
+use crate::net::client_close::CONNECTION;
 use bytes::{Buf, BytesMut};
 use futures_util::{FutureExt, SinkExt};
 use std::collections::VecDeque;
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -7,7 +7,7 @@
 //! | answers are owed | nothing but the client |
 //! | at rest | the client; `IDLE_TIMEOUT`; others who lack a permit; the end of the process |
 //!
-//! All but the client's own end go through [`client_end`], which ends nothing that has no answer.
+//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
 
 use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
 use super::front::{error, last_refusal, Front};
@@ -16,9 +16,9 @@
 use crate::core::counters::{count, Count};
 use crate::interface::*;
 use crate::net::budget::QUIET_MIN;
-use crate::net::client_end::{self, EndReason, Ended, CONNECTION};
+use crate::net::client_close::{self, EndReason, Ended, CONNECTION};
 use crate::net::frames::{next_or_end, shrink, Next, ROOM};
-use crate::net::held_up;
+use crate::net::stall;
 use crate::net::listen::{reached, Closing, Phase, Refusal};
 use crate::net::socket::Socket;
 use bytes::Bytes;
@@ -107,7 +107,7 @@
         loop {
             if let Some(reason) = self.ends_now() {
                 if self.goodbye {
-                    return Ok(Box::pin(client_end::after_last_word(self.conn, reason)).await);
+                    return Ok(Box::pin(client_close::after_last_word(self.conn, reason)).await);
                 }
                 if let Some(ended) = self.end_at_rest(reason).await {
                     return Ok(ended);
@@ -127,7 +127,7 @@
                 read = next_or_end(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
                     match read {
                         Next::Part => self.part = Some(Instant::now()),
-                        Next::Message(None) => return Ok(client_end::by_client(self.conn)),
+                        Next::Message(None) => return Ok(client_close::by_client(self.conn)),
                         Next::Message(Some(Ok(message))) => self.dispatch(message).await,
                         Next::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
                     }
@@ -201,7 +201,7 @@
     /// Ends the connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
     async fn end_at_rest(&mut self, reason: EndReason) -> Option<Ended> {
         let last_word = (!self.state.asked).then(|| last_refusal(Refusal::at_end(reason)));
-        client_end::at_rest(&mut self.conn, reason, last_word).await
+        client_close::at_rest(&mut self.conn, reason, last_word).await
     }
 
     /// Sends an answer, and those behind it that are due already.
@@ -273,7 +273,7 @@
         count(Count::pg_requests);
         let front = &self.front;
         let terms = front.terms.borrow().clone();
-        let waited = held_up::waited(self.state.waits_since);
+        let waited = stall::waited(self.state.waits_since);
         match statement::read(text, &terms, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
                 self.state.sound = true;
@@ -308,7 +308,7 @@
             let reply = tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0) => reply,
-                () = self.conn.get_mut().ended() => return Ok(client_end::by_client(self.conn)),
+                () = self.conn.get_mut().ended() => return Ok(client_close::by_client(self.conn)),
             };
             put(&mut self.conn, reply, &mut self.owed.0).await?;
         }
@@ -325,7 +325,7 @@
         let last_word = Reply::Error { after: After::End, code, message, detail: None };
         // A sound request that finds no room is refused at once.
         let turn = (!matches!(fault, WireError::NoRoom)).then(|| self.turn());
-        Ok(client_end::after_fault(self.conn, last_word, turn, &self.front.clients).await)
+        Ok(client_close::after_fault(self.conn, last_word, turn, &self.front.clients).await)
     }
 }
 
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::interface::Time;
-use crate::net::accepting::Accepting;
+use crate::net::client_listeners::Accepting;
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::DescriptorBudget;
 use crate::net::listen::Phase;
