--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::knowledge::{Knowledge, Known, MemberFacts};
-use crate::net::member_state::SharedState;
+use crate::net::member_state::SharedMemberState;
 use crate::terms::{Slots, Terms};
 use std::net::SocketAddr;
 
@@ -268,7 +268,7 @@
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
         let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect: Time::MAX };
-        let state = SharedState::new(SocketAddr::from(([127, 0, 0, 1], 9)), times);
+        let state = SharedMemberState::new(SocketAddr::from(([127, 0, 0, 1], 9)), times);
         state.lock().gate.issue(attempt.key());
         state.begin(attempt, &actor.clock).is_ok()
     };
--- a/src/main.rs
+++ b/src/main.rs
@@ -25,7 +25,7 @@
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, Pace};
 use linentrail::net::discovery::{Discovery, Lists, Service};
-use linentrail::net::member_actors::Fleet;
+use linentrail::net::member_actors::MemberActors;
 use linentrail::net::stall;
 use linentrail::net::listen::Phase;
 use linentrail::net::transient;
@@ -181,7 +181,7 @@
     let (orders, ordered) = mpsc::channel(ORDERS);
     let (follow, asked) = mpsc::channel(1);
     let wire = pg::member::Pg::new(budget.bytes.clone());
-    let fleet = Fleet::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
+    let fleet = MemberActors::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
     let listing = Listing::new(settings.seed);
     let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
--- a/src/net/member_actor.rs
+++ b/src/net/member_actor.rs
@@ -5,8 +5,8 @@
 //! only in those tasks, never in its own loop, so that it always takes orders.
 
 use super::budget::Budget;
-use super::member_protocol::{Confirmation, Exchange, Guard, Link, Wire};
-use super::member_state::SharedState;
+use super::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection, MemberProtocol};
+use super::member_state::SharedMemberState;
 use super::connection_pool::{Before, Pool};
 use super::timeout::Timeout;
 use crate::clock::Clock;
@@ -45,7 +45,7 @@
 
 /// What the fleet tells a peer.
 #[derive(Debug)]
-pub enum Order {
+pub enum MemberCommand {
     /// Start an attempt.
     Attempt(Attempt),
     /// Stop waiting for one.
@@ -65,22 +65,22 @@
 }
 
 /// The actor's state.
-pub struct Peer<W: Wire> {
+pub struct MemberActor<W: MemberProtocol> {
     id: MemberId,
-    state: SharedState,
+    state: SharedMemberState,
     core: mpsc::Sender<Input>,
     budget: Budget,
     clock: Clock,
     wire: W,
-    pool: Pool<(W::Link, Timeout)>,
+    pool: Pool<(W::Connection, Timeout)>,
     running: FxHashMap<AttemptKey, Running>,
     probing: usize,
     /// As far as the shared state has been followed.
     moves: u32,
     idle_closes: u32,
     /// Where tasks tell their ends; each tells one, so that there are never more than tasks.
-    done: mpsc::UnboundedSender<Done<W::Link>>,
-    ends: Option<mpsc::UnboundedReceiver<Done<W::Link>>>,
+    done: mpsc::UnboundedSender<Done<W::Connection>>,
+    ends: Option<mpsc::UnboundedReceiver<Done<W::Connection>>>,
 }
 
 /// A task of a peer.
@@ -101,11 +101,11 @@
     moves: u32,
 }
 
-impl<W: Wire> Peer<W> {
+impl<W: MemberProtocol> MemberActor<W> {
     /// A peer without connections.
     pub fn new(
         id: MemberId,
-        state: SharedState,
+        state: SharedMemberState,
         core: mpsc::Sender<Input>,
         budget: Budget,
         clock: Clock,
@@ -117,7 +117,7 @@
         };
         let (done, ends) = mpsc::unbounded_channel();
         let running = FxHashMap::default();
-        Peer {
+        MemberActor {
             id,
             state,
             core,
@@ -135,7 +135,7 @@
     }
 
     /// Runs until the fleet lets go of it and the last attempt has ended.
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Order>) {
+    pub async fn run(mut self, mut mailbox: mpsc::Receiver<MemberCommand>) {
         let Some(mut ends) = self.ends.take() else { return };
         // Set anew only when it rings: connections come and go much faster than they grow old.
         let mut reaper = pin!(tokio::time::sleep_until(Instant::now()));
@@ -179,14 +179,14 @@
         (0..self.pool.reap(self.clock.now())).for_each(|_| count(Count::member_idle_closed));
     }
 
-    fn take(&mut self, order: Order) {
+    fn take(&mut self, order: MemberCommand) {
         self.follow();
         match order {
-            Order::Attempt(attempt) => self.attempt(attempt),
-            Order::Cancel(id, number) => self.stop((id, number)),
-            Order::Withdrawn => self.stop_withdrawn(),
-            Order::Probe => self.probe(),
-            Order::Changed => {}
+            MemberCommand::Attempt(attempt) => self.attempt(attempt),
+            MemberCommand::Cancel(id, number) => self.stop((id, number)),
+            MemberCommand::Withdrawn => self.stop_withdrawn(),
+            MemberCommand::Probe => self.probe(),
+            MemberCommand::Changed => {}
         }
     }
 
@@ -239,7 +239,7 @@
         let mut ready = None;
         while ready.is_none() {
             let Some((link, before)) = self.pool.take(now) else { break };
-            ready = (before == Before::Nothing || link.0.stands()).then_some(link);
+            ready = (before == Before::Nothing || link.0.is_quiet()).then_some(link);
         }
         let (ready, waits) = ready.unzip();
         let (address, connect) = {
@@ -286,7 +286,7 @@
                     if !attempt.safe && exchange.reusable && exchange.outcome.never_ran() {
                         exchange = Box::pin(confirmed(&mut link, exchange)).await;
                     }
-                    let kept = exchange.reusable || exchange.begun.is_some();
+                    let kept = exchange.reusable || exchange.value_rest.is_some();
                     (kept.then_some(link), exchange)
                 });
                 timeout.within(stop, run).await
@@ -299,16 +299,16 @@
                     (None, Exchange { outcome, ..Exchange::default() })
                 }
             };
-            let Exchange { mut outcome, mut value, note, report, mut begun, .. } = exchange;
+            let Exchange { mut outcome, mut value, note, report, mut value_rest, .. } = exchange;
             // The rest still comes on the connection.
-            if begun.is_some() && attempt.whole {
-                (outcome, value, begun, link) = (Outcome::Errored, None, None, None);
+            if value_rest.is_some() && attempt.whole {
+                (outcome, value, value_rest, link) = (Outcome::Errored, None, None, None);
             }
             let spent = clock.now().saturating_sub(since);
             let note = note.filter(|_| outcome.answered());
             let ending = Ending { outcome, value, note, report, spent };
             let _ = core.send(Input::Ended(key.0, key.1, ending)).await;
-            let link = match begun {
+            let link = match value_rest {
                 // The value is the client's now: neither the attempt's time nor the request's ends it, nor a cancel.
                 Some(source) => {
                     let done = done.clone();
@@ -350,18 +350,18 @@
 }
 
 /// An exchange by which the statement never ran, as far as nothing behind the answer contradicts it.
-async fn confirmed<L: Link>(link: &mut L, exchange: Exchange) -> Exchange {
+async fn confirmed<L: MemberConnection>(link: &mut L, exchange: Exchange) -> Exchange {
     match link.confirm().await {
-        Confirmation::Alone => exchange,
-        Confirmation::Last => Exchange { reusable: false, ..exchange },
+        Confirmation::Reusable => exchange,
+        Confirmation::NotReusable => Exchange { reusable: false, ..exchange },
         Confirmation::Contradicted => Exchange { outcome: Outcome::Errored, ..Exchange::default() },
     }
 }
 
 /// Passes a value's rest on.
-async fn pass_on<L: Link>(link: Option<L>, to: Source) -> Option<L> {
+async fn pass_on<L: MemberConnection>(link: Option<L>, to: Source) -> Option<L> {
     let mut link = link?;
-    link.rest(to).await.then_some(link)
+    link.forward_rest(to).await.then_some(link)
 }
 
 /// How long a connection may rest.
@@ -370,9 +370,9 @@
 }
 
 /// How an attempt comes by its connection.
-struct Dial<W: Wire> {
+struct Dial<W: MemberProtocol> {
     /// One of the pool.
-    ready: Option<W::Link>,
+    ready: Option<W::Connection>,
     /// What is sent may be sent again.
     safe: bool,
     address: SocketAddr,
@@ -381,26 +381,26 @@
     wire: W,
 }
 
-impl<W: Wire> Dial<W> {
+impl<W: MemberProtocol> Dial<W> {
     /// The connection for a statement. What is not at hand is seen to in futures of their own, so that the tasks of
     /// nearly all attempts need no room for it.
-    async fn link(mut self) -> Result<(W::Link, Guard), Outcome> {
+    async fn link(mut self) -> Result<(W::Connection, StaleInput), Outcome> {
         match self.ready.take() {
-            Some(link) if self.safe => return Ok((link, Guard::Fence)),
+            Some(link) if self.safe => return Ok((link, StaleInput::Possible)),
             // What is left over may spoil the statement's answer, and this one could not be sent again: the fence goes
             // alone, and the statement follows only where it has found nothing.
             Some(mut link) => {
                 let alone = Box::pin(tokio::time::timeout(self.timeout, link.fence())).await;
                 if alone.unwrap_or(false) {
-                    return Ok((link, Guard::Proven));
+                    return Ok((link, StaleInput::Excluded));
                 }
             }
             None => {}
         }
-        Box::pin(self.open()).await.map(|link| (link, Guard::Proven))
+        Box::pin(self.open()).await.map(|link| (link, StaleInput::Excluded))
     }
 
-    async fn open(self) -> Result<W::Link, Outcome> {
+    async fn open(self) -> Result<W::Connection, Outcome> {
         let Dial { address, timeout, budget, wire, .. } = self;
         // Out of descriptors is our fault, not the member's: the attempt was never sent, and the member is not in doubt.
         let permit = match tokio::time::timeout(timeout, budget.members.permit()).await {
--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -26,9 +26,9 @@
 
 /// A peer with one attempt, its orders, and what it tells the core.
 struct Stage {
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<MemberCommand>,
     told: mpsc::Receiver<Input>,
-    state: SharedState,
+    state: SharedMemberState,
     clock: Clock,
 }
 
@@ -37,11 +37,11 @@
     async fn attempt(address: SocketAddr, statement: usize, patience: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
-        let state = SharedState::new(address, SocketTimes { connect: PATIENCE, keepalive: PATIENCE });
+        let state = SharedMemberState::new(address, SocketTimes { connect: PATIENCE, keepalive: PATIENCE });
         let (core, told) = mpsc::channel(8);
         let (orders, mailbox) = mpsc::channel(8);
         let wire = Pg::new(budget.bytes.clone());
-        tokio::spawn(Peer::new(MemberId(1), state.clone(), core, budget, clock, wire).run(mailbox));
+        tokio::spawn(MemberActor::new(MemberId(1), state.clone(), core, budget, clock, wire).run(mailbox));
         let stage = Stage { orders, told, state, clock };
         stage.give(KEY, statement, patience, safe).await;
         stage
@@ -63,11 +63,11 @@
             client_seen: self.clock.now(),
         };
         self.state.lock().gate.issue(key);
-        self.orders.send(Order::Attempt(attempt)).await.expect("the peer runs");
+        self.orders.send(MemberCommand::Attempt(attempt)).await.expect("the peer runs");
     }
 
     async fn cancel(&self) {
-        self.orders.send(Order::Cancel(KEY.0, KEY.1)).await.expect("the peer runs");
+        self.orders.send(MemberCommand::Cancel(KEY.0, KEY.1)).await.expect("the peer runs");
     }
 
     /// How the attempt has ended.
--- a/src/net/member_actors.rs
+++ b/src/net/member_actors.rs
@@ -4,9 +4,9 @@
 
 use super::budget::Budget;
 use super::discovery;
-use super::member_protocol::Wire;
-use super::member_state::SharedState;
-use super::member_actor::{self, Order};
+use super::member_protocol::MemberProtocol;
+use super::member_state::SharedMemberState;
+use super::member_actor::{self, MemberCommand};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{violated, Attempt, Input, Listed, Members};
@@ -22,17 +22,17 @@
 /// of them lasts; members are replaced all the time.
 const KEPT: Time = 5_000_000;
 
-struct Peer {
-    orders: mpsc::Sender<Order>,
-    state: SharedState,
+struct ActorHandle {
+    orders: mpsc::Sender<MemberCommand>,
+    state: SharedMemberState,
     /// Announced as leaving.
     leaves: bool,
     gone: Option<Time>,
 }
 
-impl Peer {
+impl ActorHandle {
     /// Hastens what stands in the state already; false where the mailbox is full.
-    fn order(&self, order: Order) -> bool {
+    fn order(&self, order: MemberCommand) -> bool {
         let taken = self.orders.try_send(order).is_ok();
         if !taken {
             count(Count::orders_dropped);
@@ -43,18 +43,18 @@
     /// Nothing new may go to the member, nor anything of which nothing has been written yet.
     fn withdraw_all(&self) {
         self.state.lock().gate.withdraw_all();
-        self.order(Order::Withdrawn);
+        self.order(MemberCommand::Withdrawn);
     }
 
     fn close_idle(&self) {
         self.state.lock().idle_closes += 1;
-        self.order(Order::Changed);
+        self.order(MemberCommand::Changed);
     }
 }
 
 /// The peers.
-pub struct Fleet<W> {
-    peers: HashMap<MemberId, Peer>,
+pub struct MemberActors<W> {
+    peers: HashMap<MemberId, ActorHandle>,
     core: mpsc::Sender<Input>,
     discovery: mpsc::Sender<discovery::Follow>,
     budget: Budget,
@@ -63,7 +63,7 @@
     wire: W,
 }
 
-impl<W: Wire> Fleet<W> {
+impl<W: MemberProtocol> MemberActors<W> {
     /// No peers yet.
     pub fn new(
         core: mpsc::Sender<Input>,
@@ -73,10 +73,10 @@
         times: SocketTimes,
         wire: W,
     ) -> Self {
-        Fleet { peers: HashMap::new(), core, discovery, budget, clock, times, wire }
+        MemberActors { peers: HashMap::new(), core, discovery, budget, clock, times, wire }
     }
 
-    fn order(&self, member: MemberId, order: Order) -> bool {
+    fn order(&self, member: MemberId, order: MemberCommand) -> bool {
         self.peers.get(&member).is_some_and(|p| p.order(order))
     }
 
@@ -90,7 +90,7 @@
     }
 }
 
-impl<W: Wire> Members for Fleet<W> {
+impl<W: MemberProtocol> Members for MemberActors<W> {
     fn attempt(&mut self, member: MemberId, attempt: Attempt) -> bool {
         let Some(peer) = self.peers.get(&member) else { return false };
         let key = attempt.key();
@@ -99,7 +99,7 @@
             return false;
         }
         peer.state.lock().gate.issue(key);
-        let taken = peer.order(Order::Attempt(attempt));
+        let taken = peer.order(MemberCommand::Attempt(attempt));
         if !taken {
             peer.state.lock().gate.end(key);
         }
@@ -109,23 +109,23 @@
     fn cancel(&mut self, member: MemberId, id: RequestId, number: u32) {
         if let Some(peer) = self.peers.get(&member) {
             peer.state.lock().gate.withdraw((id, number));
-            peer.order(Order::Cancel(id, number));
+            peer.order(MemberCommand::Cancel(id, number));
         }
     }
 
     fn withdraw(&mut self, member: MemberId, id: RequestId, number: u32) {
         let Some(peer) = self.peers.get(&member) else { return };
         if peer.state.lock().gate.withdraw((id, number)) {
-            peer.order(Order::Cancel(id, number));
+            peer.order(MemberCommand::Cancel(id, number));
         }
     }
 
     fn probe(&mut self, member: MemberId) -> bool {
-        self.order(member, Order::Probe)
+        self.order(member, MemberCommand::Probe)
     }
 
     fn close_idle(&mut self, member: MemberId) {
-        self.peers.get(&member).into_iter().for_each(Peer::close_idle);
+        self.peers.get(&member).into_iter().for_each(ActorHandle::close_idle);
     }
 
     fn list(&mut self, kind: ListKind, entries: &[Listed]) {
@@ -141,14 +141,14 @@
             let (clock, times) = (self.clock, self.times);
             let peer = self.peers.entry(member.id).or_insert_with(|| {
                 let (orders, mailbox) = mpsc::channel(MAILBOX);
-                let state = SharedState::new(*address, times);
-                let actor = member_actor::Peer::new(member.id, state.clone(), core, budget, clock, wire);
+                let state = SharedMemberState::new(*address, times);
+                let actor = member_actor::MemberActor::new(member.id, state.clone(), core, budget, clock, wire);
                 tokio::spawn(actor.run(mailbox));
-                Peer { orders, state, leaves: false, gone: None }
+                ActorHandle { orders, state, leaves: false, gone: None }
             });
             peer.gone = None;
             if peer.state.moves_to(*address) {
-                peer.order(Order::Withdrawn);
+                peer.order(MemberCommand::Withdrawn);
             }
             peer.leaves = member.condition == Condition::Draining;
             if peer.leaves {
@@ -171,7 +171,7 @@
         self.times = times;
         for peer in self.peers.values() {
             peer.state.lock().times = times;
-            peer.order(Order::Changed);
+            peer.order(MemberCommand::Changed);
         }
     }
 
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::flow::Source;
 use crate::core::Work;
-use crate::net::member_protocol::{Confirmation, Exchange, Guard, Link};
+use crate::net::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection};
 use bytes::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 struct Connection(Held);
 
-impl Wire for Held {
-    type Link = Connection;
+impl MemberProtocol for Held {
+    type Connection = Connection;
 
     async fn open(
         &self,
@@ -35,8 +35,8 @@
     }
 }
 
-impl Link for Connection {
-    fn stands(&self) -> bool {
+impl MemberConnection for Connection {
+    fn is_quiet(&self) -> bool {
         false
     }
 
@@ -44,21 +44,21 @@
         false
     }
 
-    async fn run(&mut self, _: &Work, _: Time, _: Guard, written: &mut bool) -> Exchange {
+    async fn run(&mut self, _: &Work, _: Time, _: StaleInput, written: &mut bool) -> Exchange {
         *written = true;
         self.0.written.fetch_add(1, Ordering::Relaxed);
         Exchange { outcome: Outcome::Completed, ..Exchange::default() }
     }
 
     async fn confirm(&mut self) -> Confirmation {
-        Confirmation::Alone
+        Confirmation::Reusable
     }
 
-    async fn rest(&mut self, _: Source) -> bool {
+    async fn forward_rest(&mut self, _: Source) -> bool {
         false
     }
 
-    async fn probe(&mut self, _: Guard) -> Option<(Report, bool)> {
+    async fn probe(&mut self, _: StaleInput) -> Option<(Report, bool)> {
         None
     }
 }
@@ -90,7 +90,7 @@
 
 /// Fills the member's mailbox in one go, does something to the member in the same go, and lets the connections come about:
 /// the outcomes of all attempts, how many statements were written, and where connections led.
-fn play(then: impl FnOnce(&mut Fleet<Held>)) -> (Vec<Outcome>, usize, Vec<std::net::SocketAddr>) {
+fn play(then: impl FnOnce(&mut MemberActors<Held>)) -> (Vec<Outcome>, usize, Vec<std::net::SocketAddr>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (open, opens) = watch::channel(false);
@@ -98,7 +98,7 @@
         let (core, mut inputs) = mpsc::channel(8);
         let (clock, times) = (Clock::start(), SocketTimes { connect: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
-        let mut fleet = Fleet::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
+        let mut fleet = MemberActors::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
         fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
         let sent = (0..ATTEMPTS).filter(|n| fleet.attempt(MEMBER, attempt(*n, &clock))).count();
         assert!(!fleet.attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
@@ -157,7 +157,7 @@
         let wire = Held { opens: watch::channel(true).1, written: Arc::default(), led: Arc::default() };
         let (clock, times) = (Clock::start(), SocketTimes { connect: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
-        let mut fleet = Fleet::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
+        let mut fleet = MemberActors::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
         fleet.list(ListKind::Full, &[listed(Condition::Draining, 9)]);
         assert!(!fleet.attempt(MEMBER, attempt(1, &clock)));
         fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
--- a/src/net/member_protocol.rs
+++ b/src/net/member_protocol.rs
@@ -20,8 +20,8 @@
     pub report: Option<Report>,
     /// The connection may carry another.
     pub reusable: bool,
-    /// Of the value only the start has come; the rest is to be passed on here, by [`Link::rest`].
-    pub begun: Option<Source>,
+    /// Of the value only the start has come; the rest is to be passed on here, by [`MemberConnection::forward_rest`].
+    pub value_rest: Option<Source>,
 }
 
 /// One that never got as far as being written.
@@ -33,36 +33,36 @@
             note: None,
             report: None,
             reusable: false,
-            begun: None,
+            value_rest: None,
         }
     }
 }
 
 /// What is known of the bytes that a connection will bring next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub enum StaleInput {
     /// None can be left of an earlier answer: the connection is new, or a fence was answered on it just now.
-    Proven,
+    Excluded,
     /// Some might be: the wire itself has to tell them from the answer.
-    Fence,
+    Possible,
 }
 
 /// What stands behind an answer by which a statement never ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Confirmation {
     /// Nothing, and the connection may carry another statement.
-    Alone,
+    Reusable,
     /// Nothing but copies of it, and the connection may carry no other statement, or has ended.
-    Last,
+    NotReusable,
     /// Something: the statement may have run.
     Contradicted,
 }
 
 /// A connection to a member on which statements can be run, one at a time.
-pub trait Link: Send + 'static {
+pub trait MemberConnection: Send + 'static {
     /// Nothing has come on it since its last answer, not even an end. The socket itself is asked: what the runtime
     /// remembers of it is as old as its last look.
-    fn stands(&self) -> bool;
+    fn is_quiet(&self) -> bool;
 
     /// Proves that nothing of an earlier answer is left on it, at the price of one way there and back; false where
     /// something is, or the connection is of no use any more. Runs nothing.
@@ -74,7 +74,7 @@
         &mut self,
         work: &Work,
         wait: Time,
-        guard: Guard,
+        guard: StaleInput,
         written: &mut bool,
     ) -> impl Future<Output = Exchange> + Send;
 
@@ -83,17 +83,17 @@
 
     /// Passes on the rest of a value that has begun, no faster than it is taken; whether the connection may carry
     /// another statement.
-    fn rest(&mut self, to: Source) -> impl Future<Output = bool> + Send;
+    fn forward_rest(&mut self, to: Source) -> impl Future<Output = bool> + Send;
 
     /// Asks for the member's report, and tells whether the connection may carry another query; none if the member
     /// does not answer. An answer that cannot be read shows no more than that the member is there.
-    fn probe(&mut self, guard: Guard) -> impl Future<Output = Option<(Report, bool)>> + Send;
+    fn probe(&mut self, guard: StaleInput) -> impl Future<Output = Option<(Report, bool)>> + Send;
 }
 
 /// How connections to members come about.
-pub trait Wire: Clone + Send + Sync + 'static {
+pub trait MemberProtocol: Clone + Send + Sync + 'static {
     /// What they are.
-    type Link: Link;
+    type Connection: MemberConnection;
 
     /// Opens one and waits for its welcome.
     ///
@@ -103,5 +103,5 @@
         &self,
         address: SocketAddr,
         permit: OwnedSemaphorePermit,
-    ) -> impl Future<Output = Result<Self::Link, Outcome>> + Send;
+    ) -> impl Future<Output = Result<Self::Connection, Outcome>> + Send;
 }
--- a/src/net/member_state.rs
+++ b/src/net/member_state.rs
@@ -26,13 +26,13 @@
 
 /// The same for all that share it. No lock is held while anything is waited for.
 #[derive(Debug, Clone)]
-pub struct SharedState(Arc<Mutex<MemberState>>);
+pub struct SharedMemberState(Arc<Mutex<MemberState>>);
 
-impl SharedState {
+impl SharedMemberState {
     /// A member that listens there, and has no attempts.
     pub fn new(address: SocketAddr, times: SocketTimes) -> Self {
         let state = MemberState { gate: BeginGate::default(), address, moves: 0, idle_closes: 0, times };
-        SharedState(Arc::new(Mutex::new(state)))
+        SharedMemberState(Arc::new(Mutex::new(state)))
     }
 
     /// Looks at it, or changes it.
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -14,7 +14,7 @@
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
 use crate::net::frames::{next, shrink, Next, ROOM};
-use crate::net::member_protocol::{Confirmation, Exchange, Guard, Link, Wire};
+use crate::net::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection, MemberProtocol};
 use crate::net::transient;
 use crate::net::socket::Socket;
 use bytes::Bytes;
@@ -88,8 +88,8 @@
     report: Option<Report>,
 }
 
-impl Wire for Pg {
-    type Link = Connection;
+impl MemberProtocol for Pg {
+    type Connection = Connection;
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
         let stream = transient::connect(address).await.map_err(|_| Outcome::Refused)?;
@@ -191,10 +191,10 @@
     }
 
     /// The answer to what was written under this guard. Whether anything stood before it that does not belong to it.
-    async fn answer(&mut self, guard: Guard) -> (Reply, End, bool) {
+    async fn answer(&mut self, guard: StaleInput) -> (Reply, End, bool) {
         let strays = match guard {
-            Guard::Proven => 0,
-            Guard::Fence => match self.past_fence().await {
+            StaleInput::Excluded => 0,
+            StaleInput::Possible => match self.past_fence().await {
                 Ok(strays) => strays,
                 Err(end) => return (Reply::default(), end, true),
             },
@@ -234,8 +234,8 @@
     }
 }
 
-impl Link for Connection {
-    fn stands(&self) -> bool {
+impl MemberConnection for Connection {
+    fn is_quiet(&self) -> bool {
         if self.left_over() {
             return false;
         }
@@ -260,8 +260,8 @@
         matches!(strays, Ok(0)) && self.framed.read_buffer().is_empty()
     }
 
-    async fn run(&mut self, work: &Work, wait: Time, guard: Guard, written: &mut bool) -> Exchange {
-        if self.write(work, wait, guard == Guard::Fence).await.is_err() {
+    async fn run(&mut self, work: &Work, wait: Time, guard: StaleInput, written: &mut bool) -> Exchange {
+        if self.write(work, wait, guard == StaleInput::Possible).await.is_err() {
             // The break came before the last byte was written: it never ran.
             return Exchange::default();
         }
@@ -279,7 +279,7 @@
         // value stands for itself; what comes behind it shows when the connection is used again.
         let proof = matches!(outcome, Outcome::Miss | Outcome::Saturated);
         let whole = end == End::Whole { ready: true };
-        let more = strays || whole && if proof { !self.stands() } else { self.left_over() };
+        let more = strays || whole && if proof { !self.is_quiet() } else { self.left_over() };
         let outcome = if more && proof { Outcome::Errored } else { outcome };
         if let End::Spoilt(what) = end {
             count(Count::member_spoilt);
@@ -299,7 +299,7 @@
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
             self.begun = Some(Box::new(reply));
-            return Exchange { outcome, value, note, report, reusable: false, begun: Some(source) };
+            return Exchange { outcome, value, note, report, reusable: false, value_rest: Some(source) };
         }
         let Reply { column, row, note, report, .. } = reply;
         let value = column.filter(|_| outcome == Outcome::Completed).map(|c| Value {
@@ -309,7 +309,7 @@
             bytes: row.flatten(),
             flow: None,
         });
-        Exchange { outcome, value, note, report, reusable: whole && !more, begun: None }
+        Exchange { outcome, value, note, report, reusable: whole && !more, value_rest: None }
     }
 
     async fn confirm(&mut self) -> Confirmation {
@@ -321,9 +321,9 @@
             match next(&mut self.framed, true).await {
                 Next::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
                 Next::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
-                    break Confirmation::Alone
+                    break Confirmation::Reusable
                 }
-                Next::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::Last,
+                Next::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::NotReusable,
                 // A copy of the refusal says nothing else.
                 Next::Message(Some(Ok(Backend::Error { code, .. })))
                     if copies < STRAYS && turns_away(&code) =>
@@ -331,7 +331,7 @@
                     copies += 1;
                 }
                 Next::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
-                Next::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::Last,
+                Next::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::NotReusable,
                 _ => break Confirmation::Contradicted,
             }
         };
@@ -345,7 +345,7 @@
         }
     }
 
-    async fn rest(&mut self, to: Source) -> bool {
+    async fn forward_rest(&mut self, to: Source) -> bool {
         let Some(mut reply) = self.begun.take() else { return false };
         let whole = loop {
             let read = tokio::time::timeout(FLOW_STALL, next(&mut self.framed, true)).await;
@@ -373,8 +373,8 @@
         whole && !self.left_over()
     }
 
-    async fn probe(&mut self, guard: Guard) -> Option<(Report, bool)> {
-        if guard == Guard::Fence {
+    async fn probe(&mut self, guard: StaleInput) -> Option<(Report, bool)> {
+        if guard == StaleInput::Possible {
             self.framed.feed(Frontend::Empty).await.ok()?;
         }
         self.framed.send(Frontend::Stats).await.ok()?;
--- a/src/pg/member_tests.rs
+++ b/src/pg/member_tests.rs
@@ -61,7 +61,7 @@
     block_on(async {
         let mut link = opened(address).await.expect("a welcome");
         let mut written = false;
-        let exchange = link.run(&work(text), 1_000, Guard::Proven, &mut written).await;
+        let exchange = link.run(&work(text), 1_000, StaleInput::Excluded, &mut written).await;
         assert!(written);
         exchange.outcome
     })
@@ -126,7 +126,7 @@
     let address = member(welcome, vec![Vec::new()], Then::Waits);
     let ran = block_on(async {
         let mut link = opened(address).await?;
-        Ok(link.run(&work(WRITE), 1_000, Guard::Proven, &mut false).await.outcome)
+        Ok(link.run(&work(WRITE), 1_000, StaleInput::Excluded, &mut false).await.outcome)
     });
     assert_eq!(ran, Err(Outcome::Refused), "a connection on which nothing may be written");
 }
