--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1, as far as discovery and OData need it; `httparse` reads the heads.
 
 use crate::net::budget::{ByteBudget, Share};
-use crate::net::frames::Holds;
+use crate::net::frames::BuffersPartial;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
@@ -301,8 +301,8 @@
     }
 }
 
-impl Holds for HttpServer {
-    fn holds(&self) -> bool {
+impl BuffersPartial for HttpServer {
+    fn holds_partial(&self) -> bool {
         self.0.reading.is_some()
     }
 }
--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -12,7 +12,7 @@
 //! | [`by_client`] | nothing: the client has gone | |
 
 use super::budget::DescriptorBudget;
-use super::frames::Holds;
+use super::frames::BuffersPartial;
 use super::socket::{Socket, Unread};
 use crate::core::counters::{count, Count};
 use futures_util::{FutureExt, SinkExt};
@@ -92,7 +92,7 @@
     last_word: Option<M>,
 ) -> Option<Ended>
 where
-    C: Decoder + Encoder<M> + Holds,
+    C: Decoder + Encoder<M> + BuffersPartial,
 {
     if holds_part(conn) {
         return None;
@@ -110,12 +110,12 @@
 }
 
 /// Whether something stands on a connection that has no answer: bytes read, or bytes in the socket.
-pub fn holds_unanswered<C: Decoder + Holds>(conn: &mut Framed<Socket, C>) -> bool {
+pub fn holds_unanswered<C: Decoder + BuffersPartial>(conn: &mut Framed<Socket, C>) -> bool {
     holds_part(conn) || conn.get_mut().unread() == Unread::Bytes
 }
 
-fn holds_part<C: Decoder + Holds>(conn: &Framed<Socket, C>) -> bool {
-    !conn.read_buffer().is_empty() || conn.codec().holds()
+fn holds_part<C: Decoder + BuffersPartial>(conn: &Framed<Socket, C>) -> bool {
+    !conn.read_buffer().is_empty() || conn.codec().holds_partial()
 }
 
 /// Ends a connection on which an error was said that answers all that may still come, so that the client gets to read it.
--- a/src/net/client_close_tests.rs
+++ b/src/net/client_close_tests.rs
@@ -2,7 +2,7 @@
 //! end is left unread.
 
 use super::*;
-use crate::net::frames::{next, Next};
+use crate::net::frames::{read_next, ReadEvent};
 use crate::net::test_sockets::with_connection;
 use bytes::{Bytes, BytesMut};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 #[derive(Default)]
 struct Sentences;
 
-impl Holds for Sentences {}
+impl BuffersPartial for Sentences {}
 
 impl Decoder for Sentences {
     type Item = BytesMut;
@@ -50,8 +50,8 @@
 }
 
 async fn sentence(conn: &mut Conn) -> BytesMut {
-    match next(conn, true).await {
-        Next::Message(Some(Ok(sentence))) => sentence,
+    match read_next(conn, true).await {
+        ReadEvent::Message(Some(Ok(sentence))) => sentence,
         other => panic!("{other:?}"),
     }
 }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -9,33 +9,33 @@
 use tokio_util::codec::{Decoder, Framed};
 
 /// Room for reading and for writing that a connection starts with: hundreds rest at a time.
-pub const ROOM: usize = 4 * 1024;
+pub const INITIAL_BUFFER_SIZE: usize = 4 * 1024;
 /// What comes next on a connection.
 #[derive(Debug)]
-pub enum Next<T> {
+pub enum ReadEvent<T> {
     /// A whole message, an error, or the end.
     Message(Option<T>),
     /// The first bytes of one that has not all come. Told unless `part` says that this is known.
-    Part,
+    Partial,
 }
 
 /// A codec that may hold the first part of a message itself.
-pub trait Holds {
+pub trait BuffersPartial {
     /// Whether it does.
-    fn holds(&self) -> bool {
+    fn holds_partial(&self) -> bool {
         false
     }
 }
 
 /// Waits for the next message, or for its first bytes: only what has begun can be asked to end in time.
-pub async fn next<S: AsyncRead + Unpin, C: Decoder + Holds + Unpin>(
+pub async fn read_next<S: AsyncRead + Unpin, C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<S, C>,
     part: bool,
-) -> Next<<Framed<S, C> as Stream>::Item> {
+) -> ReadEvent<<Framed<S, C> as Stream>::Item> {
     poll_fn(|cx| match conn.poll_next_unpin(cx) {
-        Poll::Ready(message) => Poll::Ready(Next::Message(message)),
-        Poll::Pending if !part && (!conn.read_buffer().is_empty() || conn.codec().holds()) => {
-            Poll::Ready(Next::Part)
+        Poll::Ready(message) => Poll::Ready(ReadEvent::Message(message)),
+        Poll::Pending if !part && (!conn.read_buffer().is_empty() || conn.codec().holds_partial()) => {
+            Poll::Ready(ReadEvent::Partial)
         }
         Poll::Pending => Poll::Pending,
     })
@@ -44,26 +44,26 @@
 
 /// What comes next on a connection, or its end alone where nothing is to be read now: nothing more may be sent on for a
 /// client that has gone.
-pub async fn next_or_end<C: Decoder + Holds + Unpin>(
+pub async fn read_next_or_close<C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<Socket, C>,
     reads: bool,
     part: bool,
-) -> Next<<Framed<Socket, C> as Stream>::Item> {
+) -> ReadEvent<<Framed<Socket, C> as Stream>::Item> {
     if reads {
-        return next(conn, part).await;
+        return read_next(conn, part).await;
     }
     conn.get_mut().ended().await;
-    Next::Message(None)
+    ReadEvent::Message(None)
 }
 
 /// Lets go of buffers that a large message has left on a connection. Those that take their place have room at once: one
 /// that starts with none is read into a few bytes at a time.
-pub fn shrink<S, C>(conn: &mut Framed<S, C>) {
-    const SMALL: usize = 4 * ROOM;
+pub fn release_large_buffers<S, C>(conn: &mut Framed<S, C>) {
+    const SMALL: usize = 4 * INITIAL_BUFFER_SIZE;
     if conn.write_buffer().is_empty() && conn.write_buffer().capacity() > SMALL {
-        *conn.write_buffer_mut() = BytesMut::with_capacity(ROOM);
+        *conn.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_SIZE);
     }
     if conn.read_buffer().is_empty() && conn.read_buffer().capacity() > SMALL {
-        *conn.read_buffer_mut() = BytesMut::with_capacity(ROOM);
+        *conn.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_SIZE);
     }
 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -13,7 +13,7 @@
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{Budget, ByteBudget, Pace};
 use crate::net::client_close::{self, Ended};
-use crate::net::frames::{next, ROOM};
+use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
@@ -70,14 +70,14 @@
         hurried: impl Future<Output = ()> + Send,
     ) -> Result<Ended, HttpError> {
         why.count();
-        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), ROOM);
+        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
         Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
     }
 }
 
 /// Reads up to the first request, which a refusal answers.
 async fn first_request(conn: &mut Conn) {
-    let _ = next(conn, true).await;
+    let _ = read_next(conn, true).await;
 }
 
 impl Front {
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -15,7 +15,7 @@
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
 use crate::net::budget::QUIET_MIN;
 use crate::net::client_close::{self, EndReason, Ended};
-use crate::net::frames::{next, next_or_end, shrink, Next, ROOM};
+use crate::net::frames::{read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
 use crate::net::listen::{closed, Closing, Phase, Refusal};
 use crate::net::socket::Socket;
@@ -81,7 +81,7 @@
     /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
     pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
         let codec = HttpServer::new(MAX_BODY_LEN, front.budget.bytes.clone());
-        let conn = Framed::with_capacity(stream, codec, ROOM);
+        let conn = Framed::with_capacity(stream, codec, INITIAL_BUFFER_SIZE);
         let rests = Instant::now();
         let until = rests + IDLE_TIMEOUT;
         let ahead = VecDeque::new();
@@ -135,7 +135,7 @@
             if let Some(fault) = broken {
                 return Box::pin(self.end_with(fault)).await;
             }
-            shrink(&mut self.conn);
+            release_large_buffers(&mut self.conn);
             self.rests = Instant::now();
             self.until = self.rests + IDLE_TIMEOUT;
         }
@@ -154,11 +154,11 @@
         let (part, asked, rests) = (self.part, self.asked, self.rests);
         tokio::select! {
             biased;
-            read = next(&mut self.conn, part) => match read {
-                Next::Message(Some(Ok(request))) => Waited::Came(request),
-                Next::Message(Some(Err(fault))) => Waited::Fault(fault),
-                Next::Message(None) => Waited::Left,
-                Next::Part => Waited::Part,
+            read = read_next(&mut self.conn, part) => match read {
+                ReadEvent::Message(Some(Ok(request))) => Waited::Came(request),
+                ReadEvent::Message(Some(Err(fault))) => Waited::Fault(fault),
+                ReadEvent::Message(None) => Waited::Left,
+                ReadEvent::Partial => Waited::Part,
             },
             () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(EndReason::Shutdown),
             () = self.front.budget.clients.client_wanted(!asked, rests), if !part => Waited::Ends(EndReason::MadeRoom),
@@ -182,12 +182,12 @@
             tokio::select! {
                 biased;
                 response = &mut answer => return Ok(Some(Answered { response, broken })),
-                read = next_or_end(&mut self.conn, reads, true) => match read {
-                    Next::Message(Some(Ok(next))) => self.ahead.push_back(next),
-                    Next::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
-                    Next::Message(Some(Err(e))) => broken = Some(e),
-                    Next::Message(None) => return Ok(None),
-                    Next::Part => {}
+                read = read_next_or_close(&mut self.conn, reads, true) => match read {
+                    ReadEvent::Message(Some(Ok(next))) => self.ahead.push_back(next),
+                    ReadEvent::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
+                    ReadEvent::Message(Some(Err(e))) => broken = Some(e),
+                    ReadEvent::Message(None) => return Ok(None),
+                    ReadEvent::Partial => {}
                 },
             }
         }
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -4,7 +4,7 @@
 use crate::core::Value;
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
-use crate::net::frames::Holds;
+use crate::net::frames::BuffersPartial;
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -82,8 +82,8 @@
     frames: Frames,
 }
 
-impl Holds for ServerCodec {
-    fn holds(&self) -> bool {
+impl BuffersPartial for ServerCodec {
+    fn holds_partial(&self) -> bool {
         self.frames.passes_over()
     }
 }
--- a/src/pg/frames.rs
+++ b/src/pg/frames.rs
@@ -1,7 +1,7 @@
 //! Cutting messages off what was read, and what can be wrong with them; shared by both ends of the protocol.
 
 use crate::net::budget::{ByteBudget, Share};
-use crate::net::frames::ROOM;
+use crate::net::frames::INITIAL_BUFFER_SIZE;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
 use std::ops::Range;
@@ -81,7 +81,7 @@
             src.advance(end);
             return kept;
         }
-        let mut rest = BytesMut::with_capacity(ROOM.max(src.len() - end));
+        let mut rest = BytesMut::with_capacity(INITIAL_BUFFER_SIZE.max(src.len() - end));
         rest.extend_from_slice(&src[end..]);
         let mut whole = std::mem::replace(src, rest);
         whole.truncate(part.end);
@@ -155,7 +155,7 @@
         };
         if src.len() < end {
             self.share = share;
-            if end > ROOM && src.len() >= self.earnest && src.capacity() < end {
+            if end > INITIAL_BUFFER_SIZE && src.len() >= self.earnest && src.capacity() < end {
                 src.reserve(end + BEHIND - src.len());
             }
             return Ok(None);
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -7,7 +7,7 @@
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
 use crate::net::client_close::{self, Ended};
-use crate::net::frames::ROOM;
+use crate::net::frames::INITIAL_BUFFER_SIZE;
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
@@ -63,7 +63,7 @@
         hurried: impl Future<Output = ()> + Send,
     ) -> Result<Ended, WireError> {
         why.count();
-        let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), ROOM);
+        let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), INITIAL_BUFFER_SIZE);
         Ok(client_close::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
     }
 }
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -13,7 +13,7 @@
 use crate::interface::*;
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
-use crate::net::frames::{next, shrink, Next, ROOM};
+use crate::net::frames::{read_next, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection, MemberProtocol};
 use crate::net::transient;
 use crate::net::socket::Socket;
@@ -93,13 +93,13 @@
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
         let stream = transient::connect(address).await.map_err(|_| Outcome::Refused)?;
-        let framed = Framed::with_capacity(Socket::new(stream), ClientCodec::new(self.bytes.clone()), ROOM);
+        let framed = Framed::with_capacity(Socket::new(stream), ClientCodec::new(self.bytes.clone()), INITIAL_BUFFER_SIZE);
         let mut link = Connection { framed, begun: None, _permit: permit };
         link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
         // No statement has been written, so that nothing here can have run.
         let mut known = false;
         loop {
-            let Next::Message(Some(Ok(message))) = next(&mut link.framed, true).await else {
+            let ReadEvent::Message(Some(Ok(message))) = read_next(&mut link.framed, true).await else {
                 return Err(Outcome::Refused);
             };
             match message {
@@ -123,17 +123,17 @@
     async fn past_fence(&mut self) -> Result<usize, End> {
         let mut strays = 0;
         loop {
-            match next(&mut self.framed, true).await {
-                Next::Message(Some(Ok(Backend::EmptyQuery))) => break,
+            match read_next(&mut self.framed, true).await {
+                ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) => break,
                 // As many as an answer may have: whoever sends more, sends without end.
-                Next::Message(Some(Ok(_))) if strays < STRAYS => strays += 1,
-                Next::Message(Some(Err(WireError::Io(_))) | None) => return Err(End::Broken),
+                ReadEvent::Message(Some(Ok(_))) if strays < STRAYS => strays += 1,
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return Err(End::Broken),
                 _ => return Err(End::Spoilt("what stands before an answer cannot be read")),
             }
         }
-        match next(&mut self.framed, true).await {
-            Next::Message(Some(Ok(Backend::Ready))) => Ok(strays),
-            Next::Message(Some(Err(WireError::Io(_))) | None) => Err(End::Broken),
+        match read_next(&mut self.framed, true).await {
+            ReadEvent::Message(Some(Ok(Backend::Ready))) => Ok(strays),
+            ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => Err(End::Broken),
             _ => Err(End::Spoilt("the fence's answer does not end")),
         }
     }
@@ -143,7 +143,7 @@
         let mut stall: Option<Instant> = None;
         loop {
             let held = self.framed.read_buffer().len();
-            let read = next(&mut self.framed, stall.is_some());
+            let read = read_next(&mut self.framed, stall.is_some());
             let read = match stall {
                 Some(at) => match tokio::time::timeout_at(at, read).await {
                     Ok(read) => read,
@@ -157,18 +157,18 @@
                 None => read.await,
             };
             let message = match read {
-                Next::Part => {
+                ReadEvent::Partial => {
                     stall = Some(Instant::now() + STALL);
                     continue;
                 }
-                Next::Message(Some(Ok(message))) => message,
-                Next::Message(Some(Err(WireError::Io(_))) | None)
+                ReadEvent::Message(Some(Ok(message))) => message,
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None)
                     if reply.fatal && self.framed.read_buffer().is_empty() =>
                 {
                     return (reply, End::Whole { ready: false })
                 }
-                Next::Message(Some(Err(WireError::Io(_))) | None) => return (reply, End::Broken),
-                Next::Message(Some(Err(e))) => {
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return (reply, End::Broken),
+                ReadEvent::Message(Some(Err(e))) => {
                     log::debug!("a member's message cannot be read: {e}");
                     return (reply, End::Spoilt("a message of an answer cannot be read"));
                 }
@@ -267,7 +267,7 @@
         }
         *written = true;
         let (mut reply, end, strays) = self.answer(guard).await;
-        shrink(&mut self.framed);
+        release_large_buffers(&mut self.framed);
         let outcome = match end {
             End::Whole { .. } => reply.outcome(is_write(work)),
             End::Begun(_) => Outcome::Completed,
@@ -318,20 +318,20 @@
         let mut copies = 0;
         let mut answered = false;
         let confirmation = loop {
-            match next(&mut self.framed, true).await {
-                Next::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
-                Next::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
+            match read_next(&mut self.framed, true).await {
+                ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
                     break Confirmation::Reusable
                 }
-                Next::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::NotReusable,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::NotReusable,
                 // A copy of the refusal says nothing else.
-                Next::Message(Some(Ok(Backend::Error { code, .. })))
+                ReadEvent::Message(Some(Ok(Backend::Error { code, .. })))
                     if copies < STRAYS && turns_away(&code) =>
                 {
                     copies += 1;
                 }
-                Next::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
-                Next::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::NotReusable,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::NotReusable,
                 _ => break Confirmation::Contradicted,
             }
         };
@@ -348,8 +348,8 @@
     async fn forward_rest(&mut self, to: Source) -> bool {
         let Some(mut reply) = self.begun.take() else { return false };
         let whole = loop {
-            let read = tokio::time::timeout(FLOW_STALL, next(&mut self.framed, true)).await;
-            let Ok(Next::Message(Some(Ok(message)))) = read else { break false };
+            let read = tokio::time::timeout(FLOW_STALL, read_next(&mut self.framed, true)).await;
+            let Ok(ReadEvent::Message(Some(Ok(message)))) = read else { break false };
             match message {
                 // As fast as it is taken; whoever wanted it may have left.
                 Backend::Chunk(bytes) => match to.send(Chunk::Bytes(bytes)).await {
@@ -363,7 +363,7 @@
                 },
             }
         };
-        shrink(&mut self.framed);
+        release_large_buffers(&mut self.framed);
         self.framed.get_ref().expects_nothing();
         if whole {
             let _ = to.send(Chunk::Whole).await;
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -17,7 +17,7 @@
 use crate::interface::*;
 use crate::net::budget::QUIET_MIN;
 use crate::net::client_close::{self, EndReason, Ended, CONNECTION};
-use crate::net::frames::{next_or_end, shrink, Next, ROOM};
+use crate::net::frames::{read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
 use crate::net::listen::{reached, Closing, Phase, Refusal};
 use crate::net::socket::Socket;
@@ -78,7 +78,7 @@
 impl Session {
     /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
     pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
-        let conn = Framed::with_capacity(stream, ServerCodec::new(front.bytes.clone()), ROOM);
+        let conn = Framed::with_capacity(stream, ServerCodec::new(front.bytes.clone()), INITIAL_BUFFER_SIZE);
         let (state, opened) = (SessionState { waits_since, ..SessionState::default() }, Instant::now());
         Session {
             front,
@@ -124,12 +124,12 @@
             tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0), if !self.owed.0.is_empty() => self.answer(reply).await?,
-                read = next_or_end(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
+                read = read_next_or_close(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
                     match read {
-                        Next::Part => self.part = Some(Instant::now()),
-                        Next::Message(None) => return Ok(client_close::by_client(self.conn)),
-                        Next::Message(Some(Ok(message))) => self.dispatch(message).await,
-                        Next::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
+                        ReadEvent::Partial => self.part = Some(Instant::now()),
+                        ReadEvent::Message(None) => return Ok(client_close::by_client(self.conn)),
+                        ReadEvent::Message(Some(Ok(message))) => self.dispatch(message).await,
+                        ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
                     }
                 }
                 () = begun.as_mut(), if self.phase < Phase::Leaving => self.phase = Phase::Leaving,
@@ -208,7 +208,7 @@
     async fn answer(&mut self, reply: Reply) -> Result<(), WireError> {
         // A client that takes in nothing must not hold its permit for ever.
         put(&mut self.conn, reply, &mut self.owed.0).await?;
-        shrink(&mut self.conn);
+        release_large_buffers(&mut self.conn);
         self.rests = Instant::now();
         if self.state.asked {
             self.state.waits_since = None;
--- a/src/pg/told.rs
+++ b/src/pg/told.rs
@@ -3,7 +3,7 @@
 use super::frames::{Body, Frames, WireError, LONGEST};
 use crate::core::flow;
 use crate::net::budget::{ByteBudget, Share};
-use crate::net::frames::Holds;
+use crate::net::frames::BuffersPartial;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use smallvec::SmallVec;
 use tokio_util::codec::{Decoder, Encoder};
@@ -125,7 +125,7 @@
     }
 }
 
-impl Holds for ClientCodec {}
+impl BuffersPartial for ClientCodec {}
 
 impl Decoder for ClientCodec {
     type Item = Backend;
