--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -123,7 +123,7 @@
         }
         let last_word = async {
             conn.send(reply).await?;
-            crate::net::client_close::drain(conn.into_inner()).await
+            crate::net::client_close::shutdown_and_drain(conn.into_inner()).await
         };
         let _ = tokio::time::timeout(LAST_WORD, last_word).await;
     }
--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -1,15 +1,15 @@
 //! The one place that ends a client's connection, and says why.
 //!
-//! A front can only finish with an [`Ended`], and only this module makes one. A connection between requests is ended when
+//! A front can only finish with an [`ConnectionClosed`], and only this module makes one. A connection between requests is ended when
 //! nothing stands on it that has no answer: neither in its buffer nor in the socket, which the kernel is asked about last.
 //!
 //! | end | what may cross it | what the client has of that |
 //! | --- | --- | --- |
-//! | [`at_rest`], answered before | a request that comes behind the look | left unread: its client sends it again elsewhere |
-//! | [`at_rest`], never answered | its first request | the last word, a refusal, stands for the answer |
-//! | [`after_last_word`], [`after_fault`], [`refuse`] | what comes behind an error that ends all | that error |
-//! | [`announced`] | a request behind a response that said so | left unread |
-//! | [`by_client`] | nothing: the client has gone | |
+//! | [`close_if_idle`], answered before | a request that comes behind the look | left unread: its client sends it again elsewhere |
+//! | [`close_if_idle`], never answered | its first request | the last word, a refusal, stands for the answer |
+//! | [`close_after_last_message`], [`close_with_error`], [`refuse`] | what comes behind an error that ends all | that error |
+//! | [`close_as_announced`] | a request behind a response that said so | left unread |
+//! | [`closed_by_client`] | nothing: the client has gone | |
 
 use super::budget::DescriptorBudget;
 use super::frames::BuffersPartial;
@@ -25,7 +25,7 @@
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
 /// The log's target for what becomes of clients' connections; `client` is the client's port.
-pub const CONNECTION: &str = "connection";
+pub const CONNECTION_LOG: &str = "connection";
 
 /// How long a client may take to take in a last word.
 const LAST_WORD_TIMEOUT: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
 
 /// Why a client's connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndReason {
+pub enum CloseReason {
     /// The client has ended it, or has said that it wants nothing more.
     ClientLeft,
     /// Reading or writing failed, its client takes in nothing, or a value that has begun to flow cannot be finished.
@@ -62,18 +62,18 @@
     Dropped,
 }
 
-impl EndReason {
+impl CloseReason {
     fn counter(self) -> Count {
         match self {
-            EndReason::ClientLeft => Count::closed_by_client,
-            EndReason::Broken => Count::closed_broken,
-            EndReason::Fault => Count::closed_after_fault,
-            EndReason::Silent => Count::closed_silent,
-            EndReason::Idle => Count::closed_idle,
-            EndReason::MadeRoom => Count::closed_to_make_room,
-            EndReason::Shutdown => Count::closed_at_shutdown,
-            EndReason::Refused => Count::closed_refused,
-            EndReason::Dropped => Count::closed_dropped,
+            CloseReason::ClientLeft => Count::closed_by_client,
+            CloseReason::Broken => Count::closed_broken,
+            CloseReason::Fault => Count::closed_after_fault,
+            CloseReason::Silent => Count::closed_silent,
+            CloseReason::Idle => Count::closed_idle,
+            CloseReason::MadeRoom => Count::closed_to_make_room,
+            CloseReason::Shutdown => Count::closed_at_shutdown,
+            CloseReason::Refused => Count::closed_refused,
+            CloseReason::Dropped => Count::closed_dropped,
         }
     }
 }
@@ -81,16 +81,16 @@
 /// Proof that a connection was ended here.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
-pub struct Ended(EndReason);
+pub struct ConnectionClosed(CloseReason);
 
 /// Ends a connection between requests, unless something stands on it: then it has to be served on, nothing is done, and there
-/// is no [`Ended`]. `last_word` is for a client that has had no answer yet. Not cancel safe: dropped half-way, the connection
+/// is no [`ConnectionClosed`]. `last_word` is for a client that has had no answer yet. Not cancel safe: dropped half-way, the connection
 /// is to be dropped too.
-pub async fn at_rest<C, M>(
+pub async fn close_if_idle<C, M>(
     conn: &mut Framed<Socket, C>,
-    reason: EndReason,
+    reason: CloseReason,
     last_word: Option<M>,
-) -> Option<Ended>
+) -> Option<ConnectionClosed>
 where
     C: Decoder + Encoder<M> + BuffersPartial,
 {
@@ -99,18 +99,18 @@
     }
     match conn.get_mut().unread() {
         Unread::Bytes => return None,
-        Unread::End => return Some(Ended(EndReason::ClientLeft)),
+        Unread::End => return Some(ConnectionClosed(CloseReason::ClientLeft)),
         Unread::Nothing => {}
     }
     if let Some(last_word) = last_word {
         say_last(conn, last_word).await;
     }
     linger(conn.get_mut()).await;
-    Some(Ended(reason))
+    Some(ConnectionClosed(reason))
 }
 
 /// Whether something stands on a connection that has no answer: bytes read, or bytes in the socket.
-pub fn holds_unanswered<C: Decoder + BuffersPartial>(conn: &mut Framed<Socket, C>) -> bool {
+pub fn has_unanswered_input<C: Decoder + BuffersPartial>(conn: &mut Framed<Socket, C>) -> bool {
     holds_part(conn) || conn.get_mut().unread() == Unread::Bytes
 }
 
@@ -119,13 +119,13 @@
 }
 
 /// Ends a connection on which an error was said that answers all that may still come, so that the client gets to read it.
-pub async fn after_last_word<C>(conn: Framed<Socket, C>, reason: EndReason) -> Ended {
-    let _ = drain(conn.into_inner()).await;
-    Ended(reason)
+pub async fn close_after_last_message<C>(conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
+    let _ = shutdown_and_drain(conn.into_inner()).await;
+    ConnectionClosed(reason)
 }
 
 /// The same at once: what has come is still read, and nothing is waited for.
-fn at_once_after_last_word<C>(conn: Framed<Socket, C>, reason: EndReason) -> Ended {
+fn close_at_once_after_last_message<C>(conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
     let mut socket = conn.into_inner();
     let _ = socket.shutdown().now_or_never();
     let (mut rest, mut read) = ([0; 4 * 1024], 0);
@@ -135,19 +135,19 @@
             _ => break,
         }
     }
-    Ended(reason)
+    ConnectionClosed(reason)
 }
 
 /// Ends a connection whose last response has said so: what comes behind it is not read.
-pub async fn announced<C>(mut conn: Framed<Socket, C>, reason: EndReason) -> Ended {
+pub async fn close_as_announced<C>(mut conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
     linger(conn.get_mut()).await;
-    Ended(reason)
+    ConnectionClosed(reason)
 }
 
 /// The client has ended its connection.
-pub fn by_client<C>(conn: Framed<Socket, C>) -> Ended {
+pub fn closed_by_client<C>(conn: Framed<Socket, C>) -> ConnectionClosed {
     drop(conn);
-    Ended(EndReason::ClientLeft)
+    ConnectionClosed(CloseReason::ClientLeft)
 }
 
 /// Says a last word to a client that may take in nothing.
@@ -166,7 +166,7 @@
     first_timeout: Duration,
     last_word: M,
     hurried: impl Future<Output = ()>,
-) -> Ended
+) -> ConnectionClosed
 where
     C: Encoder<M>,
 {
@@ -179,22 +179,22 @@
     };
     say_last(&mut conn, last_word).await;
     if hurry {
-        return at_once_after_last_word(conn, EndReason::Refused);
+        return close_at_once_after_last_message(conn, CloseReason::Refused);
     }
     tokio::select! {
-        ended = after_last_word(conn, EndReason::Refused) => ended,
-        () = hurried => Ended(EndReason::Refused),
+        ended = close_after_last_message(conn, CloseReason::Refused) => ended,
+        () = hurried => ConnectionClosed(CloseReason::Refused),
     }
 }
 
 /// Ends a connection on which something came that is no request, or finds no memory, with an error as the last word. That waits
 /// for its turn, if it has one, and the client is left alone sooner where others lack its permit.
-pub async fn after_fault<C, M>(
+pub async fn close_with_error<C, M>(
     mut conn: Framed<Socket, C>,
     last_word: M,
     turn: Option<Duration>,
     clients: &DescriptorBudget,
-) -> Ended
+) -> ConnectionClosed
 where
     C: Encoder<M>,
 {
@@ -207,8 +207,8 @@
     }
     say_last(&mut conn, last_word).await;
     tokio::select! {
-        ended = after_last_word(conn, EndReason::Fault) => ended,
-        () = clients.client_wanted(true, now) => Ended(EndReason::Fault),
+        ended = close_after_last_message(conn, CloseReason::Fault) => ended,
+        () = clients.client_wanted(true, now) => ConnectionClosed(CloseReason::Fault),
     }
 }
 
@@ -225,7 +225,7 @@
 ///
 /// # Errors
 /// When it cannot be ended.
-pub async fn drain<S: AsyncRead + AsyncWrite + Unpin>(mut stream: S) -> std::io::Result<()> {
+pub async fn shutdown_and_drain<S: AsyncRead + AsyncWrite + Unpin>(mut stream: S) -> std::io::Result<()> {
     stream.shutdown().await?;
     let (mut rest, mut read) = (vec![0; 16 * 1024], 0);
     let all = async {
@@ -241,42 +241,42 @@
 }
 
 /// Tells in the log and in the counters why a connection has ended, also where its task ends without a word.
-pub struct EndReport {
+pub struct CloseReport {
     client: u16,
     told: bool,
 }
 
-impl EndReport {
+impl CloseReport {
     /// For the connection of the client with this port.
     pub fn new(client: u16) -> Self {
-        EndReport { client, told: false }
+        CloseReport { client, told: false }
     }
 
     /// The connection has ended.
-    pub fn tell<E: Display>(mut self, ended: &Result<Ended, E>) {
+    pub fn tell<E: Display>(mut self, ended: &Result<ConnectionClosed, E>) {
         let client = self.client;
         let reason = match ended {
-            Ok(Ended(reason)) => *reason,
+            Ok(ConnectionClosed(reason)) => *reason,
             Err(e) => {
-                log::debug!(target: CONNECTION, client; "broken: {e}");
-                EndReason::Broken
+                log::debug!(target: CONNECTION_LOG, client; "broken: {e}");
+                CloseReason::Broken
             }
         };
         self.say(reason);
     }
 
-    fn say(&mut self, reason: EndReason) {
+    fn say(&mut self, reason: CloseReason) {
         self.told = true;
         count(Count::connections_closed);
         count(reason.counter());
-        log::debug!(target: CONNECTION, client = self.client, reason:? = reason; "closed");
+        log::debug!(target: CONNECTION_LOG, client = self.client, reason:? = reason; "closed");
     }
 }
 
-impl Drop for EndReport {
+impl Drop for CloseReport {
     fn drop(&mut self) {
         if !self.told {
-            self.say(EndReason::Dropped);
+            self.say(CloseReason::Dropped);
         }
     }
 }
--- a/src/net/client_close_tests.rs
+++ b/src/net/client_close_tests.rs
@@ -59,14 +59,14 @@
 /// The runtime has heard of nothing: the bytes came since it last looked.
 #[test]
 fn a_connection_is_not_ended_while_a_request_stands_in_its_socket() {
-    for reason in [EndReason::Idle, EndReason::Silent, EndReason::MadeRoom, EndReason::Shutdown] {
+    for reason in [CloseReason::Idle, CloseReason::Silent, CloseReason::MadeRoom, CloseReason::Shutdown] {
         run(|mut client, mut conn| async move {
             client.write_all(b"first.").expect("sent");
-            assert_eq!(at_rest(&mut conn, reason, NONE).await, None, "{reason:?}");
+            assert_eq!(close_if_idle(&mut conn, reason, NONE).await, None, "{reason:?}");
             assert_eq!(sentence(&mut conn).await, b"first."[..], "{reason:?}");
             conn.send(Bytes::from_static(b"answer.")).await.expect("written");
             let hears = hears(client.try_clone().expect("a copy"));
-            assert_eq!(at_rest(&mut conn, reason, NONE).await, Some(Ended(reason)));
+            assert_eq!(close_if_idle(&mut conn, reason, NONE).await, Some(ConnectionClosed(reason)));
             drop(conn);
             assert_eq!(hears.join().expect("no panic").expect("no reset"), "answer.");
         });
@@ -78,13 +78,13 @@
     run(|mut client, mut conn| async move {
         client.write_all(b"first.sec").expect("sent");
         sentence(&mut conn).await;
-        assert_eq!(at_rest(&mut conn, EndReason::Idle, NONE).await, None);
-        assert!(holds_unanswered(&mut conn));
+        assert_eq!(close_if_idle(&mut conn, CloseReason::Idle, NONE).await, None);
+        assert!(has_unanswered_input(&mut conn));
         client.write_all(b"ond.third.").expect("sent");
         assert_eq!(sentence(&mut conn).await, b"second."[..]);
-        assert_eq!(at_rest(&mut conn, EndReason::Shutdown, NONE).await, None);
+        assert_eq!(close_if_idle(&mut conn, CloseReason::Shutdown, NONE).await, None);
         assert_eq!(sentence(&mut conn).await, b"third."[..]);
-        assert!(!holds_unanswered(&mut conn));
+        assert!(!has_unanswered_input(&mut conn));
     });
 }
 
@@ -104,7 +104,7 @@
                 got
             }
         });
-        assert_eq!(at_rest(&mut conn, EndReason::Idle, NONE).await, Some(Ended(EndReason::Idle)));
+        assert_eq!(close_if_idle(&mut conn, CloseReason::Idle, NONE).await, Some(ConnectionClosed(CloseReason::Idle)));
         assert_eq!(crosses.join().expect("no panic"), "the last answer");
         assert!(conn.read_buffer().is_empty(), "what crosses the end is not read");
         assert_eq!(conn.get_mut().unread(), Unread::Bytes, "it still stands in the socket");
@@ -117,10 +117,10 @@
     run(|mut client, mut conn| async move {
         let hears = hears(client.try_clone().expect("a copy"));
         let last_word = Some(Bytes::from_static(b"refused."));
-        let ended = at_rest(&mut conn, EndReason::Silent, last_word).await;
+        let ended = close_if_idle(&mut conn, CloseReason::Silent, last_word).await;
         let _ = client.write_all(b"crossing.");
         drop(conn);
-        assert_eq!(ended, Some(Ended(EndReason::Silent)));
+        assert_eq!(ended, Some(ConnectionClosed(CloseReason::Silent)));
         assert_eq!(hears.join().expect("no panic").expect("no reset"), "refused.");
     });
 }
@@ -133,10 +133,10 @@
             say_last(&mut conn, Bytes::from_static(b"refused.")).await;
             let hears = hears(client);
             let ended = match at_once {
-                true => at_once_after_last_word(conn, EndReason::Refused),
-                false => after_last_word(conn, EndReason::Fault).await,
+                true => close_at_once_after_last_message(conn, CloseReason::Refused),
+                false => close_after_last_message(conn, CloseReason::Fault).await,
             };
-            assert_ne!(ended, Ended(EndReason::ClientLeft));
+            assert_ne!(ended, ConnectionClosed(CloseReason::ClientLeft));
             assert_eq!(hears.join().expect("no panic").expect("no reset"), "refused.", "at once: {at_once}");
         });
     }
@@ -146,8 +146,8 @@
 fn a_client_that_has_gone_has_ended_the_connection_itself() {
     run(|client, mut conn| async move {
         drop(client);
-        let ended = at_rest(&mut conn, EndReason::Idle, NONE).await;
-        assert_eq!(ended, Some(Ended(EndReason::ClientLeft)));
+        let ended = close_if_idle(&mut conn, CloseReason::Idle, NONE).await;
+        assert_eq!(ended, Some(ConnectionClosed(CloseReason::ClientLeft)));
     });
 }
 
@@ -155,8 +155,8 @@
 fn an_end_without_a_word_is_told_as_one() {
     use crate::core::counters::counted;
     let before = counted(Count::closed_dropped);
-    drop(EndReport::new(1));
+    drop(CloseReport::new(1));
     assert_eq!(counted(Count::closed_dropped), before + 1);
-    EndReport::new(2).tell::<std::io::Error>(&Ok(Ended(EndReason::Idle)));
+    CloseReport::new(2).tell::<std::io::Error>(&Ok(ConnectionClosed(CloseReason::Idle)));
     assert_eq!(counted(Count::closed_dropped), before + 1);
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,7 +1,7 @@
 //! Accepting clients, for whichever front, and how far the process is with its start and its end.
 
 use super::budget::DescriptorBudget;
-use super::client_close::{EndReason, EndReport, Ended, CONNECTION};
+use super::client_close::{CloseReason, CloseReport, ConnectionClosed, CONNECTION_LOG};
 use super::accept_queue::{ClientQueue, Listener};
 use super::stall;
 use super::socket::Socket;
@@ -89,10 +89,10 @@
 
 impl Refusal {
     /// What a client is told that was never answered when its connection ends for this reason.
-    pub fn at_end(reason: EndReason) -> Self {
+    pub fn for_close(reason: CloseReason) -> Self {
         match reason {
-            EndReason::MadeRoom => Refusal::NoPermit,
-            EndReason::Shutdown => Refusal::Ending,
+            CloseReason::MadeRoom => Refusal::NoPermit,
+            CloseReason::Shutdown => Refusal::Ending,
             _ => Refusal::Silent,
         }
     }
@@ -130,7 +130,7 @@
         came: Instant,
         stream: Socket,
         closing: Closing,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send + 'static;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 
     /// Refuses one: the last word on its connection. Once `hurried` it waits for nothing any more.
     fn refuse(
@@ -138,7 +138,7 @@
         stream: Socket,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send + 'static,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send + 'static;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 }
 
 /// A listener and what its clients need. Nobody who comes waits behind another: without a permit he has a task of his own, on a
@@ -201,7 +201,7 @@
         let stream = Socket::new(stream);
         if let Some(permit) = self.clients.try_permit() {
             count(self.counter);
-            log::debug!(target: CONNECTION, client; "accepted");
+            log::debug!(target: CONNECTION_LOG, client; "accepted");
             tokio::spawn(reported(client, permit, self.serves.serve(came, stream, closing.clone())));
             return;
         }
@@ -217,7 +217,7 @@
                 () = &mut hurried => None,
             };
             let Some(permit) = permit else {
-                log::debug!(target: CONNECTION, client; "refused, as no permit came free");
+                log::debug!(target: CONNECTION_LOG, client; "refused, as no permit came free");
                 let hurry = async move {
                     if !hurried.is_terminated() {
                         hurried.await;
@@ -228,7 +228,7 @@
             };
             drop(refusal_permit);
             count(counter);
-            log::debug!(target: CONNECTION, client; "accepted, with a permit that came free");
+            log::debug!(target: CONNECTION_LOG, client; "accepted, with a permit that came free");
             reported(client, permit, serves.serve(came, stream, closing)).await;
         });
     }
@@ -242,7 +242,7 @@
         };
         let Some(permit) = permit else { return };
         let client = peer.port();
-        log::debug!(target: CONNECTION, client; "refused, as the process ends");
+        log::debug!(target: CONNECTION_LOG, client; "refused, as the process ends");
         let budget = self.clients.clone();
         let hurried = async move { budget.refusal_wanted().await };
         let refused = self.serves.refuse(Socket::new(stream), Refusal::Ending, hurried);
@@ -259,9 +259,9 @@
 async fn reported<E: Display>(
     client: u16,
     permit: OwnedSemaphorePermit,
-    served: impl Future<Output = Result<Ended, E>>,
+    served: impl Future<Output = Result<ConnectionClosed, E>>,
 ) {
-    let report = EndReport::new(client);
+    let report = CloseReport::new(client);
     report.tell(&served.await);
     drop(permit);
 }
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -21,7 +21,7 @@
         _: Instant,
         stream: Socket,
         _: Closing,
-    ) -> impl Future<Output = Result<Ended, Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<ConnectionClosed, Error>> + Send + 'static {
         answer(stream, b"!")
     }
 
@@ -30,16 +30,16 @@
         stream: Socket,
         _: Refusal,
         _: impl Future<Output = ()>,
-    ) -> impl Future<Output = Result<Ended, Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<ConnectionClosed, Error>> + Send + 'static {
         answer(stream, b"#")
     }
 }
 
-async fn answer(stream: Socket, with: &'static [u8]) -> Result<Ended, Error> {
+async fn answer(stream: Socket, with: &'static [u8]) -> Result<ConnectionClosed, Error> {
     let mut conn = Framed::new(stream, BytesCodec::new());
     conn.next().await.expect("a byte")?;
     conn.send(Bytes::from_static(with)).await?;
-    Ok(client_close::after_last_word(conn, EndReason::ClientLeft).await)
+    Ok(client_close::close_after_last_message(conn, CloseReason::ClientLeft).await)
 }
 
 /// What accept(2) may fail with for a moment.
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -2,7 +2,7 @@
 //! answer in time, from the front itself or, where the rest of the start takes long, a refusal.
 
 use super::budget::{Budget, ByteBudget};
-use super::client_close::Ended;
+use super::client_close::ConnectionClosed;
 use super::listen::{self, Acceptor, Closing, Refusal, Serves};
 use super::transient;
 use super::socket::Socket;
@@ -30,7 +30,7 @@
         waits_since: Option<Instant>,
         stream: Socket,
         closing: Closing,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 
     /// Refuses a client: the last word on its connection. Once `hurried` it waits for nothing any more.
     fn refuse(
@@ -38,7 +38,7 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 }
 
 /// A client that came so long ago has not been read at once.
@@ -89,7 +89,7 @@
         came: Instant,
         stream: Socket,
         closing: Closing,
-    ) -> impl Future<Output = Result<Ended, F::Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         let (gate, bytes) = (self.gate.clone(), self.bytes.clone());
         // What is read at once has not waited; what is read later may have come right behind the connection.
         let waited = !gate.is_open() || came.elapsed() >= AT_ONCE;
@@ -107,7 +107,7 @@
         stream: Socket,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send + 'static,
-    ) -> impl Future<Output = Result<Ended, F::Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         F::refuse(stream, self.bytes.clone(), why, hurried)
     }
 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -12,7 +12,7 @@
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{Budget, ByteBudget, Pace};
-use crate::net::client_close::{self, Ended};
+use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
@@ -59,7 +59,7 @@
         waits_since: Option<std::time::Instant>,
         stream: Socket,
         closing: Closing,
-    ) -> Result<Ended, HttpError> {
+    ) -> Result<ConnectionClosed, HttpError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -68,7 +68,7 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<Ended, HttpError> {
+    ) -> Result<ConnectionClosed, HttpError> {
         why.count();
         let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
         Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -14,7 +14,7 @@
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
 use crate::net::budget::QUIET_MIN;
-use crate::net::client_close::{self, EndReason, Ended};
+use crate::net::client_close::{self, CloseReason, ConnectionClosed};
 use crate::net::frames::{read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
 use crate::net::listen::{closed, Closing, Phase, Refusal};
@@ -49,7 +49,7 @@
     /// The client has ended its connection.
     Left,
     /// A reason to end the connection.
-    Ends(EndReason),
+    Ends(CloseReason),
 }
 
 /// What has come of a request, and of what was read behind it.
@@ -89,7 +89,7 @@
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, HttpError> {
+    pub(super) async fn run(mut self, mut closing: Closing) -> Result<ConnectionClosed, HttpError> {
         loop {
             let request = match self.wait(&mut closing).await {
                 Waited::Came(Incoming::Request(request)) => request,
@@ -103,11 +103,11 @@
                     continue;
                 }
                 Waited::Fault(fault) => return Box::pin(self.end_with(fault)).await,
-                Waited::Left => return Ok(client_close::by_client(self.conn)),
+                Waited::Left => return Ok(client_close::closed_by_client(self.conn)),
                 Waited::Ends(reason) => match end_at_rest(&mut self.conn, reason, self.asked).await {
                     Some(ended) => return Ok(ended),
                     None => {
-                        if reason == EndReason::MadeRoom {
+                        if reason == CloseReason::MadeRoom {
                             self.front.budget.clients.ask_for_room();
                         }
                         continue;
@@ -116,12 +116,12 @@
             };
             (self.part, self.asked) = (false, true);
             let Some(Answered { mut response, broken }) = self.answer(&request).await? else {
-                return Ok(client_close::by_client(self.conn));
+                return Ok(client_close::closed_by_client(self.conn));
             };
             let ends = *closing.borrow() >= Phase::Leaving
                 && self.ahead.is_empty()
                 && broken.is_none()
-                && !client_close::holds_unanswered(&mut self.conn);
+                && !client_close::has_unanswered_input(&mut self.conn);
             response.closes = request.closes || ends;
             let closes = response.closes;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
@@ -129,8 +129,8 @@
                 Err(_) => return Err(HttpError::Io(ErrorKind::TimedOut.into())),
             }
             if closes {
-                let reason = if ends { EndReason::Shutdown } else { EndReason::ClientLeft };
-                return Ok(Box::pin(client_close::announced(self.conn, reason)).await);
+                let reason = if ends { CloseReason::Shutdown } else { CloseReason::ClientLeft };
+                return Ok(Box::pin(client_close::close_as_announced(self.conn, reason)).await);
             }
             if let Some(fault) = broken {
                 return Box::pin(self.end_with(fault)).await;
@@ -160,11 +160,11 @@
                 ReadEvent::Message(None) => Waited::Left,
                 ReadEvent::Partial => Waited::Part,
             },
-            () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(EndReason::Shutdown),
-            () = self.front.budget.clients.client_wanted(!asked, rests), if !part => Waited::Ends(EndReason::MadeRoom),
+            () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(CloseReason::Shutdown),
+            () = self.front.budget.clients.client_wanted(!asked, rests), if !part => Waited::Ends(CloseReason::MadeRoom),
             () = tokio::time::sleep_until(self.until) => match part {
                 true => Waited::Fault(HttpError::Unfinished),
-                false => Waited::Ends(if asked { EndReason::Idle } else { EndReason::Silent }),
+                false => Waited::Ends(if asked { CloseReason::Idle } else { CloseReason::Silent }),
             },
         }
     }
@@ -195,7 +195,7 @@
 
     /// Answers what could not be read, in its turn, and ends the connection: where the next request starts is not
     /// known.
-    async fn end_with(self, error: HttpError) -> Result<Ended, HttpError> {
+    async fn end_with(self, error: HttpError) -> Result<ConnectionClosed, HttpError> {
         let no_room = matches!(error, HttpError::NoRoom);
         let fault = match error {
             HttpError::Io(_) => return Err(error),
@@ -209,7 +209,7 @@
         let Front { budget, pace, clock, .. } = &*self.front;
         // A sound request that finds no room is refused at once.
         let turn = (!no_room).then(|| pace.turn(clock.now()));
-        Ok(client_close::after_fault(self.conn, response, turn, &budget.clients).await)
+        Ok(client_close::close_with_error(self.conn, response, turn, &budget.clients).await)
     }
 }
 
@@ -222,9 +222,9 @@
 }
 
 /// Ends a connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-async fn end_at_rest(conn: &mut Conn, reason: EndReason, asked: bool) -> Option<Ended> {
-    let last_word = (!asked).then(|| last_refusal(Refusal::at_end(reason)));
-    client_close::at_rest(conn, reason, last_word).await
+async fn end_at_rest(conn: &mut Conn, reason: CloseReason, asked: bool) -> Option<ConnectionClosed> {
+    let last_word = (!asked).then(|| last_refusal(Refusal::for_close(reason)));
+    client_close::close_if_idle(conn, reason, last_word).await
 }
 
 /// A refusal behind which the connection ends.
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -6,7 +6,7 @@
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
-use crate::net::client_close::{self, Ended};
+use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::INITIAL_BUFFER_SIZE;
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
@@ -52,7 +52,7 @@
         waits_since: Option<std::time::Instant>,
         stream: Socket,
         closing: Closing,
-    ) -> Result<Ended, WireError> {
+    ) -> Result<ConnectionClosed, WireError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -61,7 +61,7 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<Ended, WireError> {
+    ) -> Result<ConnectionClosed, WireError> {
         why.count();
         let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), INITIAL_BUFFER_SIZE);
         Ok(client_close::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
--- a/src/pg/replies.rs
+++ b/src/pg/replies.rs
@@ -6,7 +6,7 @@
 use crate::core::counters::{add, Count};
 use crate::core::flow::Chunk;
 use crate::core::{Pending, Value};
-use crate::net::client_close::CONNECTION;
+use crate::net::client_close::CONNECTION_LOG;
 use bytes::{Buf, BytesMut};
 use futures_util::{FutureExt, SinkExt};
 use std::collections::VecDeque;
@@ -51,7 +51,7 @@
         let waiting = self.0.iter().filter(|reply| matches!(reply, PendingReply::Waiting(..))).count();
         if waiting > 0 {
             add(Count::pg_unanswered, waiting as u64);
-            log::debug!(target: CONNECTION, requests = waiting; "ended before their answers");
+            log::debug!(target: CONNECTION_LOG, requests = waiting; "ended before their answers");
         }
     }
 }
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -16,7 +16,7 @@
 use crate::core::counters::{count, Count};
 use crate::interface::*;
 use crate::net::budget::QUIET_MIN;
-use crate::net::client_close::{self, EndReason, Ended, CONNECTION};
+use crate::net::client_close::{self, CloseReason, ConnectionClosed, CONNECTION_LOG};
 use crate::net::frames::{read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
 use crate::net::listen::{reached, Closing, Phase, Refusal};
@@ -95,7 +95,7 @@
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, WireError> {
+    pub(super) async fn run(mut self, mut closing: Closing) -> Result<ConnectionClosed, WireError> {
         self.phase = *closing.borrow();
         self.leaving = self.phase >= Phase::Closing;
         // Set anew with each step of the end: first connections end with their next answer, then between requests.
@@ -107,7 +107,7 @@
         loop {
             if let Some(reason) = self.ends_now() {
                 if self.goodbye {
-                    return Ok(Box::pin(client_close::after_last_word(self.conn, reason)).await);
+                    return Ok(Box::pin(client_close::close_after_last_message(self.conn, reason)).await);
                 }
                 if let Some(ended) = self.end_at_rest(reason).await {
                     return Ok(ended);
@@ -127,7 +127,7 @@
                 read = read_next_or_close(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
                     match read {
                         ReadEvent::Partial => self.part = Some(Instant::now()),
-                        ReadEvent::Message(None) => return Ok(client_close::by_client(self.conn)),
+                        ReadEvent::Message(None) => return Ok(client_close::closed_by_client(self.conn)),
                         ReadEvent::Message(Some(Ok(message))) => self.dispatch(message).await,
                         ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
                     }
@@ -138,7 +138,7 @@
                 }
                 // Others lack a permit, or too many rest: this one is between requests and has been for longest.
                 () = self.front.clients.client_wanted(!self.state.sound, self.rests), if at_rest => {
-                    if let Some(ended) = self.end_at_rest(EndReason::MadeRoom).await {
+                    if let Some(ended) = self.end_at_rest(CloseReason::MadeRoom).await {
                         return Ok(ended);
                     }
                     self.front.clients.ask_for_room();
@@ -150,7 +150,7 @@
                     Some(_) => return Box::pin(self.end_with(WireError::Unfinished)).await,
                     None if self.ends_now().is_some() => {}
                     None => {
-                        let reason = if self.state.asked { EndReason::Idle } else { EndReason::Silent };
+                        let reason = if self.state.asked { CloseReason::Idle } else { CloseReason::Silent };
                         if let Some(ended) = self.end_at_rest(reason).await {
                             return Ok(ended);
                         }
@@ -172,13 +172,13 @@
     }
 
     /// Why the connection is to end, if it is to end now.
-    fn ends_now(&self) -> Option<EndReason> {
+    fn ends_now(&self) -> Option<CloseReason> {
         match () {
             () if !self.at_rest() => None,
-            () if self.goodbye => Some(EndReason::ClientLeft),
+            () if self.goodbye => Some(CloseReason::ClientLeft),
             // The first request of a new client may be on its way.
             () if self.leaving && (self.state.asked || Instant::now() >= self.rests + QUIET_MIN) => {
-                Some(EndReason::Shutdown)
+                Some(CloseReason::Shutdown)
             }
             () => None,
         }
@@ -199,9 +199,9 @@
     }
 
     /// Ends the connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-    async fn end_at_rest(&mut self, reason: EndReason) -> Option<Ended> {
-        let last_word = (!self.state.asked).then(|| last_refusal(Refusal::at_end(reason)));
-        client_close::at_rest(&mut self.conn, reason, last_word).await
+    async fn end_at_rest(&mut self, reason: CloseReason) -> Option<ConnectionClosed> {
+        let last_word = (!self.state.asked).then(|| last_refusal(Refusal::for_close(reason)));
+        client_close::close_if_idle(&mut self.conn, reason, last_word).await
     }
 
     /// Sends an answer, and those behind it that are due already.
@@ -261,7 +261,7 @@
             _ => return None,
         };
         if text.trim_ascii().is_empty() {
-            log::debug!(target: CONNECTION, client = self.conn.get_ref().port(); "empty query");
+            log::debug!(target: CONNECTION_LOG, client = self.conn.get_ref().port(); "empty query");
             self.state.sound = true;
             return Some(PendingReply::Ready(Reply::Empty));
         }
@@ -280,7 +280,7 @@
                 let client = self.conn.get_ref();
                 request.deadline = front.answer_limit.cap(request.deadline.saturating_sub(DEADLINE_MARGIN));
                 request.client = Some(client.presence());
-                log::debug!(target: CONNECTION, client = client.port(), name:? = request.name; "request read");
+                log::debug!(target: CONNECTION_LOG, client = client.port(), name:? = request.name; "request read");
                 let write = request.terms.classes[request.class].need == Need::Write;
                 PendingReply::Waiting(front.core.submit(request).await, write)
             }
@@ -303,12 +303,12 @@
 
     /// The next message cannot be found any more: what was asked before is answered, to a client that is still there, then comes
     /// an error, and the end.
-    async fn end_with(mut self, fault: WireError) -> Result<Ended, WireError> {
+    async fn end_with(mut self, fault: WireError) -> Result<ConnectionClosed, WireError> {
         while !self.owed.0.is_empty() {
             let reply = tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0) => reply,
-                () = self.conn.get_mut().ended() => return Ok(client_close::by_client(self.conn)),
+                () = self.conn.get_mut().ended() => return Ok(client_close::closed_by_client(self.conn)),
             };
             put(&mut self.conn, reply, &mut self.owed.0).await?;
         }
@@ -320,12 +320,12 @@
             WireError::NoRoom => ("53300", Count::pg_no_room),
         };
         count(counter);
-        log::debug!(target: CONNECTION, "closed with an error: {fault}");
+        log::debug!(target: CONNECTION_LOG, "closed with an error: {fault}");
         let message = Bytes::from(fault.to_string());
         let last_word = Reply::Error { after: After::End, code, message, detail: None };
         // A sound request that finds no room is refused at once.
         let turn = (!matches!(fault, WireError::NoRoom)).then(|| self.turn());
-        Ok(client_close::after_fault(self.conn, last_word, turn, &self.front.clients).await)
+        Ok(client_close::close_with_error(self.conn, last_word, turn, &self.front.clients).await)
     }
 }
 
