--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -10,7 +10,7 @@
 use crate::core::counters::{count, Count};
 use crate::core::{Order, Readiness};
 use crate::handover::ControlHandle;
-use crate::net::listen::{Closing, Phase};
+use crate::net::listen::{PhaseReceiver, ProcessPhase};
 use crate::net::socket::Socket;
 use crate::parley::{self, Ask};
 use crate::phases;
@@ -41,7 +41,7 @@
 #[derive(Clone)]
 pub struct Console {
     control: ControlHandle,
-    phase: Closing,
+    phase: PhaseReceiver,
     /// The configuration was not to be read, and a stored one holds.
     stored: Arc<AtomicBool>,
     /// Where the proxies of a fleet agree.
@@ -58,7 +58,7 @@
     /// One that hands its calls to the control.
     pub fn new(
         control: ControlHandle,
-        phase: Closing,
+        phase: PhaseReceiver,
         stored: Arc<AtomicBool>,
         fleet: Option<mpsc::Sender<parley::Call>>,
     ) -> Self {
@@ -179,9 +179,9 @@
         tokio::time::sleep(SIGNALS_HEARD).await;
         let phase = *self.phase.borrow();
         match phase {
-            Phase::Starting => return Reply::No("starting: clients are not taken yet".to_string()),
-            Phase::Leaving | Phase::Closing | Phase::Ended => return Reply::No("ending".to_string()),
-            Phase::Serving => {}
+            ProcessPhase::Starting => return Reply::No("starting: clients are not taken yet".to_string()),
+            ProcessPhase::HandingOver | ProcessPhase::Closing | ProcessPhase::Ended => return Reply::No("ending".to_string()),
+            ProcessPhase::Serving => {}
         }
         match self.control.request(Order::Ready).await {
             Some(Readiness::Ready) if self.stored.load(Ordering::Relaxed) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,13 +21,13 @@
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::Held;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::client_listeners::Accepting;
+use linentrail::net::client_listeners::ClientListeners;
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, Pace};
 use linentrail::net::discovery::{Discovery, Lists, Service};
 use linentrail::net::member_actors::MemberActors;
 use linentrail::net::stall;
-use linentrail::net::listen::Phase;
+use linentrail::net::listen::ProcessPhase;
 use linentrail::net::transient;
 use linentrail::net::startup::{self, ClientListener};
 use linentrail::operators::agreement::OnLapse;
@@ -135,8 +135,8 @@
     log::info!("clients can connect {} us after the start", began.elapsed().as_micros());
     let file = operators::load()?;
     let loaded = config::load();
-    let (phase, closing) = watch::channel(Phase::Starting);
-    let mut accepting = Accepting::new(began, closing.clone());
+    let (phase, closing) = watch::channel(ProcessPhase::Starting);
+    let mut accepting = ClientListeners::new(began, closing.clone());
     let (mut pg_address, mut odata_address) = (None, None);
     let early_budget = loaded.as_ref().ok().map(|(told, ..)| Budget::new(told.sockets, told.memory));
     let odata_listener = match file.odata.enabled {
@@ -149,12 +149,12 @@
     let (mut pg_waits, mut odata_waits) = (early, odata_listener);
     if let (Some(budget), None) = (&early_budget, &handed) {
         if let Some(listener) =
-            pg_waits.take_if(|l| loaded.as_ref().is_ok_and(|(told, ..)| l.fits(&told.listen)))
+            pg_waits.take_if(|l| loaded.as_ref().is_ok_and(|(told, ..)| l.has_address(&told.listen)))
         {
-            pg_address = accepting.take(listener.into_inner(), PG, budget, pg_gate.clone());
+            pg_address = accepting.add(listener.into_inner(), PG, budget, pg_gate.clone());
         }
         if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.take(listener, ODATA, budget, odata_gate.clone());
+            odata_address = accepting.add(listener, ODATA, budget, odata_gate.clone());
         }
     }
     let store_file = file.store.clone();
@@ -298,11 +298,11 @@
         answer_limit: answer_limit.clone(),
     }));
     if pg_address.is_none() {
-        let listener = match pg_waits.take().filter(|l| l.fits(&told.listen)) {
+        let listener = match pg_waits.take().filter(|l| l.has_address(&told.listen)) {
             Some(listener) => listener,
             None => bind_clients(handed.as_deref(), &told.listen).await?,
         };
-        pg_address = accepting.take(listener.into_inner(), PG, &budget, pg_gate);
+        pg_address = accepting.add(listener.into_inner(), PG, &budget, pg_gate);
     }
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
@@ -311,11 +311,11 @@
         let front = odata::front::Front::new(core, bookings, terms, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.take(listener, ODATA, &budget, odata_gate);
+            odata_address = accepting.add(listener, ODATA, &budget, odata_gate);
         }
         log::info!("serving OData at {}", odata_address.ok_or("OData has no address")?);
     }
-    let _ = phase.send(Phase::Serving);
+    let _ = phase.send(ProcessPhase::Serving);
     loop {
         tokio::select! {
             _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::line(), meter::line())),
--- a/src/net/accept_queue.rs
+++ b/src/net/accept_queue.rs
@@ -1,6 +1,6 @@
 //! The queue of a listening socket: its clients are taken one by one, and a failure of accept(2) passes over none of them.
 
-use super::listen::{reached, Closing, Phase};
+use super::listen::{wait_for_phase, PhaseReceiver, ProcessPhase};
 use crate::core::counters::{count, counted, Count};
 use socket2::SockRef;
 use std::future::Future;
@@ -60,10 +60,10 @@
     }
 
     /// The next client, once there is one; none once the process has reached `phase`. Cancel safe.
-    pub async fn next_until(&self, closing: &mut Closing, phase: Phase) -> Option<(TcpStream, SocketAddr)> {
+    pub async fn next_until(&self, closing: &mut PhaseReceiver, phase: ProcessPhase) -> Option<(TcpStream, SocketAddr)> {
         tokio::select! {
             biased;
-            () = reached(closing, phase) => None,
+            () = wait_for_phase(closing, phase) => None,
             client = self.next() => Some(client),
         }
     }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -23,13 +23,13 @@
 
 /// How far the process is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ProcessPhase {
     /// Clients are not taken yet.
     Starting,
     /// Clients are taken.
     Serving,
     /// Another process takes the clients; each connection here ends with its next answer.
-    Leaving,
+    HandingOver,
     /// Connections end between requests.
     Closing,
     /// Nobody is taken any more, not even to be refused.
@@ -37,16 +37,16 @@
 }
 
 /// Tells how far the process is.
-pub type Closing = watch::Receiver<Phase>;
+pub type PhaseReceiver = watch::Receiver<ProcessPhase>;
 
 /// Waits until the process is so far.
-pub async fn reached(closing: &mut Closing, phase: Phase) {
+pub async fn wait_for_phase(closing: &mut PhaseReceiver, phase: ProcessPhase) {
     let _ = closing.wait_for(|c| *c >= phase).await;
 }
 
 /// Waits until connections are to end.
-pub async fn closed(closing: &mut Closing) {
-    reached(closing, Phase::Closing).await;
+pub async fn wait_for_closing(closing: &mut PhaseReceiver) {
+    wait_for_phase(closing, ProcessPhase::Closing).await;
 }
 
 /// The listener that the platform holds open for this proxy and every process of it inherits. It is never shut down
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// When the descriptor is no listening TCP socket.
-pub fn inherited(descriptor: &str) -> Result<TcpListener, Error> {
+pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, Error> {
     let wrong = |what: &str| Error::new(ErrorKind::InvalidInput, format!("descriptor '{descriptor}' {what}"));
     let number: u32 = descriptor.parse().map_err(|_| wrong("is no number"))?;
     if number < 3 {
@@ -129,7 +129,7 @@
         &self,
         came: Instant,
         stream: Socket,
-        closing: Closing,
+        closing: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 
     /// Refuses one: the last word on its connection. Once `hurried` it waits for nothing any more.
@@ -161,22 +161,22 @@
     /// Accepts clients until the end begins. Those that the machine has accepted by then and nobody has taken yet are taken as
     /// well: a listener let go of resets them. What comes back is for [`Acceptor::refuse_all`], where no other process takes the
     /// clients.
-    pub async fn accept_all(self, mut closing: Closing) -> Option<Self> {
+    pub async fn accept_all(self, mut closing: PhaseReceiver) -> Option<Self> {
         // Those that stand in the queue already may have come as soon as the listener was bound.
         loop {
             let queued = tokio::select! {
                 biased;
-                () = reached(&mut closing, Phase::Leaving) => None,
+                () = wait_for_phase(&mut closing, ProcessPhase::HandingOver) => None,
                 queued = self.queue.next_queued() => queued,
             };
             let Some((stream, peer)) = queued else { break };
             self.admit(self.bound, stream, peer, &closing).await;
         }
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, Phase::Leaving).await {
+        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::HandingOver).await {
             self.admit(came(), stream, peer, &closing).await;
         }
         // While the next process takes clients from the same listener, they are that one's.
-        if *closing.borrow() < Phase::Closing {
+        if *closing.borrow() < ProcessPhase::Closing {
             return None;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
@@ -186,8 +186,8 @@
     }
 
     /// Refuses whoever comes still, up to the end of the process.
-    pub async fn refuse_all(self, mut closing: Closing) {
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, Phase::Ended).await {
+    pub async fn refuse_all(self, mut closing: PhaseReceiver) {
+        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::Ended).await {
             self.turn_away(stream, peer).await;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
@@ -196,7 +196,7 @@
     }
 
     /// Has a client served who may have come at this moment: at once, or once there is a permit; else refused.
-    async fn admit(&self, came: Instant, stream: TcpStream, peer: SocketAddr, closing: &Closing) {
+    async fn admit(&self, came: Instant, stream: TcpStream, peer: SocketAddr, closing: &PhaseReceiver) {
         let client = peer.port();
         let stream = Socket::new(stream);
         if let Some(permit) = self.clients.try_permit() {
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -20,7 +20,7 @@
         &self,
         _: Instant,
         stream: Socket,
-        _: Closing,
+        _: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, Error>> + Send + 'static {
         answer(stream, b"!")
     }
@@ -77,8 +77,8 @@
 /// What clients that stand in the backlog get from an acceptor whose accept fails in these calls.
 fn backlog_gets<F: Future<Output = ()>>(
     fails: fn(usize) -> bool,
-    phase: Phase,
-    accept: impl FnOnce(Acceptor<Echo, Failing>, watch::Sender<Phase>, Closing) -> F,
+    phase: ProcessPhase,
+    accept: impl FnOnce(Acceptor<Echo, Failing>, watch::Sender<ProcessPhase>, PhaseReceiver) -> F,
 ) -> Vec<std::io::Result<String>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -107,23 +107,23 @@
 }
 
 /// Takes clients up to the end.
-async fn accept_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<Phase>, closing: Closing) {
+async fn accept_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<ProcessPhase>, closing: PhaseReceiver) {
     drop(acceptor.accept_all(closing).await);
 }
 
 /// Refuses clients up to the end.
-async fn refuse_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<Phase>, closing: Closing) {
+async fn refuse_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<ProcessPhase>, closing: PhaseReceiver) {
     acceptor.refuse_all(closing).await;
 }
 
 /// Takes clients up to the end, and then refuses the others.
 async fn accept_and_refuse_all(
     acceptor: Acceptor<Echo, Failing>,
-    told: watch::Sender<Phase>,
-    closing: Closing,
+    told: watch::Sender<ProcessPhase>,
+    closing: PhaseReceiver,
 ) {
     let acceptor = acceptor.accept_all(closing.clone()).await.expect("no other process takes the clients");
-    told.send_replace(Phase::Ended);
+    told.send_replace(ProcessPhase::Ended);
     acceptor.refuse_all(closing).await;
 }
 
@@ -138,38 +138,38 @@
 
 #[test]
 fn clients_in_the_backlog_are_served_when_the_end_begins() {
-    let got = backlog_gets(never, Phase::Closing, accept_all);
+    let got = backlog_gets(never, ProcessPhase::Closing, accept_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "!")), "{got:?}");
 }
 
 #[test]
 fn clients_in_the_backlog_are_left_to_the_process_that_takes_over() {
     // Here nobody does, and the listener goes with this process.
-    let got = backlog_gets(never, Phase::Leaving, accept_all);
+    let got = backlog_gets(never, ProcessPhase::HandingOver, accept_all);
     assert!(got.iter().all(|g| g.as_ref().map_or(true, String::is_empty)), "{got:?}");
 }
 
 #[test]
 fn clients_in_the_backlog_are_served_when_the_end_begins_though_accept_fails_for_a_moment() {
-    let got = backlog_gets(at_times, Phase::Closing, accept_all);
+    let got = backlog_gets(at_times, ProcessPhase::Closing, accept_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "!")), "{got:?}");
 }
 
 #[test]
 fn clients_in_the_backlog_are_refused_at_the_very_end_though_accept_fails_for_a_moment() {
-    let got = backlog_gets(at_times, Phase::Ended, refuse_all);
+    let got = backlog_gets(at_times, ProcessPhase::Ended, refuse_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "#")), "{got:?}");
 }
 
 #[test]
 fn clients_that_an_end_could_not_accept_for_seconds_are_refused_once_it_can() {
     let for_seconds = |call| call < 1_600;
-    let got = backlog_gets(for_seconds, Phase::Closing, accept_and_refuse_all);
+    let got = backlog_gets(for_seconds, ProcessPhase::Closing, accept_and_refuse_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "#")), "{got:?}");
 }
 
 #[test]
 fn an_end_is_not_held_up_by_an_accept_that_fails_for_ever() {
-    let got = backlog_gets(|_| true, Phase::Closing, accept_and_refuse_all);
+    let got = backlog_gets(|_| true, ProcessPhase::Closing, accept_and_refuse_all);
     assert!(got.iter().all(|g| g.is_err()), "{got:?}");
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -3,7 +3,7 @@
 
 use super::budget::{Budget, ByteBudget};
 use super::client_close::ConnectionClosed;
-use super::listen::{self, Acceptor, Closing, Refusal, Serves};
+use super::listen::{self, Acceptor, PhaseReceiver, Refusal, Serves};
 use super::transient;
 use super::socket::Socket;
 use crate::core::counters::Count;
@@ -29,7 +29,7 @@
         self: Arc<Self>,
         waits_since: Option<Instant>,
         stream: Socket,
-        closing: Closing,
+        closing: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 
     /// Refuses a client: the last word on its connection. Once `hurried` it waits for nothing any more.
@@ -88,7 +88,7 @@
         &self,
         came: Instant,
         stream: Socket,
-        closing: Closing,
+        closing: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         let (gate, bytes) = (self.gate.clone(), self.bytes.clone());
         // What is read at once has not waited; what is read later may have come right behind the connection.
@@ -156,13 +156,13 @@
     /// When neither can be done.
     pub async fn bind(inherited: Option<&str>, address: &str) -> io::Result<Self> {
         match inherited {
-            Some(descriptor) => listen::inherited(descriptor).map(ClientListener::Inherited),
+            Some(descriptor) => listen::inherited_listener(descriptor).map(ClientListener::Inherited),
             None => Ok(ClientListener::Own(transient::listen(address).await?, address.to_string())),
         }
     }
 
     /// Whether it is where clients are told to come.
-    pub fn fits(&self, address: &str) -> bool {
+    pub fn has_address(&self, address: &str) -> bool {
         match self {
             ClientListener::Own(_, bound) => bound == address,
             ClientListener::Inherited(_) => true,
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -14,7 +14,7 @@
 use crate::net::budget::{Budget, ByteBudget, Pace};
 use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
-use crate::net::listen::{Closing, Refusal};
+use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
 use crate::terms::Terms;
@@ -58,7 +58,7 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: Closing,
+        closing: PhaseReceiver,
     ) -> Result<ConnectionClosed, HttpError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -17,7 +17,7 @@
 use crate::net::client_close::{self, CloseReason, ConnectionClosed};
 use crate::net::frames::{read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
-use crate::net::listen::{closed, Closing, Phase, Refusal};
+use crate::net::listen::{wait_for_closing, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
 use futures_util::SinkExt;
 use std::collections::VecDeque;
@@ -89,7 +89,7 @@
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<ConnectionClosed, HttpError> {
+    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, HttpError> {
         loop {
             let request = match self.wait(&mut closing).await {
                 Waited::Came(Incoming::Request(request)) => request,
@@ -118,7 +118,7 @@
             let Some(Answered { mut response, broken }) = self.answer(&request).await? else {
                 return Ok(client_close::closed_by_client(self.conn));
             };
-            let ends = *closing.borrow() >= Phase::Leaving
+            let ends = *closing.borrow() >= ProcessPhase::HandingOver
                 && self.ahead.is_empty()
                 && broken.is_none()
                 && !client_close::has_unanswered_input(&mut self.conn);
@@ -147,7 +147,7 @@
     }
 
     /// Waits for the next request, or for a reason to end. One of which a part has been read is the proxy's to answer.
-    async fn wait(&mut self, closing: &mut Closing) -> Waited {
+    async fn wait(&mut self, closing: &mut PhaseReceiver) -> Waited {
         if let Some(request) = self.ahead.pop_front() {
             return Waited::Came(request);
         }
@@ -214,8 +214,8 @@
 }
 
 /// Waits until connections are to end, and one on which nothing was asked has been quiet: its first request may be on its way.
-async fn closed_and_quiet(closing: &mut Closing, asked: bool, rests: Instant) {
-    closed(closing).await;
+async fn closed_and_quiet(closing: &mut PhaseReceiver, asked: bool, rests: Instant) {
+    wait_for_closing(closing).await;
     if !asked {
         tokio::time::sleep_until(rests + QUIET_MIN).await;
     }
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -8,7 +8,7 @@
 use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
 use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::INITIAL_BUFFER_SIZE;
-use crate::net::listen::{Closing, Refusal};
+use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
 use crate::terms::Terms;
@@ -51,7 +51,7 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: Closing,
+        closing: PhaseReceiver,
     ) -> Result<ConnectionClosed, WireError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -19,7 +19,7 @@
 use crate::net::client_close::{self, CloseReason, ConnectionClosed, CONNECTION_LOG};
 use crate::net::frames::{read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
-use crate::net::listen::{reached, Closing, Phase, Refusal};
+use crate::net::listen::{wait_for_phase, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
 use bytes::Bytes;
 use std::pin::pin;
@@ -68,7 +68,7 @@
     rests: Instant,
     /// Since when a message is begun that has not ended.
     part: Option<Instant>,
-    phase: Phase,
+    phase: ProcessPhase,
     /// The connection ends as soon as it is at rest.
     leaving: bool,
     /// The client has said goodbye.
@@ -88,20 +88,20 @@
             opened,
             rests: opened,
             part: None,
-            phase: Phase::Starting,
+            phase: ProcessPhase::Starting,
             leaving: false,
             goodbye: false,
         }
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<ConnectionClosed, WireError> {
+    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, WireError> {
         self.phase = *closing.borrow();
-        self.leaving = self.phase >= Phase::Closing;
+        self.leaving = self.phase >= ProcessPhase::Closing;
         // Set anew with each step of the end: first connections end with their next answer, then between requests.
         let mut begun = closing.clone();
-        let mut begun = pin!(reached(&mut begun, Phase::Leaving));
-        let mut closed = pin!(reached(&mut closing, Phase::Closing));
+        let mut begun = pin!(wait_for_phase(&mut begun, ProcessPhase::HandingOver));
+        let mut closed = pin!(wait_for_phase(&mut closing, ProcessPhase::Closing));
         // Set anew only when it rings too early: nearly every wait ends long before its limit.
         let mut timer = pin!(tokio::time::sleep_until(self.opened + FIRST_MESSAGE_TIMEOUT));
         loop {
@@ -132,9 +132,9 @@
                         ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
                     }
                 }
-                () = begun.as_mut(), if self.phase < Phase::Leaving => self.phase = Phase::Leaving,
-                () = closed.as_mut(), if self.phase == Phase::Leaving => {
-                    (self.phase, self.leaving) = (Phase::Closing, true);
+                () = begun.as_mut(), if self.phase < ProcessPhase::HandingOver => self.phase = ProcessPhase::HandingOver,
+                () = closed.as_mut(), if self.phase == ProcessPhase::HandingOver => {
+                    (self.phase, self.leaving) = (ProcessPhase::Closing, true);
                 }
                 // Others lack a permit, or too many rest: this one is between requests and has been for longest.
                 () = self.front.clients.client_wanted(!self.state.sound, self.rests), if at_rest => {
@@ -212,7 +212,7 @@
         self.rests = Instant::now();
         if self.state.asked {
             self.state.waits_since = None;
-            self.leaving |= self.phase >= Phase::Leaving;
+            self.leaving |= self.phase >= ProcessPhase::HandingOver;
         }
         Ok(())
     }
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Clock;
 use crate::interface::Time;
-use crate::net::client_listeners::Accepting;
+use crate::net::client_listeners::ClientListeners;
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::DescriptorBudget;
-use crate::net::listen::Phase;
+use crate::net::listen::ProcessPhase;
 use std::future::Future;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -31,9 +31,9 @@
     /// The clock.
     pub clock: Clock,
     /// Tells all how far the process is.
-    pub phase: watch::Sender<Phase>,
+    pub phase: watch::Sender<ProcessPhase>,
     /// What takes clients.
-    pub accepting: Accepting,
+    pub accepting: ClientListeners,
     /// Permits of clients' connections.
     pub clients: DescriptorBudget,
     /// Until when requests may be answered.
@@ -53,7 +53,7 @@
         if peer_alive {
             // Whoever comes from now on is the next process's, which has the same listener.
             log::info!("told to end: connections close with their next answer, the others in a while");
-            let _ = self.phase.send(Phase::Leaving);
+            let _ = self.phase.send(ProcessPhase::HandingOver);
         } else {
             log::info!(
                 "told to end: clients are still taken for a while, then connections close between requests"
@@ -65,18 +65,18 @@
         let longest = longest_deadline();
         let killed_at = told_at + longest.min(LONGEST_BEFORE_KILL) + KILL_MARGIN;
         self.answer_limit.set(killed_at - ANSWER_LEAD);
-        let _ = self.phase.send(Phase::Closing);
+        let _ = self.phase.send(ProcessPhase::Closing);
         let ends = self.clock.now() + longest + LAST_ANSWERS.as_micros() as Time;
         let answered = async {
             // Whoever the machine has accepted is taken before it counts that no connection is open.
-            self.accepting.all_taken().await;
+            self.accepting.serve_backlogs().await;
             all_ended(&self.clients).await;
         };
         let _ = tokio::time::timeout_at(self.clock.instant(ends), answered).await;
         let _ = tokio::time::timeout(LAST_WRITING, last_writing).await;
-        let _ = self.phase.send(Phase::Ended);
+        let _ = self.phase.send(ProcessPhase::Ended);
         let refused = async {
-            self.accepting.all_refused().await;
+            self.accepting.refuse_backlogs().await;
             all_ended(&self.clients).await;
         };
         let _ = tokio::time::timeout(LAST_REFUSALS, refused).await;
