--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1, as far as discovery and OData need it; `httparse` reads the heads.
 
-use crate::net::budget::{ByteBudget, Share};
+use crate::net::budget::{ByteBudget, ByteReservation};
 use crate::net::frames::BuffersPartial;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
@@ -140,7 +140,7 @@
     /// The client waits to be told to go on.
     expects: bool,
     /// The body's share of the budget, from the moment that its length is known.
-    share: Option<Share>,
+    share: Option<ByteReservation>,
 }
 
 fn body_of(headers: &Headers, response: Option<u16>) -> Result<Body, HttpError> {
@@ -208,7 +208,7 @@
             Body::Length(n) => n,
             Body::Chunked | Body::UntilEnd => self.longest,
         };
-        let share = self.budget.as_ref().map(|r| r.take(most).ok_or(HttpError::NoRoom)).transpose()?;
+        let share = self.budget.as_ref().map(|r| r.try_reserve(most).ok_or(HttpError::NoRoom)).transpose()?;
         self.reading = Some(Reading { head, headers, body, chunks: BytesMut::new(), expects, share });
         Ok(true)
     }
@@ -245,7 +245,7 @@
         let Some(Reading { head, headers, body: kind, share, .. }) = self.reading.take() else {
             return Ok(None);
         };
-        let body = share.map_or(body.clone(), |share| share.hold(&body));
+        let body = share.map_or(body.clone(), |share| share.attach_to_copy(&body));
         let minor = match &head {
             Head::Request { minor, .. } | Head::Response { minor, .. } => *minor,
         };
--- a/src/main.rs
+++ b/src/main.rs
@@ -23,7 +23,7 @@
 use linentrail::listing::{Delivery, Listing};
 use linentrail::net::client_listeners::ClientListeners;
 use linentrail::net::answer_limit::AnswerLimit;
-use linentrail::net::budget::{Budget, Pace};
+use linentrail::net::budget::{Budget, ErrorPacer};
 use linentrail::net::discovery::{Discovery, Lists, Service};
 use linentrail::net::member_actors::MemberActors;
 use linentrail::net::stall;
@@ -285,7 +285,7 @@
     }
     let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
     control.request(|reply| Order::Serves(began, reply)).await;
-    let (core, pace) = (Handle::new(mailbox.clone()), Pace::default());
+    let (core, pace) = (Handle::new(mailbox.clone()), ErrorPacer::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -32,7 +32,7 @@
 
 /// A connection on which nothing was ever asked is evicted only when nothing has come on it for so long: its first request
 /// may be on its way.
-pub const QUIET_MIN: Duration = Duration::from_millis(200);
+pub const MIN_QUIET_TIME: Duration = Duration::from_millis(200);
 /// Of the clients' permits one in so many is kept for refusing, up to a most.
 const REFUSAL_PART: usize = 16;
 const REFUSALS_MAX: usize = 16;
@@ -110,29 +110,29 @@
         if let Some(permit) = self.try_permit() {
             return Some(permit);
         }
-        self.ask_for_room();
+        self.request_eviction();
         self.0.permits.clone().acquire_owned().await.ok()
     }
 
     /// Tells the next connection that could give way. Whoever was told and cannot do so passes it on by this.
-    pub fn ask_for_room(&self) {
+    pub fn request_eviction(&self) {
         // With none of either sort there, the next to have nothing to do is told.
         let strangers = self.0.strangers.count.load(Ordering::Relaxed) > 0;
         if strangers { &self.0.strangers } else { &self.0.idle }.wanted.notify_one();
     }
 
     /// Waits until someone lacks a permit, or too many wait; they are told in turn, the longest waiting first.
-    pub async fn wanted(&self) {
+    pub async fn eviction_requested(&self) {
         self.0.idle.wanted().await;
     }
 
     /// The same for a client's connection. `stranger`: nothing sound was ever asked on it, and nothing has come since
     /// `quiet_since`.
-    pub async fn client_wanted(&self, stranger: bool, quiet_since: Instant) {
+    pub async fn client_eviction_requested(&self, stranger: bool, quiet_since: Instant) {
         if !stranger {
-            return self.wanted().await;
+            return self.eviction_requested().await;
         }
-        tokio::time::sleep_until(quiet_since + QUIET_MIN).await;
+        tokio::time::sleep_until(quiet_since + MIN_QUIET_TIME).await;
         self.0.strangers.wanted().await;
     }
 
@@ -146,12 +146,12 @@
     }
 
     /// Waits until someone lacks a permit for refusing.
-    pub async fn refusal_wanted(&self) {
+    pub async fn refusal_eviction_requested(&self) {
         self.0.refusals.wanted().await;
     }
 
     /// All permits are back.
-    pub fn all_back(&self) -> bool {
+    pub fn all_permits_free(&self) -> bool {
         self.0.permits.available_permits() + self.0.lent.load(Ordering::Relaxed) == self.0.size
             && self.0.refusal_permits.available_permits() == self.0.refusals_size
     }
@@ -185,7 +185,7 @@
 pub struct Half {
     _clients: Lent,
     _members: Lent,
-    _bytes: Vec<Share>,
+    _bytes: Vec<ByteReservation>,
 }
 
 /// Bytes of messages that all connections together may hold. A message takes its share when its length is known,
@@ -199,7 +199,7 @@
 }
 
 /// So many bytes of a budget.
-pub struct Share {
+pub struct ByteReservation {
     of: ByteBudget,
     bytes: usize,
 }
@@ -211,18 +211,18 @@
     }
 
     /// A share, if there is enough left.
-    pub fn take(&self, bytes: usize) -> Option<Share> {
+    pub fn try_reserve(&self, bytes: usize) -> Option<ByteReservation> {
         let less = |left: usize| left.checked_sub(bytes);
         self.0.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).ok()?;
-        Some(Share { of: self.clone(), bytes })
+        Some(ByteReservation { of: self.clone(), bytes })
     }
 
     /// Half of it, piece by piece as it comes free.
-    async fn lend(&self) -> Vec<Share> {
+    async fn lend(&self) -> Vec<ByteReservation> {
         let piece = self.0.size / (2 * PIECES);
         let mut lent = Vec::new();
         while lent.len() < PIECES {
-            match self.take(piece) {
+            match self.try_reserve(piece) {
                 Some(share) => lent.push(share),
                 None => tokio::time::sleep(PIECE_PAUSE).await,
             }
@@ -231,21 +231,21 @@
     }
 
     /// Less than half is left: whoever can hold back should.
-    pub fn tight(&self) -> bool {
+    pub fn is_scarce(&self) -> bool {
         self.0.left.load(Ordering::Relaxed) < self.0.size / 2
     }
 }
 
-impl Drop for Share {
+impl Drop for ByteReservation {
     fn drop(&mut self) {
         self.of.0.left.fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
-impl Share {
+impl ByteReservation {
     /// A copy of `bytes` that holds this share for as long as any part of it lives. A copy, as a slice would keep the
     /// whole buffer that it was read into, which no share counts.
-    pub fn hold(self, bytes: &[u8]) -> Bytes {
+    pub fn attach_to_copy(self, bytes: &[u8]) -> Bytes {
         /// What most statements and values fit into: kept in the same piece of memory as the share.
         const SHORT: usize = 192;
         meter::add(Cost::Copied, bytes.len());
@@ -256,12 +256,12 @@
     }
 
     /// The same for a buffer that holds nothing else.
-    pub fn hold_buffer(self, buffer: BytesMut) -> Bytes {
+    pub fn attach_to_buffer(self, buffer: BytesMut) -> Bytes {
         self.own(buffer)
     }
 
     fn own(self, bytes: impl AsRef<[u8]> + Send + 'static) -> Bytes {
-        struct Held<B>(B, #[allow(dead_code)] Share);
+        struct Held<B>(B, #[allow(dead_code)] ByteReservation);
         impl<B: AsRef<[u8]>> AsRef<[u8]> for Held<B> {
             fn as_ref(&self) -> &[u8] {
                 self.0.as_ref()
@@ -274,11 +274,11 @@
 /// Spaces out the answers to messages that cannot be understood: a client that sends the same again as soon as it is
 /// turned away must not take the processor from the others.
 #[derive(Clone, Default)]
-pub struct Pace(Arc<AtomicU64>);
+pub struct ErrorPacer(Arc<AtomicU64>);
 
-impl Pace {
+impl ErrorPacer {
     /// How long the answer to a bad message has to wait.
-    pub fn turn(&self, now: Time) -> Duration {
+    pub fn next_delay(&self, now: Time) -> Duration {
         let next = self.0.load(Ordering::Relaxed).clamp(now, now + PACE_MOST);
         self.0.store(next + PACE, Ordering::Relaxed);
         Duration::from_micros(next - now)
--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -202,13 +202,13 @@
     if let Some(turn) = turn {
         tokio::select! {
             () = tokio::time::sleep(turn) => {}
-            () = clients.client_wanted(true, now) => {}
+            () = clients.client_eviction_requested(true, now) => {}
         }
     }
     say_last(&mut conn, last_word).await;
     tokio::select! {
         ended = close_after_last_message(conn, CloseReason::Fault) => ended,
-        () = clients.client_wanted(true, now) => ConnectionClosed(CloseReason::Fault),
+        () = clients.client_eviction_requested(true, now) => ConnectionClosed(CloseReason::Fault),
     }
 }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -210,7 +210,7 @@
         let closing = closing.clone();
         tokio::spawn(async move {
             let budget = clients.clone();
-            let mut hurried = Box::pin(async move { budget.refusal_wanted().await }.fuse());
+            let mut hurried = Box::pin(async move { budget.refusal_eviction_requested().await }.fuse());
             let permit = tokio::select! {
                 biased;
                 permit = tokio::time::timeout(PERMIT_TIMEOUT, clients.permit()) => permit.ok().flatten(),
@@ -244,7 +244,7 @@
         let client = peer.port();
         log::debug!(target: CONNECTION_LOG, client; "refused, as the process ends");
         let budget = self.clients.clone();
-        let hurried = async move { budget.refusal_wanted().await };
+        let hurried = async move { budget.refusal_eviction_requested().await };
         let refused = self.serves.refuse(Socket::new(stream), Refusal::Ending, hurried);
         tokio::spawn(reported(client, permit, refused));
     }
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -95,7 +95,7 @@
         let acceptor =
             Acceptor::new(listener, Instant::now(), Count::pg_connections, budget.clients.clone(), Echo);
         accept(acceptor, told, closing).await;
-        while !budget.clients.all_back() {
+        while !budget.clients.all_permits_free() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     });
--- a/src/net/member_actor.rs
+++ b/src/net/member_actor.rs
@@ -167,7 +167,7 @@
                     self.reap();
                 }
                 // Another peer lacks a descriptor: the one that has been idle for longest here goes.
-                () = self.budget.members.wanted(), if !self.pool.is_empty() => {
+                () = self.budget.members.eviction_requested(), if !self.pool.is_empty() => {
                     self.pool.drop_oldest();
                     count(Count::member_idle_closed);
                 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -11,7 +11,7 @@
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{Budget, ByteBudget, Pace};
+use crate::net::budget::{Budget, ByteBudget, ErrorPacer};
 use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
 use crate::net::listen::{PhaseReceiver, Refusal};
@@ -44,7 +44,7 @@
     terms: watch::Receiver<Arc<Terms>>,
     pub(super) clock: Clock,
     pub(super) budget: Budget,
-    pub(super) pace: Pace,
+    pub(super) pace: ErrorPacer,
     answer_limit: AnswerLimit,
     /// For the ids of statements.
     random: RandomState,
@@ -87,7 +87,7 @@
         bookings: Bookings,
         terms: watch::Receiver<Arc<Terms>>,
         clock: Clock,
-        (budget, pace): (Budget, Pace),
+        (budget, pace): (Budget, ErrorPacer),
         answer_limit: AnswerLimit,
     ) -> Self {
         let (random, sent) = (RandomState::new(), AtomicU64::new(0));
@@ -166,7 +166,7 @@
         let Answer::Served(mut value, position) = answer else { return answer };
         let Some(flow) = value.flow.take() else { return Answer::Served(value, position) };
         // As it is, and in base64 in its response.
-        let Some(_share) = self.budget.bytes.take(flow.length().saturating_mul(3)) else {
+        let Some(_share) = self.budget.bytes.try_reserve(flow.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
         match tokio::time::timeout(GATHER_TIMEOUT, flow.gather()).await {
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -13,7 +13,7 @@
 use super::request::Form;
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
-use crate::net::budget::QUIET_MIN;
+use crate::net::budget::MIN_QUIET_TIME;
 use crate::net::client_close::{self, CloseReason, ConnectionClosed};
 use crate::net::frames::{read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
@@ -108,7 +108,7 @@
                     Some(ended) => return Ok(ended),
                     None => {
                         if reason == CloseReason::MadeRoom {
-                            self.front.budget.clients.ask_for_room();
+                            self.front.budget.clients.request_eviction();
                         }
                         continue;
                     }
@@ -161,7 +161,7 @@
                 ReadEvent::Partial => Waited::Part,
             },
             () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(CloseReason::Shutdown),
-            () = self.front.budget.clients.client_wanted(!asked, rests), if !part => Waited::Ends(CloseReason::MadeRoom),
+            () = self.front.budget.clients.client_eviction_requested(!asked, rests), if !part => Waited::Ends(CloseReason::MadeRoom),
             () = tokio::time::sleep_until(self.until) => match part {
                 true => Waited::Fault(HttpError::Unfinished),
                 false => Waited::Ends(if asked { CloseReason::Idle } else { CloseReason::Silent }),
@@ -208,7 +208,7 @@
         response.closes = true;
         let Front { budget, pace, clock, .. } = &*self.front;
         // A sound request that finds no room is refused at once.
-        let turn = (!no_room).then(|| pace.turn(clock.now()));
+        let turn = (!no_room).then(|| pace.next_delay(clock.now()));
         Ok(client_close::close_with_error(self.conn, response, turn, &budget.clients).await)
     }
 }
@@ -217,7 +217,7 @@
 async fn closed_and_quiet(closing: &mut PhaseReceiver, asked: bool, rests: Instant) {
     wait_for_closing(closing).await;
     if !asked {
-        tokio::time::sleep_until(rests + QUIET_MIN).await;
+        tokio::time::sleep_until(rests + MIN_QUIET_TIME).await;
     }
 }
 
--- a/src/pg/frames.rs
+++ b/src/pg/frames.rs
@@ -1,6 +1,6 @@
 //! Cutting messages off what was read, and what can be wrong with them; shared by both ends of the protocol.
 
-use crate::net::budget::{ByteBudget, Share};
+use crate::net::budget::{ByteBudget, ByteReservation};
 use crate::net::frames::INITIAL_BUFFER_SIZE;
 use bytes::{Buf, Bytes, BytesMut};
 use std::io;
@@ -51,7 +51,7 @@
     /// Its tag; 0 where it has none.
     pub tag: u8,
     body: Range<usize>,
-    share: Option<Share>,
+    share: Option<ByteReservation>,
 }
 
 impl Found {
@@ -77,7 +77,7 @@
         };
         // Not where that would keep much more than the share counts.
         if part.len() < LARGE || src.capacity() > 2 * end + BEHIND {
-            let kept = share.hold(&src[part]);
+            let kept = share.attach_to_copy(&src[part]);
             src.advance(end);
             return kept;
         }
@@ -86,7 +86,7 @@
         let mut whole = std::mem::replace(src, rest);
         whole.truncate(part.end);
         whole.advance(part.start);
-        share.hold_buffer(whole)
+        share.attach_to_buffer(whole)
     }
 }
 
@@ -94,7 +94,7 @@
 /// the budget is taken first, and the buffer grows with what comes.
 pub(super) struct Frames {
     budget: ByteBudget,
-    share: Option<Share>,
+    share: Option<ByteReservation>,
     /// Short messages need no share: the buffer that every connection has holds them.
     free: usize,
     /// So much of a long message must have come before room is made for the rest.
@@ -144,7 +144,7 @@
         let end = at + length;
         let share = match self.share.take() {
             None if length <= self.free => None,
-            None => match self.budget.take(length) {
+            None => match self.budget.try_reserve(length) {
                 None => {
                     self.unwanted = end;
                     return Err(WireError::NoRoom);
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
+use crate::net::budget::{ByteBudget, DescriptorBudget, ErrorPacer};
 use crate::net::client_close::{self, ConnectionClosed};
 use crate::net::frames::INITIAL_BUFFER_SIZE;
 use crate::net::listen::{PhaseReceiver, Refusal};
@@ -39,7 +39,7 @@
     /// Bytes of messages.
     pub bytes: ByteBudget,
     /// When bad messages are answered.
-    pub pace: Pace,
+    pub pace: ErrorPacer,
     /// Until when requests may be answered.
     pub answer_limit: AnswerLimit,
 }
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -15,7 +15,7 @@
 use super::statement::{self, Fault};
 use crate::core::counters::{count, Count};
 use crate::interface::*;
-use crate::net::budget::QUIET_MIN;
+use crate::net::budget::MIN_QUIET_TIME;
 use crate::net::client_close::{self, CloseReason, ConnectionClosed, CONNECTION_LOG};
 use crate::net::frames::{read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
 use crate::net::stall;
@@ -137,11 +137,11 @@
                     (self.phase, self.leaving) = (ProcessPhase::Closing, true);
                 }
                 // Others lack a permit, or too many rest: this one is between requests and has been for longest.
-                () = self.front.clients.client_wanted(!self.state.sound, self.rests), if at_rest => {
+                () = self.front.clients.client_eviction_requested(!self.state.sound, self.rests), if at_rest => {
                     if let Some(ended) = self.end_at_rest(CloseReason::MadeRoom).await {
                         return Ok(ended);
                     }
-                    self.front.clients.ask_for_room();
+                    self.front.clients.request_eviction();
                 }
                 () = timer.as_mut() => match self.part {
                     _ if until.is_none_or(|until| Instant::now() < until) => {
@@ -167,7 +167,7 @@
 
     /// Whether more is read now.
     fn reads(&self) -> bool {
-        let depth = if self.front.bytes.tight() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
+        let depth = if self.front.bytes.is_scarce() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
         self.owed.0.len() < depth && !self.goodbye
     }
 
@@ -177,7 +177,7 @@
             () if !self.at_rest() => None,
             () if self.goodbye => Some(CloseReason::ClientLeft),
             // The first request of a new client may be on its way.
-            () if self.leaving && (self.state.asked || Instant::now() >= self.rests + QUIET_MIN) => {
+            () if self.leaving && (self.state.asked || Instant::now() >= self.rests + MIN_QUIET_TIME) => {
                 Some(CloseReason::Shutdown)
             }
             () => None,
@@ -193,7 +193,7 @@
             Some(_) => Some(first),
             None if !self.owed.0.is_empty() => None,
             None if self.state.asked => Some(self.rests + IDLE_TIMEOUT),
-            None if self.leaving => Some(first.min(self.rests + QUIET_MIN)),
+            None if self.leaving => Some(first.min(self.rests + MIN_QUIET_TIME)),
             None => Some(first),
         }
     }
@@ -298,7 +298,7 @@
     }
 
     fn turn(&self) -> Duration {
-        self.front.pace.turn(self.front.clock.now())
+        self.front.pace.next_delay(self.front.clock.now())
     }
 
     /// The next message cannot be found any more: what was asked before is answered, to a client that is still there, then comes
--- a/src/pg/told.rs
+++ b/src/pg/told.rs
@@ -2,7 +2,7 @@
 
 use super::frames::{Body, Frames, WireError, LONGEST};
 use crate::core::flow;
-use crate::net::budget::{ByteBudget, Share};
+use crate::net::budget::{ByteBudget, ByteReservation};
 use crate::net::frames::BuffersPartial;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use smallvec::SmallVec;
@@ -96,7 +96,7 @@
     budget: ByteBudget,
     /// Bytes of a value that are still to come, and the share for what of them is in memory.
     left: usize,
-    share: Option<Share>,
+    share: Option<ByteReservation>,
 }
 
 impl ClientCodec {
@@ -159,7 +159,7 @@
                 if src[5..7] != [0, 1] {
                     return Err(WireError::Malformed("a row does not have one column"));
                 }
-                self.share = Some(self.budget.take(IN_MEMORY).ok_or(WireError::NoRoom)?);
+                self.share = Some(self.budget.try_reserve(IN_MEMORY).ok_or(WireError::NoRoom)?);
                 self.left = row;
                 src.advance(11);
                 return Ok(Some(Backend::RowBegins(row)));
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -84,7 +84,7 @@
 }
 
 async fn all_ended(clients: &DescriptorBudget) {
-    while !clients.all_back() {
+    while !clients.all_permits_free() {
         tokio::time::sleep(LOOK_INTERVAL).await;
     }
 }
