--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -9,7 +9,7 @@
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Listed};
 use crate::interface::*;
-use crate::net::discovery::{Follow, Lists, Numbers};
+use crate::net::discovery::{ListRequest, ListReader, MemberNumbers};
 use crate::net::transient;
 use crate::net::socket::Socket;
 use bytes::{Bytes, BytesMut};
@@ -39,7 +39,7 @@
     core: mpsc::Sender<Input>,
     clock: Clock,
     cache: Cache,
-    numbers: Numbers,
+    numbers: MemberNumbers,
     told: Option<Vec<Listed>>,
     link: Option<Framed<Socket, LengthDelimitedCodec>>,
     asked: u16,
@@ -53,13 +53,13 @@
     pub fn new(
         server: SocketAddr,
         service: &str,
-        lists: Lists,
+        lists: ListReader,
         core: mpsc::Sender<Input>,
         clock: Clock,
     ) -> Result<Self, String> {
         let mut name = Name::from_ascii(service).map_err(|e| format!("{service}: {e}"))?;
         name.set_fqdn(true);
-        let Lists { zones, numbers, .. } = lists;
+        let ListReader { zones, numbers, .. } = lists;
         Ok(Browser {
             server,
             service: name.to_lowercase(),
@@ -75,7 +75,7 @@
     }
 
     /// Runs until the core is gone. The module's asking brings a round, and an answer, at once.
-    pub async fn run(mut self, mut asked: mpsc::Receiver<Follow>) {
+    pub async fn run(mut self, mut asked: mpsc::Receiver<ListRequest>) {
         let mut owed = false;
         loop {
             let fine = self.round().await.is_some();
@@ -94,7 +94,7 @@
             let pause = pause.clamp(ROUND_LEAST, if fine { ROUND_MOST } else { AHEAD });
             tokio::select! {
                 asks = asked.recv() => match asks {
-                    Some(Follow) => owed = true,
+                    Some(ListRequest) => owed = true,
                     None => return,
                 },
                 () = tokio::time::sleep(Duration::from_micros(pause)) => owed = false,
@@ -105,7 +105,7 @@
     /// Hands on the list if it has changed or an answer is owed.
     async fn tell(&mut self, fine: bool, owed: bool) -> Option<()> {
         let members = self.cache.members(&self.service, &self.zones, &mut self.numbers);
-        self.numbers.leave(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
+        self.numbers.release_departed(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
         let known = self.told.as_ref() == Some(&members);
         let list = match (fine, known) {
             (true, false) => Input::List(ListKind::Full, members.clone()),
--- a/src/dnssd/records.rs
+++ b/src/dnssd/records.rs
@@ -7,7 +7,7 @@
 use crate::core::counters::{count, Count};
 use crate::core::Listed;
 use crate::interface::*;
-use crate::net::discovery::Numbers;
+use crate::net::discovery::MemberNumbers;
 use hickory_proto::rr::rdata::{A, PTR, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use std::collections::BTreeMap;
@@ -125,7 +125,7 @@
 
     /// The members that can be made of what is held. Those whose records are incomplete or cannot be acted on are
     /// skipped and counted.
-    pub fn members(&self, service: &Name, zones: &[String], numbers: &mut Numbers) -> Vec<Listed> {
+    pub fn members(&self, service: &Name, zones: &[String], numbers: &mut MemberNumbers) -> Vec<Listed> {
         let mut members: Vec<Listed> = Vec::new();
         for instance in self.instances(service) {
             match self.member(&instance, zones, numbers) {
@@ -139,7 +139,7 @@
         members
     }
 
-    fn member(&self, instance: &Name, zones: &[String], numbers: &mut Numbers) -> Option<Listed> {
+    fn member(&self, instance: &Name, zones: &[String], numbers: &mut MemberNumbers) -> Option<Listed> {
         // The lowest priority first, then the highest weight.
         let mut servers: Vec<_> = self.servers.get(instance)?.iter().map(|(s, _)| s).collect();
         servers.sort();
@@ -161,7 +161,7 @@
             address,
             member: Member {
                 group: text.get("cell")?.parse().ok()?,
-                id: numbers.of(id),
+                id: numbers.number_for(id),
                 zone: zone.map_or(u32::MAX, |z| z as u32),
                 condition: match text.get("leaving").map(String::as_str) {
                     None | Some("0") => Condition::In,
--- a/src/main.rs
+++ b/src/main.rs
@@ -24,7 +24,7 @@
 use linentrail::net::client_listeners::ClientListeners;
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, ErrorPacer};
-use linentrail::net::discovery::{Discovery, Lists, Service};
+use linentrail::net::discovery::{Discovery, ListReader, DiscoveryService};
 use linentrail::net::member_actors::MemberActors;
 use linentrail::net::stall;
 use linentrail::net::listen::ProcessPhase;
@@ -187,20 +187,20 @@
     let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
     let actor = Actor::new(settings, fleet, clock, (inbox, ordered)).map_err(|e| e.to_string())?;
 
-    let mut lists = Lists::new(zones.clone());
+    let mut lists = ListReader::new(zones.clone());
     // Known before the first client comes, and perhaps old.
     let known = lists.read(&recovery::list(&told.known, store.as_ref().map(|s| &s.1)), None);
     let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
-    let (discovery, service) = watch::channel(Service { address: told.discovery.clone(), proxies, delivery });
+    let (discovery, service) = watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
     let mut version = Arc::default();
     if file.dnssd.browse {
         let DnsSd { server, service, .. } = &file.dnssd;
         tokio::spawn(Browser::new(*server, service, lists, mailbox.clone(), clock)?.run(asked));
     } else {
         let discovery = Discovery::new(service, listing, lists, held, mailbox.clone());
-        version = discovery.told.clone();
+        version = discovery.version.clone();
         tokio::spawn(discovery.run(asked));
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -54,22 +54,22 @@
 
 /// The module asks for the list and its changes.
 #[derive(Debug)]
-pub struct Follow;
+pub struct ListRequest;
 
 /// Ids that have left are remembered so long, beyond all that may still know their numbers.
 const LEFT_KEPT: Duration = Duration::from_secs(60);
 
 /// Gives members the module's numbers. An id keeps its number while lists name it, and for a while after.
 #[derive(Default)]
-pub struct Numbers {
+pub struct MemberNumbers {
     given: HashMap<String, (MemberId, Option<Instant>)>,
     taken: HashSet<MemberId>,
 }
 
-impl Numbers {
+impl MemberNumbers {
     /// The number of an id that a list names. Ids that end in eight hex digits are numbered by them, so that all
     /// proxies order members alike; for others a hash does.
-    pub fn of(&mut self, id: &str) -> MemberId {
+    pub fn number_for(&mut self, id: &str) -> MemberId {
         if let Some((known, left)) = self.given.get_mut(id) {
             *left = None;
             return *known;
@@ -86,7 +86,7 @@
 
     /// After a list: those that have `left`, and in due time they are forgotten, as members are replaced under new
     /// ids without end.
-    pub fn leave(&mut self, left: impl Fn(MemberId) -> bool, now: Instant) {
+    pub fn release_departed(&mut self, left: impl Fn(MemberId) -> bool, now: Instant) {
         let taken = &mut self.taken;
         self.given.retain(|_, (number, since)| {
             if since.is_none() && left(*number) {
@@ -101,25 +101,25 @@
     }
 
     /// How many ids are remembered.
-    pub fn known(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.given.len()
     }
 }
 
 /// Reads lists as discovery words them.
-pub struct Lists {
+pub struct ListReader {
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// Numbers given so far.
-    pub numbers: Numbers,
+    /// MemberNumbers given so far.
+    pub numbers: MemberNumbers,
     /// Whole lists dropped as older than the one held, one after another.
     older: u32,
 }
 
-impl Lists {
+impl ListReader {
     /// A reader that knows the zones' names.
     pub fn new(zones: Vec<String>) -> Self {
-        Lists { zones, numbers: Numbers::default(), older: 0 }
+        ListReader { zones, numbers: MemberNumbers::default(), older: 0 }
     }
 
     /// The list's version, whether it is whole, and its entries; none where it is not to be used, above all where it
@@ -150,7 +150,7 @@
             Some(condition) => *condition == Condition::Out,
             None => whole,
         };
-        self.numbers.leave(left, Instant::now());
+        self.numbers.release_departed(left, Instant::now());
         Some((version, whole, entries))
     }
 
@@ -169,7 +169,7 @@
             name: id.into(),
             address: text("hostPort")?.parse().ok()?,
             member: Member {
-                id: self.numbers.of(id),
+                id: self.numbers.number_for(id),
                 zone: zone.map_or(u32::MAX, |z| z as u32),
                 group: item.get("cell")?.as_u64()?,
                 condition,
@@ -186,7 +186,7 @@
 }
 
 /// A list as discovery words it, for a later start.
-pub fn write(entries: &[Listed], version: u64, zones: &[String]) -> Json {
+pub fn list_to_json(entries: &[Listed], version: u64, zones: &[String]) -> Json {
     let entry = |Listed { name, address, member }: &Listed| {
         let lifecycle = if member.condition == Condition::Draining { "leaving" } else { "active" };
         json!({"instanceId": &**name, "hostPort": address.to_string(), "cell": member.group,
@@ -199,7 +199,7 @@
 
 /// Where discovery is, and how many proxies call there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Service {
+pub struct DiscoveryService {
     /// Host and port.
     pub address: String,
     /// Proxies, this one included.
@@ -210,7 +210,7 @@
 
 /// Waits until discovery moves. Told the same address again, a call for the whole list that is due or open there goes on: it
 /// brings what a new one would.
-async fn moves(service: &mut watch::Receiver<Service>, calling: Option<String>) {
+async fn moves(service: &mut watch::Receiver<DiscoveryService>, calling: Option<String>) {
     loop {
         if service.changed().await.is_err() {
             return std::future::pending().await;
@@ -224,12 +224,12 @@
 /// The actor's state.
 pub struct Discovery {
     /// Where the version that is held is told.
-    pub told: Arc<AtomicU64>,
-    service: watch::Receiver<Service>,
+    pub version: Arc<AtomicU64>,
+    service: watch::Receiver<DiscoveryService>,
     listing: Listing,
     /// Until the next call.
     pause: Duration,
-    lists: Lists,
+    lists: ListReader,
     core: mpsc::Sender<Input>,
     link: Option<Framed<Socket, HttpClient>>,
     /// Version of the list that is held.
@@ -247,16 +247,16 @@
     /// One that has not called yet, and holds the list of this version. Whatever is sent to `service`, even the same
     /// again, counts as a move.
     pub fn new(
-        service: watch::Receiver<Service>,
+        service: watch::Receiver<DiscoveryService>,
         listing: Listing,
-        lists: Lists,
+        lists: ListReader,
         held: Option<u64>,
         core: mpsc::Sender<Input>,
     ) -> Self {
         let told = Arc::new(AtomicU64::new(held.unwrap_or(0)));
         let pause = Duration::ZERO;
         Discovery {
-            told,
+            version: told,
             service,
             listing,
             pause,
@@ -272,7 +272,7 @@
     }
 
     /// Runs until the core is gone.
-    pub async fn run(mut self, mut asked: mpsc::Receiver<Follow>) {
+    pub async fn run(mut self, mut asked: mpsc::Receiver<ListRequest>) {
         // One receiver for the whole run: what it has heard of is no move a second time.
         let mut service = self.service.clone();
         while self.begin(&mut asked, &mut service).await {
@@ -285,8 +285,8 @@
     /// Waits for a reason to call, where not each moment is one; false once the core is gone.
     async fn begin(
         &mut self,
-        asked: &mut mpsc::Receiver<Follow>,
-        service: &mut watch::Receiver<Service>,
+        asked: &mut mpsc::Receiver<ListRequest>,
+        service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
         if self.delivery() != Delivery::Asked {
             return !self.core.is_closed();
@@ -301,8 +301,8 @@
     /// Calls and hands on what comes, up to a failure that the module is told of; false once the core is gone.
     async fn follow(
         &mut self,
-        asked: &mut mpsc::Receiver<Follow>,
-        service: &mut watch::Receiver<Service>,
+        asked: &mut mpsc::Receiver<ListRequest>,
+        service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
         loop {
             // Asked again while it watches: that is one more answer that comes by itself.
@@ -432,7 +432,7 @@
         let (version, whole, entries) = read?;
         (self.after, self.renews, self.confirmed) = (Some(version), true, true);
         self.unlisted_since = None;
-        self.told.store(version, Ordering::Relaxed);
+        self.version.store(version, Ordering::Relaxed);
         count(Count::list_answers);
         Some((if whole { ListKind::Full } else { ListKind::Changes }, entries))
     }
--- a/src/net/discovery_tests.rs
+++ b/src/net/discovery_tests.rs
@@ -32,7 +32,7 @@
         for _ in 0..services {
             addresses.push(slow(takes).await);
         }
-        let of = |n: usize| Service {
+        let of = |n: usize| DiscoveryService {
             address: addresses[n % services].clone(),
             proxies: 300,
             delivery: Delivery::Asked,
@@ -40,7 +40,7 @@
         let (moves, service) = watch::channel(of(0));
         let (core, mut inputs) = mpsc::channel(8);
         let (follow, asked) = mpsc::channel(1);
-        let lists = Lists::new(vec!["a".into()]);
+        let lists = ListReader::new(vec!["a".into()]);
         // A seed whose first turns come late.
         let discovery = Discovery::new(service, Listing::new(3), lists, Some(3), core);
         tokio::spawn(discovery.run(asked));
--- a/src/net/member_actors.rs
+++ b/src/net/member_actors.rs
@@ -56,7 +56,7 @@
 pub struct MemberActors<W> {
     peers: HashMap<MemberId, ActorHandle>,
     core: mpsc::Sender<Input>,
-    discovery: mpsc::Sender<discovery::Follow>,
+    discovery: mpsc::Sender<discovery::ListRequest>,
     budget: Budget,
     clock: Clock,
     times: SocketTimes,
@@ -67,7 +67,7 @@
     /// No peers yet.
     pub fn new(
         core: mpsc::Sender<Input>,
-        discovery: mpsc::Sender<discovery::Follow>,
+        discovery: mpsc::Sender<discovery::ListRequest>,
         budget: Budget,
         clock: Clock,
         times: SocketTimes,
@@ -177,7 +177,7 @@
 
     fn follow(&mut self) -> bool {
         // One that waits already will do.
-        !matches!(self.discovery.try_send(discovery::Follow), Err(mpsc::error::TrySendError::Closed(_)))
+        !matches!(self.discovery.try_send(discovery::ListRequest), Err(mpsc::error::TrySendError::Closed(_)))
     }
 }
 
--- a/src/parley/mod.rs
+++ b/src/parley/mod.rs
@@ -18,7 +18,7 @@
 use crate::core::{Input, Order};
 use crate::handover::ControlHandle;
 use crate::interface::{ListKind, Time};
-use crate::net::discovery::{self, Lists};
+use crate::net::discovery::{self, ListReader};
 use crate::net::transient;
 use crate::operators::agreement::{Agreement, OnLapse};
 use crate::store::actor::Scribe;
@@ -345,7 +345,7 @@
                 self.list.1 = false;
                 let json = bytes.and_then(|b| serde_json::from_slice(&b).ok());
                 let held = self.with.version.load(Ordering::Relaxed);
-                let mut lists = Lists::new(self.with.zones.clone());
+                let mut lists = ListReader::new(self.with.zones.clone());
                 if let Some((told, _, entries)) =
                     json.and_then(|j| lists.read(&j, Some(held))).filter(|l| l.0 > held)
                 {
@@ -435,7 +435,7 @@
             Want::List => {
                 let listed = self.with.control.request(Order::Listed).await?;
                 let version = self.with.version.load(Ordering::Relaxed);
-                Some(discovery::write(&listed, version, &self.with.zones).to_string().into())
+                Some(discovery::list_to_json(&listed, version, &self.with.zones).to_string().into())
             }
         }
     }
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -157,7 +157,7 @@
         let now = self.clock.now();
         let list = (!listed.is_empty()).then(|| {
             let version = self.version.load(Ordering::Relaxed);
-            Held { at: now, text: discovery::write(&listed, version, &self.zones).to_string().into() }
+            Held { at: now, text: discovery::list_to_json(&listed, version, &self.zones).to_string().into() }
         });
         let settings = self.settings.borrow().clone();
         let all = Box::new(Knowledge { known, hands, settings, list });
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -9,7 +9,7 @@
 use crate::interface::Settings;
 use crate::knowledge::Held;
 use crate::listing::Delivery;
-use crate::net::discovery::Service;
+use crate::net::discovery::DiscoveryService;
 use crate::parley::Rules;
 use crate::settings::{Names, SocketTimes};
 use crate::terms::{Slots, Terms};
@@ -35,7 +35,7 @@
     /// Where the fronts learn the terms of new requests.
     pub terms: watch::Sender<Arc<Terms>>,
     /// Where discovery's reader learns its address.
-    pub discovery: watch::Sender<Service>,
+    pub discovery: watch::Sender<DiscoveryService>,
     /// The way to the core.
     pub control: ControlHandle,
     /// Where the text that holds is told to the store, if there is one.
@@ -131,7 +131,7 @@
             None => self.hold(names, settings, times).await,
         }
         // Also where it is the same: the list is then asked for anew.
-        let _ = self.discovery.send(Service { address: told.discovery.clone(), proxies, delivery });
+        let _ = self.discovery.send(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
         count(Count::reloads);
         let fixed = self.running.fixed(&told);
         if !fixed.is_empty() {
--- a/tests/wide_lists.rs
+++ b/tests/wide_lists.rs
@@ -5,7 +5,7 @@
 use linentrail::core::{Input, Listed};
 use linentrail::dnssd::browse::Browser;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::discovery::{Discovery, Follow, Lists, Service};
+use linentrail::net::discovery::{Discovery, ListRequest, ListReader, DiscoveryService};
 use linentrail::ListKind;
 use linentrail_standins::dns::Dns;
 use linentrail_standins::registry::{entry, Ill, Registry};
@@ -47,13 +47,13 @@
         registry.does(how);
         let address = registry.start(whole.into()).to_string();
         for delivery in [Delivery::Asked, Delivery::Pushed { drain_grace: 500_000 }] {
-            let service = Service { address: address.clone(), proxies: 350, delivery };
+            let service = DiscoveryService { address: address.clone(), proxies: 350, delivery };
             let (_moves, service) = watch::channel(service);
             let (core, mut inbox) = mpsc::channel(64);
             let (follow, asked) = mpsc::channel(1);
-            let lists = Lists::new(vec!["a".into()]);
+            let lists = ListReader::new(vec!["a".into()]);
             tokio::spawn(Discovery::new(service, Listing::new(7), lists, None, core).run(asked));
-            follow.send(Follow).await.expect("it runs");
+            follow.send(ListRequest).await.expect("it runs");
             let (kind, entries) = first(&mut inbox).await;
             assert_eq!((kind, addresses(&entries)), (ListKind::Full, MANY), "{how:?} {delivery:?}");
         }
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_list_of_as_many_members_as_the_bound_is_taken_and_one_of_more_is_not() {
-    let mut lists = Lists::new(Vec::new());
+    let mut lists = ListReader::new(Vec::new());
     let whole: Vec<Value> =
         (0..4_097).map(|n| entry(n, SocketAddr::from(([127, 0, 0, 1], 10_000)))).collect();
     let list = serde_json::json!({"generation": 3, "reset": true, "instances": whole});
@@ -82,7 +82,7 @@
     let server = dns.start();
     let (core, mut inbox) = mpsc::channel(64);
     let (_follow, asked) = mpsc::channel(1);
-    let lists = Lists::new(vec!["a".into()]);
+    let lists = ListReader::new(vec!["a".into()]);
     let browser = Browser::new(server, SERVICE, lists, core, Clock::start()).expect("a service's name");
     tokio::spawn(browser.run(asked));
     let (kind, entries) = first(&mut inbox).await;
