--- a/src/main.rs
+++ b/src/main.rs
@@ -395,7 +395,7 @@
     let result = match arguments.command.or(former) {
         None | Some(Command::Serve) => {
             let mut builder = tokio::runtime::Builder::new_current_thread();
-            let runtime = builder.enable_all().on_thread_unpark(stall::rested).build();
+            let runtime = builder.enable_all().on_thread_unpark(stall::thread_unparked).build();
             runtime.map_err(|e| format!("runtime: {e}")).and_then(|r| r.block_on(run(began)))
         }
         Some(Command::Check { file }) => return check(&file),
--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -215,9 +215,9 @@
 /// Nothing is said any more, and nothing read: what comes is the client's to send again.
 async fn linger(socket: &mut Socket) {
     let _ = socket.shutdown().await;
-    let ended = tokio::time::timeout(LINGER_TIMEOUT, socket.ended()).await;
+    let ended = tokio::time::timeout(LINGER_TIMEOUT, socket.wait_closed()).await;
     if ended.is_err() && socket.unread() == Unread::Bytes {
-        let _ = tokio::time::timeout(UNREAD_LINGER_TIMEOUT, socket.ended()).await;
+        let _ = tokio::time::timeout(UNREAD_LINGER_TIMEOUT, socket.wait_closed()).await;
     }
 }
 
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -52,7 +52,7 @@
     if reads {
         return read_next(conn, part).await;
     }
-    conn.get_mut().ended().await;
+    conn.get_mut().wait_closed().await;
     ReadEvent::Message(None)
 }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -252,7 +252,7 @@
 
 /// When a client may have come that is accepted now: whoever came while the process was held up has stood in the queue.
 fn came() -> Instant {
-    stall::look().unwrap_or_else(Instant::now)
+    stall::check().unwrap_or_else(Instant::now)
 }
 
 /// Carries out what becomes of a connection, and tells its end.
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -4,7 +4,7 @@
 //! a call that did less than it was asked to for the last one before the next edge, and waits. Linux promises no such
 //! thing: `recv(2)` and `send(2)` may do less for other reasons, what stands in the socket then brings no edge, and the
 //! connection hangs. So a [`Socket`] forgets that its stream is ready only where the kernel says so (`EAGAIN`), or where
-//! its user knows that nothing is due ([`Socket::expects_nothing`]).
+//! its user knows that nothing is due ([`Socket::assume_drained`]).
 
 use super::stall;
 use super::transient::{no_memory, MemoryRetry};
@@ -71,7 +71,7 @@
 
     /// The other side has said all that it was asked for: the next read waits for news without a look at the socket. What
     /// stands there all the same shows with the next bytes that come.
-    pub fn expects_nothing(&self) {
+    pub fn assume_drained(&self) {
         self.forget_readable();
     }
 
@@ -84,7 +84,7 @@
 
     /// Waits until the other side has ended the connection, while nothing is read from it: what it sent before may still
     /// stand unread. Cancel safe.
-    pub async fn ended(&mut self) {
+    pub async fn wait_closed(&mut self) {
         loop {
             let ready = self.stream.ready(Interest::READABLE).await;
             if ready.is_err() || self.stream.gone() {
@@ -132,7 +132,7 @@
             ready!(self.stream.poll_write_ready(cx))?;
             meter::add(Cost::Writes, 1);
             let written = write(&self.stream);
-            stall::look();
+            stall::check();
             match written {
                 Err(e) if calls_again(&e) => {}
                 written if self.write_retry.again(&written) => {}
--- a/src/net/socket_tests.rs
+++ b/src/net/socket_tests.rs
@@ -15,10 +15,10 @@
         with_connection(|mut client, server| async move {
             let mut server = Socket::new(server);
             client.write_all(&vec![7; unread]).expect("sent");
-            let soon = tokio::time::timeout(STILL_THERE, server.ended()).await;
+            let soon = tokio::time::timeout(STILL_THERE, server.wait_closed()).await;
             assert!(soon.is_err(), "it is still there, with {unread} bytes unread");
             client.shutdown(std::net::Shutdown::Write).expect("ended");
-            let seen = tokio::time::timeout(Duration::from_secs(20), server.ended()).await;
+            let seen = tokio::time::timeout(Duration::from_secs(20), server.wait_closed()).await;
             assert!(seen.is_ok(), "{unread} bytes unread");
         });
     }
@@ -31,7 +31,7 @@
         client.write_all(&[7; 64]).expect("sent");
         socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
         drop(client);
-        assert!(tokio::time::timeout(Duration::from_secs(20), server.ended()).await.is_ok());
+        assert!(tokio::time::timeout(Duration::from_secs(20), server.wait_closed()).await.is_ok());
     });
 }
 
--- a/src/net/stall.rs
+++ b/src/net/stall.rs
@@ -60,13 +60,13 @@
 }
 
 /// The thread has rested up to now.
-pub fn rested() {
+pub fn thread_unparked() {
     let now = Instant::now();
     LOOKS.set(Some(LOOKS.get().unwrap_or(Looks::new(now)).rested(now)));
 }
 
 /// Looks at the clock: since when what is read now may have stood in its socket, where the process was held up meanwhile.
-pub fn look() -> Option<Instant> {
+pub fn check() -> Option<Instant> {
     let now = Instant::now();
     let looks = LOOKS.get().unwrap_or(Looks::new(now)).look(now);
     LOOKS.set(Some(looks));
@@ -75,8 +75,8 @@
 
 /// How long, in us, a request that is read now may have waited for that: since a hold-up began, and since `waits_since`, where its
 /// connection was not read from then on.
-pub fn waited(waits_since: Option<Instant>) -> Time {
-    let since = waits_since.into_iter().chain(look()).min();
+pub fn queued_time(waits_since: Option<Instant>) -> Time {
+    let since = waits_since.into_iter().chain(check()).min();
     since.map_or(0, |since| since.elapsed().as_micros() as Time)
 }
 
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -174,7 +174,7 @@
     async fn answer(&mut self, request: &HttpRequest) -> Result<Option<Answered>, HttpError> {
         count(Count::odata_requests);
         // What was sent before the front was there has waited since then.
-        let waited = stall::waited(self.waits_since.take());
+        let waited = stall::queued_time(self.waits_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
         let mut broken = None;
         loop {
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -106,7 +106,7 @@
                 Backend::AuthenticationOk if !known => known = true,
                 // What stands behind it already would pass for the first statement's answer.
                 Backend::Ready if known && !link.left_over() => {
-                    link.framed.get_ref().expects_nothing();
+                    link.framed.get_ref().assume_drained();
                     return Ok(link);
                 }
                 Backend::ParameterStatus(..) | Backend::KeyData if known => {}
@@ -205,7 +205,7 @@
         let (reply, end) = self.reply().await;
         // Of a value that has begun the rest may stand in the socket already.
         if matches!(end, End::Whole { .. }) {
-            self.framed.get_ref().expects_nothing();
+            self.framed.get_ref().assume_drained();
         }
         (reply, end, strays > 0)
     }
@@ -253,7 +253,7 @@
             return false;
         }
         let strays = self.past_fence().await;
-        self.framed.get_ref().expects_nothing();
+        self.framed.get_ref().assume_drained();
         if matches!(strays, Ok(n) if n > 0) {
             count(Count::member_extras);
         }
@@ -335,7 +335,7 @@
                 _ => break Confirmation::Contradicted,
             }
         };
-        self.framed.get_ref().expects_nothing();
+        self.framed.get_ref().assume_drained();
         if copies > 0 || confirmation == Confirmation::Contradicted {
             count(Count::member_extras);
         }
@@ -364,7 +364,7 @@
             }
         };
         release_large_buffers(&mut self.framed);
-        self.framed.get_ref().expects_nothing();
+        self.framed.get_ref().assume_drained();
         if whole {
             let _ = to.send(Chunk::Whole).await;
         } else {
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -273,7 +273,7 @@
         count(Count::pg_requests);
         let front = &self.front;
         let terms = front.terms.borrow().clone();
-        let waited = stall::waited(self.state.waits_since);
+        let waited = stall::queued_time(self.state.waits_since);
         match statement::read(text, &terms, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
                 self.state.sound = true;
@@ -308,7 +308,7 @@
             let reply = tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0) => reply,
-                () = self.conn.get_mut().ended() => return Ok(client_close::closed_by_client(self.conn)),
+                () = self.conn.get_mut().wait_closed() => return Ok(client_close::closed_by_client(self.conn)),
             };
             put(&mut self.conn, reply, &mut self.owed.0).await?;
         }
