--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -180,7 +180,9 @@
         let phase = *self.phase.borrow();
         match phase {
             ProcessPhase::Starting => return Reply::No("starting: clients are not taken yet".to_string()),
-            ProcessPhase::HandingOver | ProcessPhase::Closing | ProcessPhase::Ended => return Reply::No("ending".to_string()),
+            ProcessPhase::HandingOver | ProcessPhase::Closing | ProcessPhase::Ended => {
+                return Reply::No("ending".to_string())
+            }
             ProcessPhase::Serving => {}
         }
         match self.control.request(Order::Ready).await {
--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -9,9 +9,9 @@
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Listed};
 use crate::interface::*;
-use crate::net::discovery::{ListRequest, ListReader, MemberNumbers};
-use crate::net::transient;
+use crate::net::discovery::{ListReader, ListRequest, MemberNumbers};
 use crate::net::socket::Socket;
+use crate::net::transient;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -105,7 +105,8 @@
     /// Hands on the list if it has changed or an answer is owed.
     async fn tell(&mut self, fine: bool, owed: bool) -> Option<()> {
         let members = self.cache.members(&self.service, &self.zones, &mut self.numbers);
-        self.numbers.release_departed(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
+        self.numbers
+            .release_departed(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
         let known = self.told.as_ref() == Some(&members);
         let list = match (fine, known) {
             (true, false) => Input::List(ListKind::Full, members.clone()),
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,15 +21,15 @@
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::Held;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::client_listeners::ClientListeners;
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, ErrorPacer};
-use linentrail::net::discovery::{Discovery, ListReader, DiscoveryService};
+use linentrail::net::client_listeners::ClientListeners;
+use linentrail::net::discovery::{Discovery, DiscoveryService, ListReader};
+use linentrail::net::listen::ProcessPhase;
 use linentrail::net::member_actors::MemberActors;
 use linentrail::net::stall;
-use linentrail::net::listen::ProcessPhase;
-use linentrail::net::transient;
 use linentrail::net::startup::{self, ClientListener};
+use linentrail::net::transient;
 use linentrail::operators::agreement::OnLapse;
 use linentrail::operators::{self, DnsSd, Odata};
 use linentrail::parley::{Parley, Wiring};
@@ -193,7 +193,8 @@
     let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
-    let (discovery, service) = watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
+    let (discovery, service) =
+        watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
     let mut version = Arc::default();
     if file.dnssd.browse {
         let DnsSd { server, service, .. } = &file.dnssd;
--- a/src/net/accept_queue.rs
+++ b/src/net/accept_queue.rs
@@ -60,7 +60,11 @@
     }
 
     /// The next client, once there is one; none once the process has reached `phase`. Cancel safe.
-    pub async fn next_until(&self, closing: &mut PhaseReceiver, phase: ProcessPhase) -> Option<(TcpStream, SocketAddr)> {
+    pub async fn next_until(
+        &self,
+        closing: &mut PhaseReceiver,
+        phase: ProcessPhase,
+    ) -> Option<(TcpStream, SocketAddr)> {
         tokio::select! {
             biased;
             () = wait_for_phase(closing, phase) => None,
--- a/src/net/client_close_tests.rs
+++ b/src/net/client_close_tests.rs
@@ -104,7 +104,10 @@
                 got
             }
         });
-        assert_eq!(close_if_idle(&mut conn, CloseReason::Idle, NONE).await, Some(ConnectionClosed(CloseReason::Idle)));
+        assert_eq!(
+            close_if_idle(&mut conn, CloseReason::Idle, NONE).await,
+            Some(ConnectionClosed(CloseReason::Idle))
+        );
         assert_eq!(crosses.join().expect("no panic"), "the last answer");
         assert!(conn.read_buffer().is_empty(), "what crosses the end is not read");
         assert_eq!(conn.get_mut().unread(), Unread::Bytes, "it still stands in the socket");
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -11,8 +11,8 @@
 //! it has to tell counts as told seconds later, whether it was asked or not. Where all proxies may call at one moment,
 //! [`Listing`] says when this one does.
 
-use super::transient;
 use super::socket::Socket;
+use super::transient;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Listed};
 use crate::http::{Headers, HttpClient, HttpRequest};
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,10 +1,10 @@
 //! Accepting clients, for whichever front, and how far the process is with its start and its end.
 
+use super::accept_queue::{ClientQueue, Listener};
 use super::budget::DescriptorBudget;
 use super::client_close::{CloseReason, CloseReport, ConnectionClosed, CONNECTION_LOG};
-use super::accept_queue::{ClientQueue, Listener};
-use super::stall;
 use super::socket::Socket;
+use super::stall;
 use crate::core::counters::{count, Count};
 use futures_util::future::FusedFuture;
 use futures_util::FutureExt;
@@ -172,7 +172,8 @@
             let Some((stream, peer)) = queued else { break };
             self.admit(self.bound, stream, peer, &closing).await;
         }
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::HandingOver).await {
+        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::HandingOver).await
+        {
             self.admit(came(), stream, peer, &closing).await;
         }
         // While the next process takes clients from the same listener, they are that one's.
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -107,12 +107,20 @@
 }
 
 /// Takes clients up to the end.
-async fn accept_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<ProcessPhase>, closing: PhaseReceiver) {
+async fn accept_all(
+    acceptor: Acceptor<Echo, Failing>,
+    _told: watch::Sender<ProcessPhase>,
+    closing: PhaseReceiver,
+) {
     drop(acceptor.accept_all(closing).await);
 }
 
 /// Refuses clients up to the end.
-async fn refuse_all(acceptor: Acceptor<Echo, Failing>, _told: watch::Sender<ProcessPhase>, closing: PhaseReceiver) {
+async fn refuse_all(
+    acceptor: Acceptor<Echo, Failing>,
+    _told: watch::Sender<ProcessPhase>,
+    closing: PhaseReceiver,
+) {
     acceptor.refuse_all(closing).await;
 }
 
--- a/src/net/member_actor.rs
+++ b/src/net/member_actor.rs
@@ -5,9 +5,9 @@
 //! only in those tasks, never in its own loop, so that it always takes orders.
 
 use super::budget::Budget;
-use super::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection, MemberProtocol};
-use super::member_state::SharedMemberState;
 use super::connection_pool::{Before, Pool};
+use super::member_protocol::{Confirmation, Exchange, MemberConnection, MemberProtocol, StaleInput};
+use super::member_state::SharedMemberState;
 use super::timeout::Timeout;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
--- a/src/net/member_actors.rs
+++ b/src/net/member_actors.rs
@@ -4,9 +4,9 @@
 
 use super::budget::Budget;
 use super::discovery;
+use super::member_actor::{self, MemberCommand};
 use super::member_protocol::MemberProtocol;
 use super::member_state::SharedMemberState;
-use super::member_actor::{self, MemberCommand};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{violated, Attempt, Input, Listed, Members};
@@ -142,7 +142,8 @@
             let peer = self.peers.entry(member.id).or_insert_with(|| {
                 let (orders, mailbox) = mpsc::channel(MAILBOX);
                 let state = SharedMemberState::new(*address, times);
-                let actor = member_actor::MemberActor::new(member.id, state.clone(), core, budget, clock, wire);
+                let actor =
+                    member_actor::MemberActor::new(member.id, state.clone(), core, budget, clock, wire);
                 tokio::spawn(actor.run(mailbox));
                 ActorHandle { orders, state, leaves: false, gone: None }
             });
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::core::flow::Source;
 use crate::core::Work;
-use crate::net::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection};
+use crate::net::member_protocol::{Confirmation, Exchange, MemberConnection, StaleInput};
 use bytes::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -4,8 +4,8 @@
 use super::budget::{Budget, ByteBudget};
 use super::client_close::ConnectionClosed;
 use super::listen::{self, Acceptor, PhaseReceiver, Refusal, Serves};
-use super::transient;
 use super::socket::Socket;
+use super::transient;
 use crate::core::counters::Count;
 use std::fmt::Display;
 use std::future::Future;
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -71,7 +71,8 @@
     ) -> Result<ConnectionClosed, HttpError> {
         why.count();
         let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
-        Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
+        Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried)
+            .await)
     }
 }
 
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -15,10 +15,12 @@
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
 use crate::net::budget::MIN_QUIET_TIME;
 use crate::net::client_close::{self, CloseReason, ConnectionClosed};
-use crate::net::frames::{read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
-use crate::net::stall;
+use crate::net::frames::{
+    read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE,
+};
 use crate::net::listen::{wait_for_closing, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
+use crate::net::stall;
 use futures_util::SinkExt;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -14,9 +14,9 @@
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
 use crate::net::frames::{read_next, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
-use crate::net::member_protocol::{Confirmation, Exchange, StaleInput, MemberConnection, MemberProtocol};
-use crate::net::transient;
+use crate::net::member_protocol::{Confirmation, Exchange, MemberConnection, MemberProtocol, StaleInput};
 use crate::net::socket::Socket;
+use crate::net::transient;
 use bytes::Bytes;
 use futures_util::SinkExt;
 use socket2::SockRef;
@@ -93,7 +93,11 @@
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
         let stream = transient::connect(address).await.map_err(|_| Outcome::Refused)?;
-        let framed = Framed::with_capacity(Socket::new(stream), ClientCodec::new(self.bytes.clone()), INITIAL_BUFFER_SIZE);
+        let framed = Framed::with_capacity(
+            Socket::new(stream),
+            ClientCodec::new(self.bytes.clone()),
+            INITIAL_BUFFER_SIZE,
+        );
         let mut link = Connection { framed, begun: None, _permit: permit };
         link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
         // No statement has been written, so that nothing here can have run.
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -3,9 +3,9 @@
 
 use crate::clock::Clock;
 use crate::interface::Time;
-use crate::net::client_listeners::ClientListeners;
 use crate::net::answer_limit::AnswerLimit;
 use crate::net::budget::DescriptorBudget;
+use crate::net::client_listeners::ClientListeners;
 use crate::net::listen::ProcessPhase;
 use std::future::Future;
 use std::time::Duration;
--- a/tests/wide_lists.rs
+++ b/tests/wide_lists.rs
@@ -5,7 +5,7 @@
 use linentrail::core::{Input, Listed};
 use linentrail::dnssd::browse::Browser;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::discovery::{Discovery, ListRequest, ListReader, DiscoveryService};
+use linentrail::net::discovery::{Discovery, DiscoveryService, ListReader, ListRequest};
 use linentrail::ListKind;
 use linentrail_standins::dns::Dns;
 use linentrail_standins::registry::{entry, Ill, Registry};
