--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -9,9 +9,9 @@
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Listed};
 use crate::interface::*;
-use crate::net::discovery::{Follow, Lists, Numbers};
-use crate::net::momentary;
+use crate::net::discovery::{ListReader, ListRequest, MemberNumbers};
 use crate::net::socket::Socket;
+use crate::net::transient;
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -39,7 +39,7 @@
     core: mpsc::Sender<Input>,
     clock: Clock,
     cache: Cache,
-    numbers: Numbers,
+    numbers: MemberNumbers,
     told: Option<Vec<Listed>>,
     link: Option<Framed<Socket, LengthDelimitedCodec>>,
     asked: u16,
@@ -53,13 +53,13 @@
     pub fn new(
         server: SocketAddr,
         service: &str,
-        lists: Lists,
+        lists: ListReader,
         core: mpsc::Sender<Input>,
         clock: Clock,
     ) -> Result<Self, String> {
         let mut name = Name::from_ascii(service).map_err(|e| format!("{service}: {e}"))?;
         name.set_fqdn(true);
-        let Lists { zones, numbers, .. } = lists;
+        let ListReader { zones, numbers, .. } = lists;
         Ok(Browser {
             server,
             service: name.to_lowercase(),
@@ -75,7 +75,7 @@
     }
 
     /// Runs until the core is gone. The module's asking brings a round, and an answer, at once.
-    pub async fn run(mut self, mut asked: mpsc::Receiver<Follow>) {
+    pub async fn run(mut self, mut asked: mpsc::Receiver<ListRequest>) {
         let mut owed = false;
         loop {
             let fine = self.round().await.is_some();
@@ -94,7 +94,7 @@
             let pause = pause.clamp(ROUND_LEAST, if fine { ROUND_MOST } else { AHEAD });
             tokio::select! {
                 asks = asked.recv() => match asks {
-                    Some(Follow) => owed = true,
+                    Some(ListRequest) => owed = true,
                     None => return,
                 },
                 () = tokio::time::sleep(Duration::from_micros(pause)) => owed = false,
@@ -105,7 +105,8 @@
     /// Hands on the list if it has changed or an answer is owed.
     async fn tell(&mut self, fine: bool, owed: bool) -> Option<()> {
         let members = self.cache.members(&self.service, &self.zones, &mut self.numbers);
-        self.numbers.leave(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
+        self.numbers
+            .release_departed(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
         let known = self.told.as_ref() == Some(&members);
         let list = match (fine, known) {
             (true, false) => Input::List(ListKind::Full, members.clone()),
@@ -165,7 +166,7 @@
         let mut link = match self.link.take() {
             Some(link) => link,
             None => {
-                let stream = momentary::connect(self.server).await.ok()?;
+                let stream = transient::connect(self.server).await.ok()?;
                 // Each message follows its length in two bytes.
                 LengthDelimitedCodec::builder().length_field_type::<u16>().new_framed(Socket::new(stream))
             }
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,15 +21,15 @@
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::Held;
 use linentrail::listing::{Delivery, Listing};
-use linentrail::net::accepting::Accepting;
 use linentrail::net::answer_limit::AnswerLimit;
-use linentrail::net::budget::{Budget, Pace};
-use linentrail::net::discovery::{Discovery, Lists, Service};
-use linentrail::net::fleet::Fleet;
-use linentrail::net::held_up;
-use linentrail::net::listen::Phase;
-use linentrail::net::momentary;
+use linentrail::net::budget::{Budget, ErrorPacer};
+use linentrail::net::client_listeners::ClientListeners;
+use linentrail::net::discovery::{Discovery, DiscoveryService, ListReader};
+use linentrail::net::listen::ProcessPhase;
+use linentrail::net::member_actors::MemberActors;
+use linentrail::net::stall;
 use linentrail::net::startup::{self, ClientListener};
+use linentrail::net::transient;
 use linentrail::operators::agreement::OnLapse;
 use linentrail::operators::{self, DnsSd, Odata};
 use linentrail::parley::{Parley, Wiring};
@@ -103,7 +103,7 @@
 
 async fn bind_odata(odata: &Odata) -> Result<TcpListener, String> {
     let address = odata.listen;
-    momentary::listen(address).await.map_err(|e| format!("{address}: {e}"))
+    transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
 /// No ids of bookings yet. Answers that are remembered share the memory with all else.
@@ -135,8 +135,8 @@
     log::info!("clients can connect {} us after the start", began.elapsed().as_micros());
     let file = operators::load()?;
     let loaded = config::load();
-    let (phase, closing) = watch::channel(Phase::Starting);
-    let mut accepting = Accepting::new(began, closing.clone());
+    let (phase, closing) = watch::channel(ProcessPhase::Starting);
+    let mut accepting = ClientListeners::new(began, closing.clone());
     let (mut pg_address, mut odata_address) = (None, None);
     let early_budget = loaded.as_ref().ok().map(|(told, ..)| Budget::new(told.sockets, told.memory));
     let odata_listener = match file.odata.enabled {
@@ -149,12 +149,12 @@
     let (mut pg_waits, mut odata_waits) = (early, odata_listener);
     if let (Some(budget), None) = (&early_budget, &handed) {
         if let Some(listener) =
-            pg_waits.take_if(|l| loaded.as_ref().is_ok_and(|(told, ..)| l.fits(&told.listen)))
+            pg_waits.take_if(|l| loaded.as_ref().is_ok_and(|(told, ..)| l.has_address(&told.listen)))
         {
-            pg_address = accepting.take(listener.into_inner(), PG, budget, pg_gate.clone());
+            pg_address = accepting.add(listener.into_inner(), PG, budget, pg_gate.clone());
         }
         if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.take(listener, ODATA, budget, odata_gate.clone());
+            odata_address = accepting.add(listener, ODATA, budget, odata_gate.clone());
         }
     }
     let store_file = file.store.clone();
@@ -181,26 +181,27 @@
     let (orders, ordered) = mpsc::channel(ORDERS);
     let (follow, asked) = mpsc::channel(1);
     let wire = pg::member::Pg::new(budget.bytes.clone());
-    let fleet = Fleet::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
+    let fleet = MemberActors::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
     let listing = Listing::new(settings.seed);
     let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
     let actor = Actor::new(settings, fleet, clock, (inbox, ordered)).map_err(|e| e.to_string())?;
 
-    let mut lists = Lists::new(zones.clone());
+    let mut lists = ListReader::new(zones.clone());
     // Known before the first client comes, and perhaps old.
     let known = lists.read(&recovery::list(&told.known, store.as_ref().map(|s| &s.1)), None);
     let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
-    let (discovery, service) = watch::channel(Service { address: told.discovery.clone(), proxies, delivery });
+    let (discovery, service) =
+        watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
     let mut version = Arc::default();
     if file.dnssd.browse {
         let DnsSd { server, service, .. } = &file.dnssd;
         tokio::spawn(Browser::new(*server, service, lists, mailbox.clone(), clock)?.run(asked));
     } else {
         let discovery = Discovery::new(service, listing, lists, held, mailbox.clone());
-        version = discovery.told.clone();
+        version = discovery.version.clone();
         tokio::spawn(discovery.run(asked));
     }
 
@@ -261,7 +262,7 @@
     tokio::spawn(reload.run(hangup));
     if let Some(console) = &told.console {
         let listener =
-            momentary::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
+            transient::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
         log::info!("operators call at {}", listener.local_addr().map_err(|e| e.to_string())?);
         tokio::spawn(Console::new(control.clone(), closing.clone(), stored, fleet).run(listener));
     }
@@ -285,7 +286,7 @@
     }
     let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
     control.request(|reply| Order::Serves(began, reply)).await;
-    let (core, pace) = (Handle::new(mailbox.clone()), Pace::default());
+    let (core, pace) = (Handle::new(mailbox.clone()), ErrorPacer::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
@@ -298,11 +299,11 @@
         answer_limit: answer_limit.clone(),
     }));
     if pg_address.is_none() {
-        let listener = match pg_waits.take().filter(|l| l.fits(&told.listen)) {
+        let listener = match pg_waits.take().filter(|l| l.has_address(&told.listen)) {
             Some(listener) => listener,
             None => bind_clients(handed.as_deref(), &told.listen).await?,
         };
-        pg_address = accepting.take(listener.into_inner(), PG, &budget, pg_gate);
+        pg_address = accepting.add(listener.into_inner(), PG, &budget, pg_gate);
     }
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
@@ -311,11 +312,11 @@
         let front = odata::front::Front::new(core, bookings, terms, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.take(listener, ODATA, &budget, odata_gate);
+            odata_address = accepting.add(listener, ODATA, &budget, odata_gate);
         }
         log::info!("serving OData at {}", odata_address.ok_or("OData has no address")?);
     }
-    let _ = phase.send(Phase::Serving);
+    let _ = phase.send(ProcessPhase::Serving);
     loop {
         tokio::select! {
             _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::line(), meter::line())),
@@ -395,7 +396,7 @@
     let result = match arguments.command.or(former) {
         None | Some(Command::Serve) => {
             let mut builder = tokio::runtime::Builder::new_current_thread();
-            let runtime = builder.enable_all().on_thread_unpark(held_up::rested).build();
+            let runtime = builder.enable_all().on_thread_unpark(stall::thread_unparked).build();
             runtime.map_err(|e| format!("runtime: {e}")).and_then(|r| r.block_on(run(began)))
         }
         Some(Command::Check { file }) => return check(&file),
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,10 +1,10 @@
 //! Accepting clients, for whichever front, and how far the process is with its start and its end.
 
+use super::accept_queue::{ClientQueue, Listener};
 use super::budget::DescriptorBudget;
-use super::client_end::{EndReason, EndReport, Ended, CONNECTION};
-use super::client_queue::{ClientQueue, Listener};
-use super::held_up;
+use super::client_close::{CloseReason, CloseReport, ConnectionClosed, CONNECTION_LOG};
 use super::socket::Socket;
+use super::stall;
 use crate::core::counters::{count, Count};
 use futures_util::future::FusedFuture;
 use futures_util::FutureExt;
@@ -23,13 +23,13 @@
 
 /// How far the process is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ProcessPhase {
     /// Clients are not taken yet.
     Starting,
     /// Clients are taken.
     Serving,
     /// Another process takes the clients; each connection here ends with its next answer.
-    Leaving,
+    HandingOver,
     /// Connections end between requests.
     Closing,
     /// Nobody is taken any more, not even to be refused.
@@ -37,16 +37,16 @@
 }
 
 /// Tells how far the process is.
-pub type Closing = watch::Receiver<Phase>;
+pub type PhaseReceiver = watch::Receiver<ProcessPhase>;
 
 /// Waits until the process is so far.
-pub async fn reached(closing: &mut Closing, phase: Phase) {
+pub async fn wait_for_phase(closing: &mut PhaseReceiver, phase: ProcessPhase) {
     let _ = closing.wait_for(|c| *c >= phase).await;
 }
 
 /// Waits until connections are to end.
-pub async fn closed(closing: &mut Closing) {
-    reached(closing, Phase::Closing).await;
+pub async fn wait_for_closing(closing: &mut PhaseReceiver) {
+    wait_for_phase(closing, ProcessPhase::Closing).await;
 }
 
 /// The listener that the platform holds open for this proxy and every process of it inherits. It is never shut down
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// When the descriptor is no listening TCP socket.
-pub fn inherited(descriptor: &str) -> Result<TcpListener, Error> {
+pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, Error> {
     let wrong = |what: &str| Error::new(ErrorKind::InvalidInput, format!("descriptor '{descriptor}' {what}"));
     let number: u32 = descriptor.parse().map_err(|_| wrong("is no number"))?;
     if number < 3 {
@@ -89,10 +89,10 @@
 
 impl Refusal {
     /// What a client is told that was never answered when its connection ends for this reason.
-    pub fn at_end(reason: EndReason) -> Self {
+    pub fn for_close(reason: CloseReason) -> Self {
         match reason {
-            EndReason::MadeRoom => Refusal::NoPermit,
-            EndReason::Shutdown => Refusal::Ending,
+            CloseReason::MadeRoom => Refusal::NoPermit,
+            CloseReason::Shutdown => Refusal::Ending,
             _ => Refusal::Silent,
         }
     }
@@ -129,8 +129,8 @@
         &self,
         came: Instant,
         stream: Socket,
-        closing: Closing,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send + 'static;
+        closing: PhaseReceiver,
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 
     /// Refuses one: the last word on its connection. Once `hurried` it waits for nothing any more.
     fn refuse(
@@ -138,7 +138,7 @@
         stream: Socket,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send + 'static,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send + 'static;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 }
 
 /// A listener and what its clients need. Nobody who comes waits behind another: without a permit he has a task of his own, on a
@@ -161,22 +161,23 @@
     /// Accepts clients until the end begins. Those that the machine has accepted by then and nobody has taken yet are taken as
     /// well: a listener let go of resets them. What comes back is for [`Acceptor::refuse_all`], where no other process takes the
     /// clients.
-    pub async fn accept_all(self, mut closing: Closing) -> Option<Self> {
+    pub async fn accept_all(self, mut closing: PhaseReceiver) -> Option<Self> {
         // Those that stand in the queue already may have come as soon as the listener was bound.
         loop {
             let queued = tokio::select! {
                 biased;
-                () = reached(&mut closing, Phase::Leaving) => None,
+                () = wait_for_phase(&mut closing, ProcessPhase::HandingOver) => None,
                 queued = self.queue.next_queued() => queued,
             };
             let Some((stream, peer)) = queued else { break };
             self.admit(self.bound, stream, peer, &closing).await;
         }
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, Phase::Leaving).await {
+        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::HandingOver).await
+        {
             self.admit(came(), stream, peer, &closing).await;
         }
         // While the next process takes clients from the same listener, they are that one's.
-        if *closing.borrow() < Phase::Closing {
+        if *closing.borrow() < ProcessPhase::Closing {
             return None;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
@@ -186,8 +187,8 @@
     }
 
     /// Refuses whoever comes still, up to the end of the process.
-    pub async fn refuse_all(self, mut closing: Closing) {
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, Phase::Ended).await {
+    pub async fn refuse_all(self, mut closing: PhaseReceiver) {
+        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::Ended).await {
             self.turn_away(stream, peer).await;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
@@ -196,12 +197,12 @@
     }
 
     /// Has a client served who may have come at this moment: at once, or once there is a permit; else refused.
-    async fn admit(&self, came: Instant, stream: TcpStream, peer: SocketAddr, closing: &Closing) {
+    async fn admit(&self, came: Instant, stream: TcpStream, peer: SocketAddr, closing: &PhaseReceiver) {
         let client = peer.port();
         let stream = Socket::new(stream);
         if let Some(permit) = self.clients.try_permit() {
             count(self.counter);
-            log::debug!(target: CONNECTION, client; "accepted");
+            log::debug!(target: CONNECTION_LOG, client; "accepted");
             tokio::spawn(reported(client, permit, self.serves.serve(came, stream, closing.clone())));
             return;
         }
@@ -210,14 +211,14 @@
         let closing = closing.clone();
         tokio::spawn(async move {
             let budget = clients.clone();
-            let mut hurried = Box::pin(async move { budget.refusal_wanted().await }.fuse());
+            let mut hurried = Box::pin(async move { budget.refusal_eviction_requested().await }.fuse());
             let permit = tokio::select! {
                 biased;
                 permit = tokio::time::timeout(PERMIT_TIMEOUT, clients.permit()) => permit.ok().flatten(),
                 () = &mut hurried => None,
             };
             let Some(permit) = permit else {
-                log::debug!(target: CONNECTION, client; "refused, as no permit came free");
+                log::debug!(target: CONNECTION_LOG, client; "refused, as no permit came free");
                 let hurry = async move {
                     if !hurried.is_terminated() {
                         hurried.await;
@@ -228,7 +229,7 @@
             };
             drop(refusal_permit);
             count(counter);
-            log::debug!(target: CONNECTION, client; "accepted, with a permit that came free");
+            log::debug!(target: CONNECTION_LOG, client; "accepted, with a permit that came free");
             reported(client, permit, serves.serve(came, stream, closing)).await;
         });
     }
@@ -242,9 +243,9 @@
         };
         let Some(permit) = permit else { return };
         let client = peer.port();
-        log::debug!(target: CONNECTION, client; "refused, as the process ends");
+        log::debug!(target: CONNECTION_LOG, client; "refused, as the process ends");
         let budget = self.clients.clone();
-        let hurried = async move { budget.refusal_wanted().await };
+        let hurried = async move { budget.refusal_eviction_requested().await };
         let refused = self.serves.refuse(Socket::new(stream), Refusal::Ending, hurried);
         tokio::spawn(reported(client, permit, refused));
     }
@@ -252,16 +253,16 @@
 
 /// When a client may have come that is accepted now: whoever came while the process was held up has stood in the queue.
 fn came() -> Instant {
-    held_up::look().unwrap_or_else(Instant::now)
+    stall::check().unwrap_or_else(Instant::now)
 }
 
 /// Carries out what becomes of a connection, and tells its end.
 async fn reported<E: Display>(
     client: u16,
     permit: OwnedSemaphorePermit,
-    served: impl Future<Output = Result<Ended, E>>,
+    served: impl Future<Output = Result<ConnectionClosed, E>>,
 ) {
-    let report = EndReport::new(client);
+    let report = CloseReport::new(client);
     report.tell(&served.await);
     drop(permit);
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -2,10 +2,10 @@
 //! answer in time, from the front itself or, where the rest of the start takes long, a refusal.
 
 use super::budget::{Budget, ByteBudget};
-use super::client_end::Ended;
-use super::listen::{self, Acceptor, Closing, Refusal, Serves};
-use super::momentary;
+use super::client_close::ConnectionClosed;
+use super::listen::{self, Acceptor, PhaseReceiver, Refusal, Serves};
 use super::socket::Socket;
+use super::transient;
 use crate::core::counters::Count;
 use std::fmt::Display;
 use std::future::Future;
@@ -29,8 +29,8 @@
         self: Arc<Self>,
         waits_since: Option<Instant>,
         stream: Socket,
-        closing: Closing,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send;
+        closing: PhaseReceiver,
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 
     /// Refuses a client: the last word on its connection. Once `hurried` it waits for nothing any more.
     fn refuse(
@@ -38,7 +38,7 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> impl Future<Output = Result<Ended, Self::Error>> + Send;
+    ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 }
 
 /// A client that came so long ago has not been read at once.
@@ -88,8 +88,8 @@
         &self,
         came: Instant,
         stream: Socket,
-        closing: Closing,
-    ) -> impl Future<Output = Result<Ended, F::Error>> + Send + 'static {
+        closing: PhaseReceiver,
+    ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         let (gate, bytes) = (self.gate.clone(), self.bytes.clone());
         // What is read at once has not waited; what is read later may have come right behind the connection.
         let waited = !gate.is_open() || came.elapsed() >= AT_ONCE;
@@ -107,7 +107,7 @@
         stream: Socket,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send + 'static,
-    ) -> impl Future<Output = Result<Ended, F::Error>> + Send + 'static {
+    ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         F::refuse(stream, self.bytes.clone(), why, hurried)
     }
 }
@@ -156,13 +156,13 @@
     /// When neither can be done.
     pub async fn bind(inherited: Option<&str>, address: &str) -> io::Result<Self> {
         match inherited {
-            Some(descriptor) => listen::inherited(descriptor).map(ClientListener::Inherited),
-            None => Ok(ClientListener::Own(momentary::listen(address).await?, address.to_string())),
+            Some(descriptor) => listen::inherited_listener(descriptor).map(ClientListener::Inherited),
+            None => Ok(ClientListener::Own(transient::listen(address).await?, address.to_string())),
         }
     }
 
     /// Whether it is where clients are told to come.
-    pub fn fits(&self, address: &str) -> bool {
+    pub fn has_address(&self, address: &str) -> bool {
         match self {
             ClientListener::Own(_, bound) => bound == address,
             ClientListener::Inherited(_) => true,
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -11,10 +11,10 @@
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{Budget, ByteBudget, Pace};
-use crate::net::client_end::{self, Ended};
-use crate::net::frames::{next, ROOM};
-use crate::net::listen::{Closing, Refusal};
+use crate::net::budget::{Budget, ByteBudget, ErrorPacer};
+use crate::net::client_close::{self, ConnectionClosed};
+use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
+use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
 use crate::terms::Terms;
@@ -44,7 +44,7 @@
     terms: watch::Receiver<Arc<Terms>>,
     pub(super) clock: Clock,
     pub(super) budget: Budget,
-    pub(super) pace: Pace,
+    pub(super) pace: ErrorPacer,
     answer_limit: AnswerLimit,
     /// For the ids of statements.
     random: RandomState,
@@ -58,8 +58,8 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: Closing,
-    ) -> Result<Ended, HttpError> {
+        closing: PhaseReceiver,
+    ) -> Result<ConnectionClosed, HttpError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -68,16 +68,17 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<Ended, HttpError> {
+    ) -> Result<ConnectionClosed, HttpError> {
         why.count();
-        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), ROOM);
-        Ok(client_end::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried).await)
+        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
+        Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried)
+            .await)
     }
 }
 
 /// Reads up to the first request, which a refusal answers.
 async fn first_request(conn: &mut Conn) {
-    let _ = next(conn, true).await;
+    let _ = read_next(conn, true).await;
 }
 
 impl Front {
@@ -87,7 +88,7 @@
         bookings: Bookings,
         terms: watch::Receiver<Arc<Terms>>,
         clock: Clock,
-        (budget, pace): (Budget, Pace),
+        (budget, pace): (Budget, ErrorPacer),
         answer_limit: AnswerLimit,
     ) -> Self {
         let (random, sent) = (RandomState::new(), AtomicU64::new(0));
@@ -166,7 +167,7 @@
         let Answer::Served(mut value, position) = answer else { return answer };
         let Some(flow) = value.flow.take() else { return Answer::Served(value, position) };
         // As it is, and in base64 in its response.
-        let Some(_share) = self.budget.bytes.take(flow.length().saturating_mul(3)) else {
+        let Some(_share) = self.budget.bytes.try_reserve(flow.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
         match tokio::time::timeout(GATHER_TIMEOUT, flow.gather()).await {
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -6,19 +6,21 @@
 //! | a request is begun | its rest; `UNFINISHED_REQUEST_TIMEOUT` |
 //! | a response is owed | nothing but the client |
 //!
-//! All but the client's own end go through [`client_end`], which ends nothing that has no answer.
+//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
 
 use super::front::{refused, Front, MAX_BODY_LEN};
 use super::reply::Fault;
 use super::request::Form;
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
-use crate::net::budget::QUIET_MIN;
-use crate::net::client_end::{self, EndReason, Ended};
-use crate::net::frames::{next, next_or_end, shrink, Next, ROOM};
-use crate::net::held_up;
-use crate::net::listen::{closed, Closing, Phase, Refusal};
+use crate::net::budget::MIN_QUIET_TIME;
+use crate::net::client_close::{self, CloseReason, ConnectionClosed};
+use crate::net::frames::{
+    read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE,
+};
+use crate::net::listen::{wait_for_closing, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
+use crate::net::stall;
 use futures_util::SinkExt;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -49,7 +51,7 @@
     /// The client has ended its connection.
     Left,
     /// A reason to end the connection.
-    Ends(EndReason),
+    Ends(CloseReason),
 }
 
 /// What has come of a request, and of what was read behind it.
@@ -81,7 +83,7 @@
     /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
     pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
         let codec = HttpServer::new(MAX_BODY_LEN, front.budget.bytes.clone());
-        let conn = Framed::with_capacity(stream, codec, ROOM);
+        let conn = Framed::with_capacity(stream, codec, INITIAL_BUFFER_SIZE);
         let rests = Instant::now();
         let until = rests + IDLE_TIMEOUT;
         let ahead = VecDeque::new();
@@ -89,7 +91,7 @@
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, HttpError> {
+    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, HttpError> {
         loop {
             let request = match self.wait(&mut closing).await {
                 Waited::Came(Incoming::Request(request)) => request,
@@ -103,12 +105,12 @@
                     continue;
                 }
                 Waited::Fault(fault) => return Box::pin(self.end_with(fault)).await,
-                Waited::Left => return Ok(client_end::by_client(self.conn)),
+                Waited::Left => return Ok(client_close::closed_by_client(self.conn)),
                 Waited::Ends(reason) => match end_at_rest(&mut self.conn, reason, self.asked).await {
                     Some(ended) => return Ok(ended),
                     None => {
-                        if reason == EndReason::MadeRoom {
-                            self.front.budget.clients.ask_for_room();
+                        if reason == CloseReason::MadeRoom {
+                            self.front.budget.clients.request_eviction();
                         }
                         continue;
                     }
@@ -116,12 +118,12 @@
             };
             (self.part, self.asked) = (false, true);
             let Some(Answered { mut response, broken }) = self.answer(&request).await? else {
-                return Ok(client_end::by_client(self.conn));
+                return Ok(client_close::closed_by_client(self.conn));
             };
-            let ends = *closing.borrow() >= Phase::Leaving
+            let ends = *closing.borrow() >= ProcessPhase::HandingOver
                 && self.ahead.is_empty()
                 && broken.is_none()
-                && !client_end::holds_unanswered(&mut self.conn);
+                && !client_close::has_unanswered_input(&mut self.conn);
             response.closes = request.closes || ends;
             let closes = response.closes;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
@@ -129,13 +131,13 @@
                 Err(_) => return Err(HttpError::Io(ErrorKind::TimedOut.into())),
             }
             if closes {
-                let reason = if ends { EndReason::Shutdown } else { EndReason::ClientLeft };
-                return Ok(Box::pin(client_end::announced(self.conn, reason)).await);
+                let reason = if ends { CloseReason::Shutdown } else { CloseReason::ClientLeft };
+                return Ok(Box::pin(client_close::close_as_announced(self.conn, reason)).await);
             }
             if let Some(fault) = broken {
                 return Box::pin(self.end_with(fault)).await;
             }
-            shrink(&mut self.conn);
+            release_large_buffers(&mut self.conn);
             self.rests = Instant::now();
             self.until = self.rests + IDLE_TIMEOUT;
         }
@@ -147,24 +149,24 @@
     }
 
     /// Waits for the next request, or for a reason to end. One of which a part has been read is the proxy's to answer.
-    async fn wait(&mut self, closing: &mut Closing) -> Waited {
+    async fn wait(&mut self, closing: &mut PhaseReceiver) -> Waited {
         if let Some(request) = self.ahead.pop_front() {
             return Waited::Came(request);
         }
         let (part, asked, rests) = (self.part, self.asked, self.rests);
         tokio::select! {
             biased;
-            read = next(&mut self.conn, part) => match read {
-                Next::Message(Some(Ok(request))) => Waited::Came(request),
-                Next::Message(Some(Err(fault))) => Waited::Fault(fault),
-                Next::Message(None) => Waited::Left,
-                Next::Part => Waited::Part,
+            read = read_next(&mut self.conn, part) => match read {
+                ReadEvent::Message(Some(Ok(request))) => Waited::Came(request),
+                ReadEvent::Message(Some(Err(fault))) => Waited::Fault(fault),
+                ReadEvent::Message(None) => Waited::Left,
+                ReadEvent::Partial => Waited::Part,
             },
-            () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(EndReason::Shutdown),
-            () = self.front.budget.clients.client_wanted(!asked, rests), if !part => Waited::Ends(EndReason::MadeRoom),
+            () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(CloseReason::Shutdown),
+            () = self.front.budget.clients.client_eviction_requested(!asked, rests), if !part => Waited::Ends(CloseReason::MadeRoom),
             () = tokio::time::sleep_until(self.until) => match part {
                 true => Waited::Fault(HttpError::Unfinished),
-                false => Waited::Ends(if asked { EndReason::Idle } else { EndReason::Silent }),
+                false => Waited::Ends(if asked { CloseReason::Idle } else { CloseReason::Silent }),
             },
         }
     }
@@ -174,7 +176,7 @@
     async fn answer(&mut self, request: &HttpRequest) -> Result<Option<Answered>, HttpError> {
         count(Count::odata_requests);
         // What was sent before the front was there has waited since then.
-        let waited = held_up::waited(self.waits_since.take());
+        let waited = stall::queued_time(self.waits_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
         let mut broken = None;
         loop {
@@ -182,12 +184,12 @@
             tokio::select! {
                 biased;
                 response = &mut answer => return Ok(Some(Answered { response, broken })),
-                read = next_or_end(&mut self.conn, reads, true) => match read {
-                    Next::Message(Some(Ok(next))) => self.ahead.push_back(next),
-                    Next::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
-                    Next::Message(Some(Err(e))) => broken = Some(e),
-                    Next::Message(None) => return Ok(None),
-                    Next::Part => {}
+                read = read_next_or_close(&mut self.conn, reads, true) => match read {
+                    ReadEvent::Message(Some(Ok(next))) => self.ahead.push_back(next),
+                    ReadEvent::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
+                    ReadEvent::Message(Some(Err(e))) => broken = Some(e),
+                    ReadEvent::Message(None) => return Ok(None),
+                    ReadEvent::Partial => {}
                 },
             }
         }
@@ -195,7 +197,7 @@
 
     /// Answers what could not be read, in its turn, and ends the connection: where the next request starts is not
     /// known.
-    async fn end_with(self, error: HttpError) -> Result<Ended, HttpError> {
+    async fn end_with(self, error: HttpError) -> Result<ConnectionClosed, HttpError> {
         let no_room = matches!(error, HttpError::NoRoom);
         let fault = match error {
             HttpError::Io(_) => return Err(error),
@@ -208,23 +210,23 @@
         response.closes = true;
         let Front { budget, pace, clock, .. } = &*self.front;
         // A sound request that finds no room is refused at once.
-        let turn = (!no_room).then(|| pace.turn(clock.now()));
-        Ok(client_end::after_fault(self.conn, response, turn, &budget.clients).await)
+        let turn = (!no_room).then(|| pace.next_delay(clock.now()));
+        Ok(client_close::close_with_error(self.conn, response, turn, &budget.clients).await)
     }
 }
 
 /// Waits until connections are to end, and one on which nothing was asked has been quiet: its first request may be on its way.
-async fn closed_and_quiet(closing: &mut Closing, asked: bool, rests: Instant) {
-    closed(closing).await;
+async fn closed_and_quiet(closing: &mut PhaseReceiver, asked: bool, rests: Instant) {
+    wait_for_closing(closing).await;
     if !asked {
-        tokio::time::sleep_until(rests + QUIET_MIN).await;
+        tokio::time::sleep_until(rests + MIN_QUIET_TIME).await;
     }
 }
 
 /// Ends a connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-async fn end_at_rest(conn: &mut Conn, reason: EndReason, asked: bool) -> Option<Ended> {
-    let last_word = (!asked).then(|| last_refusal(Refusal::at_end(reason)));
-    client_end::at_rest(conn, reason, last_word).await
+async fn end_at_rest(conn: &mut Conn, reason: CloseReason, asked: bool) -> Option<ConnectionClosed> {
+    let last_word = (!asked).then(|| last_refusal(Refusal::for_close(reason)));
+    client_close::close_if_idle(conn, reason, last_word).await
 }
 
 /// A refusal behind which the connection ends.
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -5,10 +5,10 @@
 use crate::clock::Clock;
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{ByteBudget, DescriptorBudget, Pace};
-use crate::net::client_end::{self, Ended};
-use crate::net::frames::ROOM;
-use crate::net::listen::{Closing, Refusal};
+use crate::net::budget::{ByteBudget, DescriptorBudget, ErrorPacer};
+use crate::net::client_close::{self, ConnectionClosed};
+use crate::net::frames::INITIAL_BUFFER_SIZE;
+use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
 use crate::terms::Terms;
@@ -39,7 +39,7 @@
     /// Bytes of messages.
     pub bytes: ByteBudget,
     /// When bad messages are answered.
-    pub pace: Pace,
+    pub pace: ErrorPacer,
     /// Until when requests may be answered.
     pub answer_limit: AnswerLimit,
 }
@@ -51,8 +51,8 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: Closing,
-    ) -> Result<Ended, WireError> {
+        closing: PhaseReceiver,
+    ) -> Result<ConnectionClosed, WireError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -61,10 +61,10 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<Ended, WireError> {
+    ) -> Result<ConnectionClosed, WireError> {
         why.count();
-        let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), ROOM);
-        Ok(client_end::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
+        let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), INITIAL_BUFFER_SIZE);
+        Ok(client_close::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
     }
 }
 
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -13,10 +13,10 @@
 use crate::interface::*;
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
-use crate::net::frames::{next, shrink, Next, ROOM};
-use crate::net::link::{Confirmation, Exchange, Guard, Link, Wire};
-use crate::net::momentary;
+use crate::net::frames::{read_next, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
+use crate::net::member_protocol::{Confirmation, Exchange, MemberConnection, MemberProtocol, StaleInput};
 use crate::net::socket::Socket;
+use crate::net::transient;
 use bytes::Bytes;
 use futures_util::SinkExt;
 use socket2::SockRef;
@@ -88,25 +88,29 @@
     report: Option<Report>,
 }
 
-impl Wire for Pg {
-    type Link = Connection;
+impl MemberProtocol for Pg {
+    type Connection = Connection;
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
-        let stream = momentary::connect(address).await.map_err(|_| Outcome::Refused)?;
-        let framed = Framed::with_capacity(Socket::new(stream), ClientCodec::new(self.bytes.clone()), ROOM);
+        let stream = transient::connect(address).await.map_err(|_| Outcome::Refused)?;
+        let framed = Framed::with_capacity(
+            Socket::new(stream),
+            ClientCodec::new(self.bytes.clone()),
+            INITIAL_BUFFER_SIZE,
+        );
         let mut link = Connection { framed, begun: None, _permit: permit };
         link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
         // No statement has been written, so that nothing here can have run.
         let mut known = false;
         loop {
-            let Next::Message(Some(Ok(message))) = next(&mut link.framed, true).await else {
+            let ReadEvent::Message(Some(Ok(message))) = read_next(&mut link.framed, true).await else {
                 return Err(Outcome::Refused);
             };
             match message {
                 Backend::AuthenticationOk if !known => known = true,
                 // What stands behind it already would pass for the first statement's answer.
                 Backend::Ready if known && !link.left_over() => {
-                    link.framed.get_ref().expects_nothing();
+                    link.framed.get_ref().assume_drained();
                     return Ok(link);
                 }
                 Backend::ParameterStatus(..) | Backend::KeyData if known => {}
@@ -123,17 +127,17 @@
     async fn past_fence(&mut self) -> Result<usize, End> {
         let mut strays = 0;
         loop {
-            match next(&mut self.framed, true).await {
-                Next::Message(Some(Ok(Backend::EmptyQuery))) => break,
+            match read_next(&mut self.framed, true).await {
+                ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) => break,
                 // As many as an answer may have: whoever sends more, sends without end.
-                Next::Message(Some(Ok(_))) if strays < STRAYS => strays += 1,
-                Next::Message(Some(Err(WireError::Io(_))) | None) => return Err(End::Broken),
+                ReadEvent::Message(Some(Ok(_))) if strays < STRAYS => strays += 1,
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return Err(End::Broken),
                 _ => return Err(End::Spoilt("what stands before an answer cannot be read")),
             }
         }
-        match next(&mut self.framed, true).await {
-            Next::Message(Some(Ok(Backend::Ready))) => Ok(strays),
-            Next::Message(Some(Err(WireError::Io(_))) | None) => Err(End::Broken),
+        match read_next(&mut self.framed, true).await {
+            ReadEvent::Message(Some(Ok(Backend::Ready))) => Ok(strays),
+            ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => Err(End::Broken),
             _ => Err(End::Spoilt("the fence's answer does not end")),
         }
     }
@@ -143,7 +147,7 @@
         let mut stall: Option<Instant> = None;
         loop {
             let held = self.framed.read_buffer().len();
-            let read = next(&mut self.framed, stall.is_some());
+            let read = read_next(&mut self.framed, stall.is_some());
             let read = match stall {
                 Some(at) => match tokio::time::timeout_at(at, read).await {
                     Ok(read) => read,
@@ -157,18 +161,18 @@
                 None => read.await,
             };
             let message = match read {
-                Next::Part => {
+                ReadEvent::Partial => {
                     stall = Some(Instant::now() + STALL);
                     continue;
                 }
-                Next::Message(Some(Ok(message))) => message,
-                Next::Message(Some(Err(WireError::Io(_))) | None)
+                ReadEvent::Message(Some(Ok(message))) => message,
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None)
                     if reply.fatal && self.framed.read_buffer().is_empty() =>
                 {
                     return (reply, End::Whole { ready: false })
                 }
-                Next::Message(Some(Err(WireError::Io(_))) | None) => return (reply, End::Broken),
-                Next::Message(Some(Err(e))) => {
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return (reply, End::Broken),
+                ReadEvent::Message(Some(Err(e))) => {
                     log::debug!("a member's message cannot be read: {e}");
                     return (reply, End::Spoilt("a message of an answer cannot be read"));
                 }
@@ -191,10 +195,10 @@
     }
 
     /// The answer to what was written under this guard. Whether anything stood before it that does not belong to it.
-    async fn answer(&mut self, guard: Guard) -> (Reply, End, bool) {
+    async fn answer(&mut self, guard: StaleInput) -> (Reply, End, bool) {
         let strays = match guard {
-            Guard::Proven => 0,
-            Guard::Fence => match self.past_fence().await {
+            StaleInput::Excluded => 0,
+            StaleInput::Possible => match self.past_fence().await {
                 Ok(strays) => strays,
                 Err(end) => return (Reply::default(), end, true),
             },
@@ -205,7 +209,7 @@
         let (reply, end) = self.reply().await;
         // Of a value that has begun the rest may stand in the socket already.
         if matches!(end, End::Whole { .. }) {
-            self.framed.get_ref().expects_nothing();
+            self.framed.get_ref().assume_drained();
         }
         (reply, end, strays > 0)
     }
@@ -234,8 +238,8 @@
     }
 }
 
-impl Link for Connection {
-    fn stands(&self) -> bool {
+impl MemberConnection for Connection {
+    fn is_quiet(&self) -> bool {
         if self.left_over() {
             return false;
         }
@@ -253,21 +257,21 @@
             return false;
         }
         let strays = self.past_fence().await;
-        self.framed.get_ref().expects_nothing();
+        self.framed.get_ref().assume_drained();
         if matches!(strays, Ok(n) if n > 0) {
             count(Count::member_extras);
         }
         matches!(strays, Ok(0)) && self.framed.read_buffer().is_empty()
     }
 
-    async fn run(&mut self, work: &Work, wait: Time, guard: Guard, written: &mut bool) -> Exchange {
-        if self.write(work, wait, guard == Guard::Fence).await.is_err() {
+    async fn run(&mut self, work: &Work, wait: Time, guard: StaleInput, written: &mut bool) -> Exchange {
+        if self.write(work, wait, guard == StaleInput::Possible).await.is_err() {
             // The break came before the last byte was written: it never ran.
             return Exchange::default();
         }
         *written = true;
         let (mut reply, end, strays) = self.answer(guard).await;
-        shrink(&mut self.framed);
+        release_large_buffers(&mut self.framed);
         let outcome = match end {
             End::Whole { .. } => reply.outcome(is_write(work)),
             End::Begun(_) => Outcome::Completed,
@@ -279,7 +283,7 @@
         // value stands for itself; what comes behind it shows when the connection is used again.
         let proof = matches!(outcome, Outcome::Miss | Outcome::Saturated);
         let whole = end == End::Whole { ready: true };
-        let more = strays || whole && if proof { !self.stands() } else { self.left_over() };
+        let more = strays || whole && if proof { !self.is_quiet() } else { self.left_over() };
         let outcome = if more && proof { Outcome::Errored } else { outcome };
         if let End::Spoilt(what) = end {
             count(Count::member_spoilt);
@@ -299,7 +303,7 @@
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
             self.begun = Some(Box::new(reply));
-            return Exchange { outcome, value, note, report, reusable: false, begun: Some(source) };
+            return Exchange { outcome, value, note, report, reusable: false, value_rest: Some(source) };
         }
         let Reply { column, row, note, report, .. } = reply;
         let value = column.filter(|_| outcome == Outcome::Completed).map(|c| Value {
@@ -309,7 +313,7 @@
             bytes: row.flatten(),
             flow: None,
         });
-        Exchange { outcome, value, note, report, reusable: whole && !more, begun: None }
+        Exchange { outcome, value, note, report, reusable: whole && !more, value_rest: None }
     }
 
     async fn confirm(&mut self) -> Confirmation {
@@ -318,24 +322,24 @@
         let mut copies = 0;
         let mut answered = false;
         let confirmation = loop {
-            match next(&mut self.framed, true).await {
-                Next::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
-                Next::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
-                    break Confirmation::Alone
+            match read_next(&mut self.framed, true).await {
+                ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
+                    break Confirmation::Reusable
                 }
-                Next::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::Last,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::NotReusable,
                 // A copy of the refusal says nothing else.
-                Next::Message(Some(Ok(Backend::Error { code, .. })))
+                ReadEvent::Message(Some(Ok(Backend::Error { code, .. })))
                     if copies < STRAYS && turns_away(&code) =>
                 {
                     copies += 1;
                 }
-                Next::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
-                Next::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::Last,
+                ReadEvent::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::NotReusable,
                 _ => break Confirmation::Contradicted,
             }
         };
-        self.framed.get_ref().expects_nothing();
+        self.framed.get_ref().assume_drained();
         if copies > 0 || confirmation == Confirmation::Contradicted {
             count(Count::member_extras);
         }
@@ -345,11 +349,11 @@
         }
     }
 
-    async fn rest(&mut self, to: Source) -> bool {
+    async fn forward_rest(&mut self, to: Source) -> bool {
         let Some(mut reply) = self.begun.take() else { return false };
         let whole = loop {
-            let read = tokio::time::timeout(FLOW_STALL, next(&mut self.framed, true)).await;
-            let Ok(Next::Message(Some(Ok(message)))) = read else { break false };
+            let read = tokio::time::timeout(FLOW_STALL, read_next(&mut self.framed, true)).await;
+            let Ok(ReadEvent::Message(Some(Ok(message)))) = read else { break false };
             match message {
                 // As fast as it is taken; whoever wanted it may have left.
                 Backend::Chunk(bytes) => match to.send(Chunk::Bytes(bytes)).await {
@@ -363,8 +367,8 @@
                 },
             }
         };
-        shrink(&mut self.framed);
-        self.framed.get_ref().expects_nothing();
+        release_large_buffers(&mut self.framed);
+        self.framed.get_ref().assume_drained();
         if whole {
             let _ = to.send(Chunk::Whole).await;
         } else {
@@ -373,8 +377,8 @@
         whole && !self.left_over()
     }
 
-    async fn probe(&mut self, guard: Guard) -> Option<(Report, bool)> {
-        if guard == Guard::Fence {
+    async fn probe(&mut self, guard: StaleInput) -> Option<(Report, bool)> {
+        if guard == StaleInput::Possible {
             self.framed.feed(Frontend::Empty).await.ok()?;
         }
         self.framed.send(Frontend::Stats).await.ok()?;
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -7,7 +7,7 @@
 //! | answers are owed | nothing but the client |
 //! | at rest | the client; `IDLE_TIMEOUT`; others who lack a permit; the end of the process |
 //!
-//! All but the client's own end go through [`client_end`], which ends nothing that has no answer.
+//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
 
 use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
 use super::front::{error, last_refusal, Front};
@@ -15,12 +15,12 @@
 use super::statement::{self, Fault};
 use crate::core::counters::{count, Count};
 use crate::interface::*;
-use crate::net::budget::QUIET_MIN;
-use crate::net::client_end::{self, EndReason, Ended, CONNECTION};
-use crate::net::frames::{next_or_end, shrink, Next, ROOM};
-use crate::net::held_up;
-use crate::net::listen::{reached, Closing, Phase, Refusal};
+use crate::net::budget::MIN_QUIET_TIME;
+use crate::net::client_close::{self, CloseReason, ConnectionClosed, CONNECTION_LOG};
+use crate::net::frames::{read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE};
+use crate::net::listen::{wait_for_phase, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
+use crate::net::stall;
 use bytes::Bytes;
 use std::pin::pin;
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     rests: Instant,
     /// Since when a message is begun that has not ended.
     part: Option<Instant>,
-    phase: Phase,
+    phase: ProcessPhase,
     /// The connection ends as soon as it is at rest.
     leaving: bool,
     /// The client has said goodbye.
@@ -78,7 +78,7 @@
 impl Session {
     /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
     pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
-        let conn = Framed::with_capacity(stream, ServerCodec::new(front.bytes.clone()), ROOM);
+        let conn = Framed::with_capacity(stream, ServerCodec::new(front.bytes.clone()), INITIAL_BUFFER_SIZE);
         let (state, opened) = (SessionState { waits_since, ..SessionState::default() }, Instant::now());
         Session {
             front,
@@ -88,26 +88,26 @@
             opened,
             rests: opened,
             part: None,
-            phase: Phase::Starting,
+            phase: ProcessPhase::Starting,
             leaving: false,
             goodbye: false,
         }
     }
 
     /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, WireError> {
+    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, WireError> {
         self.phase = *closing.borrow();
-        self.leaving = self.phase >= Phase::Closing;
+        self.leaving = self.phase >= ProcessPhase::Closing;
         // Set anew with each step of the end: first connections end with their next answer, then between requests.
         let mut begun = closing.clone();
-        let mut begun = pin!(reached(&mut begun, Phase::Leaving));
-        let mut closed = pin!(reached(&mut closing, Phase::Closing));
+        let mut begun = pin!(wait_for_phase(&mut begun, ProcessPhase::HandingOver));
+        let mut closed = pin!(wait_for_phase(&mut closing, ProcessPhase::Closing));
         // Set anew only when it rings too early: nearly every wait ends long before its limit.
         let mut timer = pin!(tokio::time::sleep_until(self.opened + FIRST_MESSAGE_TIMEOUT));
         loop {
             if let Some(reason) = self.ends_now() {
                 if self.goodbye {
-                    return Ok(Box::pin(client_end::after_last_word(self.conn, reason)).await);
+                    return Ok(Box::pin(client_close::close_after_last_message(self.conn, reason)).await);
                 }
                 if let Some(ended) = self.end_at_rest(reason).await {
                     return Ok(ended);
@@ -124,24 +124,24 @@
             tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0), if !self.owed.0.is_empty() => self.answer(reply).await?,
-                read = next_or_end(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
+                read = read_next_or_close(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
                     match read {
-                        Next::Part => self.part = Some(Instant::now()),
-                        Next::Message(None) => return Ok(client_end::by_client(self.conn)),
-                        Next::Message(Some(Ok(message))) => self.dispatch(message).await,
-                        Next::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
+                        ReadEvent::Partial => self.part = Some(Instant::now()),
+                        ReadEvent::Message(None) => return Ok(client_close::closed_by_client(self.conn)),
+                        ReadEvent::Message(Some(Ok(message))) => self.dispatch(message).await,
+                        ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
                     }
                 }
-                () = begun.as_mut(), if self.phase < Phase::Leaving => self.phase = Phase::Leaving,
-                () = closed.as_mut(), if self.phase == Phase::Leaving => {
-                    (self.phase, self.leaving) = (Phase::Closing, true);
+                () = begun.as_mut(), if self.phase < ProcessPhase::HandingOver => self.phase = ProcessPhase::HandingOver,
+                () = closed.as_mut(), if self.phase == ProcessPhase::HandingOver => {
+                    (self.phase, self.leaving) = (ProcessPhase::Closing, true);
                 }
                 // Others lack a permit, or too many rest: this one is between requests and has been for longest.
-                () = self.front.clients.client_wanted(!self.state.sound, self.rests), if at_rest => {
-                    if let Some(ended) = self.end_at_rest(EndReason::MadeRoom).await {
+                () = self.front.clients.client_eviction_requested(!self.state.sound, self.rests), if at_rest => {
+                    if let Some(ended) = self.end_at_rest(CloseReason::MadeRoom).await {
                         return Ok(ended);
                     }
-                    self.front.clients.ask_for_room();
+                    self.front.clients.request_eviction();
                 }
                 () = timer.as_mut() => match self.part {
                     _ if until.is_none_or(|until| Instant::now() < until) => {
@@ -150,7 +150,7 @@
                     Some(_) => return Box::pin(self.end_with(WireError::Unfinished)).await,
                     None if self.ends_now().is_some() => {}
                     None => {
-                        let reason = if self.state.asked { EndReason::Idle } else { EndReason::Silent };
+                        let reason = if self.state.asked { CloseReason::Idle } else { CloseReason::Silent };
                         if let Some(ended) = self.end_at_rest(reason).await {
                             return Ok(ended);
                         }
@@ -167,18 +167,18 @@
 
     /// Whether more is read now.
     fn reads(&self) -> bool {
-        let depth = if self.front.bytes.tight() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
+        let depth = if self.front.bytes.is_scarce() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
         self.owed.0.len() < depth && !self.goodbye
     }
 
     /// Why the connection is to end, if it is to end now.
-    fn ends_now(&self) -> Option<EndReason> {
+    fn ends_now(&self) -> Option<CloseReason> {
         match () {
             () if !self.at_rest() => None,
-            () if self.goodbye => Some(EndReason::ClientLeft),
+            () if self.goodbye => Some(CloseReason::ClientLeft),
             // The first request of a new client may be on its way.
-            () if self.leaving && (self.state.asked || Instant::now() >= self.rests + QUIET_MIN) => {
-                Some(EndReason::Shutdown)
+            () if self.leaving && (self.state.asked || Instant::now() >= self.rests + MIN_QUIET_TIME) => {
+                Some(CloseReason::Shutdown)
             }
             () => None,
         }
@@ -193,26 +193,26 @@
             Some(_) => Some(first),
             None if !self.owed.0.is_empty() => None,
             None if self.state.asked => Some(self.rests + IDLE_TIMEOUT),
-            None if self.leaving => Some(first.min(self.rests + QUIET_MIN)),
+            None if self.leaving => Some(first.min(self.rests + MIN_QUIET_TIME)),
             None => Some(first),
         }
     }
 
     /// Ends the connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-    async fn end_at_rest(&mut self, reason: EndReason) -> Option<Ended> {
-        let last_word = (!self.state.asked).then(|| last_refusal(Refusal::at_end(reason)));
-        client_end::at_rest(&mut self.conn, reason, last_word).await
+    async fn end_at_rest(&mut self, reason: CloseReason) -> Option<ConnectionClosed> {
+        let last_word = (!self.state.asked).then(|| last_refusal(Refusal::for_close(reason)));
+        client_close::close_if_idle(&mut self.conn, reason, last_word).await
     }
 
     /// Sends an answer, and those behind it that are due already.
     async fn answer(&mut self, reply: Reply) -> Result<(), WireError> {
         // A client that takes in nothing must not hold its permit for ever.
         put(&mut self.conn, reply, &mut self.owed.0).await?;
-        shrink(&mut self.conn);
+        release_large_buffers(&mut self.conn);
         self.rests = Instant::now();
         if self.state.asked {
             self.state.waits_since = None;
-            self.leaving |= self.phase >= Phase::Leaving;
+            self.leaving |= self.phase >= ProcessPhase::HandingOver;
         }
         Ok(())
     }
@@ -261,7 +261,7 @@
             _ => return None,
         };
         if text.trim_ascii().is_empty() {
-            log::debug!(target: CONNECTION, client = self.conn.get_ref().port(); "empty query");
+            log::debug!(target: CONNECTION_LOG, client = self.conn.get_ref().port(); "empty query");
             self.state.sound = true;
             return Some(PendingReply::Ready(Reply::Empty));
         }
@@ -273,14 +273,14 @@
         count(Count::pg_requests);
         let front = &self.front;
         let terms = front.terms.borrow().clone();
-        let waited = held_up::waited(self.state.waits_since);
+        let waited = stall::queued_time(self.state.waits_since);
         match statement::read(text, &terms, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
                 self.state.sound = true;
                 let client = self.conn.get_ref();
                 request.deadline = front.answer_limit.cap(request.deadline.saturating_sub(DEADLINE_MARGIN));
                 request.client = Some(client.presence());
-                log::debug!(target: CONNECTION, client = client.port(), name:? = request.name; "request read");
+                log::debug!(target: CONNECTION_LOG, client = client.port(), name:? = request.name; "request read");
                 let write = request.terms.classes[request.class].need == Need::Write;
                 PendingReply::Waiting(front.core.submit(request).await, write)
             }
@@ -298,17 +298,17 @@
     }
 
     fn turn(&self) -> Duration {
-        self.front.pace.turn(self.front.clock.now())
+        self.front.pace.next_delay(self.front.clock.now())
     }
 
     /// The next message cannot be found any more: what was asked before is answered, to a client that is still there, then comes
     /// an error, and the end.
-    async fn end_with(mut self, fault: WireError) -> Result<Ended, WireError> {
+    async fn end_with(mut self, fault: WireError) -> Result<ConnectionClosed, WireError> {
         while !self.owed.0.is_empty() {
             let reply = tokio::select! {
                 biased;
                 reply = due(&mut self.owed.0) => reply,
-                () = self.conn.get_mut().ended() => return Ok(client_end::by_client(self.conn)),
+                () = self.conn.get_mut().wait_closed() => return Ok(client_close::closed_by_client(self.conn)),
             };
             put(&mut self.conn, reply, &mut self.owed.0).await?;
         }
@@ -320,12 +320,12 @@
             WireError::NoRoom => ("53300", Count::pg_no_room),
         };
         count(counter);
-        log::debug!(target: CONNECTION, "closed with an error: {fault}");
+        log::debug!(target: CONNECTION_LOG, "closed with an error: {fault}");
         let message = Bytes::from(fault.to_string());
         let last_word = Reply::Error { after: After::End, code, message, detail: None };
         // A sound request that finds no room is refused at once.
         let turn = (!matches!(fault, WireError::NoRoom)).then(|| self.turn());
-        Ok(client_end::after_fault(self.conn, last_word, turn, &self.front.clients).await)
+        Ok(client_close::close_with_error(self.conn, last_word, turn, &self.front.clients).await)
     }
 }
 
