--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -68,7 +68,7 @@
         Headers(found.iter().map(|h| (h.name.to_string(), text(h.value))).collect())
     }
 
-    fn closes(&self) -> bool {
+    fn connection_close(&self) -> bool {
         self.get("Connection").is_some_and(|v| v.to_ascii_lowercase().contains("close"))
     }
 }
@@ -85,7 +85,7 @@
     /// Body.
     pub body: Bytes,
     /// The client wants no further request on this connection.
-    pub closes: bool,
+    pub connection_close: bool,
 }
 
 /// What a server reads.
@@ -107,13 +107,13 @@
     /// Body.
     pub body: Bytes,
     /// The connection ends with it.
-    pub closes: bool,
+    pub connection_close: bool,
 }
 
 impl HttpResponse {
     /// Tells a client to send the body that it holds back.
     pub fn go_on() -> Self {
-        HttpResponse { status: 100, headers: Headers::default(), body: Bytes::new(), closes: false }
+        HttpResponse { status: 100, headers: Headers::default(), body: Bytes::new(), connection_close: false }
     }
 }
 
@@ -249,8 +249,8 @@
         let minor = match &head {
             Head::Request { minor, .. } | Head::Response { minor, .. } => *minor,
         };
-        let closes = headers.closes() || minor == 0 || kind == Body::UntilEnd;
-        Ok(Some((head, headers, body, closes)))
+        let connection_close = headers.connection_close() || minor == 0 || kind == Body::UntilEnd;
+        Ok(Some((head, headers, body, connection_close)))
     }
 }
 
@@ -312,10 +312,10 @@
     type Error = HttpError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Incoming>, HttpError> {
-        if let Some((head, headers, body, closes)) = self.0.message(src, true, false)? {
+        if let Some((head, headers, body, connection_close)) = self.0.message(src, true, false)? {
             return Ok(match head {
                 Head::Request { method, target, .. } => {
-                    Some(Incoming::Request(HttpRequest { method, target, headers, body, closes }))
+                    Some(Incoming::Request(HttpRequest { method, target, headers, body, connection_close }))
                 }
                 Head::Response { .. } => None,
             });
@@ -331,7 +331,7 @@
     fn encode(&mut self, response: HttpResponse, dst: &mut BytesMut) -> Result<(), HttpError> {
         dst.put_slice(format!("HTTP/1.1 {} {}\r\n", response.status, reason(response.status)).as_bytes());
         put_fields(&response.headers, dst);
-        if response.closes {
+        if response.connection_close {
             dst.put_slice(b"Connection: close\r\n");
         }
         // A length on an answer that has no body by its status is not allowed.
@@ -385,10 +385,14 @@
     }
 
     fn response(&mut self, src: &mut BytesMut, ended: bool) -> Result<Option<HttpResponse>, HttpError> {
-        Ok(self.0.message(src, false, ended)?.and_then(|(head, headers, body, closes)| match head {
-            Head::Response { status, .. } => Some(HttpResponse { status, headers, body, closes }),
-            Head::Request { .. } => None,
-        }))
+        Ok(self.0.message(src, false, ended)?.and_then(
+            |(head, headers, body, connection_close)| match head {
+                Head::Response { status, .. } => {
+                    Some(HttpResponse { status, headers, body, connection_close })
+                }
+                Head::Request { .. } => None,
+            },
+        ))
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -452,13 +452,13 @@
         headers.add("Host", address.as_str());
         headers.add("Accept", "application/json");
         let method = "GET".to_string();
-        let request = HttpRequest { method, target, headers, body: Bytes::new(), closes: false };
+        let request = HttpRequest { method, target, headers, body: Bytes::new(), connection_close: false };
         link.send(request).await.ok()?;
         let response = link.next().await?.ok()?;
         if response.status != 200 {
             return None;
         }
-        if !response.closes {
+        if !response.connection_close {
             self.link = Some(link);
         }
         Some(response.body)
--- a/src/odata/reply.rs
+++ b/src/odata/reply.rs
@@ -76,7 +76,7 @@
     if status != 204 {
         headers.add("Content-Type", kind);
     }
-    HttpResponse { status, headers, body: Bytes::from(body), closes: false }
+    HttpResponse { status, headers, body: Bytes::from(body), connection_close: false }
 }
 
 fn json_response(status: u16, form: Form, json: &Json) -> HttpResponse {
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -122,8 +122,8 @@
                 && self.ahead.is_empty()
                 && broken.is_none()
                 && !client_end::holds_unanswered(&mut self.conn);
-            response.closes = request.closes || ends;
-            let closes = response.closes;
+            response.connection_close = request.connection_close || ends;
+            let closes = response.connection_close;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
                 Ok(sent) => sent?,
                 Err(_) => return Err(HttpError::Io(ErrorKind::TimedOut.into())),
@@ -205,7 +205,7 @@
             HttpError::NoRoom => Fault::come_back(None, &error.to_string()),
         };
         let mut response = refused(fault, Form::default());
-        response.closes = true;
+        response.connection_close = true;
         let Front { budget, pace, clock, .. } = &*self.front;
         // A sound request that finds no room is refused at once.
         let turn = (!no_room).then(|| pace.turn(clock.now()));
@@ -230,6 +230,6 @@
 /// A refusal behind which the connection ends.
 pub(super) fn last_refusal(why: Refusal) -> HttpResponse {
     let mut response = Fault::come_back(None, why.text()).response(Form::default());
-    response.closes = true;
+    response.connection_close = true;
     response
 }
