--- a/src/main.rs
+++ b/src/main.rs
@@ -180,7 +180,7 @@
     let (mailbox, inbox) = mpsc::channel(MAILBOX);
     let (orders, ordered) = mpsc::channel(ORDERS);
     let (follow, asked) = mpsc::channel(1);
-    let wire = pg::member::Pg::new(budget.bytes.clone());
+    let wire = pg::member::PgConnector::new(budget.bytes.clone());
     let fleet = Fleet::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
     let listing = Listing::new(settings.seed);
--- a/src/net/peer_tests.rs
+++ b/src/net/peer_tests.rs
@@ -2,9 +2,12 @@
 
 use super::*;
 use crate::core::Work;
-use crate::pg::member::Pg;
-use crate::pg::scripted_member::{self, description, error, message, query, row, row_start, READY, WELCOME};
-use crate::pg::told::FLOWS_FROM;
+use crate::pg::member::PgConnector;
+use crate::pg::member_codec::MAX_BUFFERED_VALUE_LEN;
+use crate::pg::scripted_member::{
+    self, data_row, data_row_start, error, message, read_query, row_description, READY_FOR_QUERY,
+    STARTUP_RESPONSE,
+};
 use bytes::Bytes;
 use socket2::SockRef;
 use std::future::Future;
@@ -40,7 +43,7 @@
         let state = SharedState::new(address, SocketTimes { connect: PATIENCE, keepalive: PATIENCE });
         let (core, told) = mpsc::channel(8);
         let (orders, mailbox) = mpsc::channel(8);
-        let wire = Pg::new(budget.bytes.clone());
+        let wire = PgConnector::new(budget.bytes.clone());
         tokio::spawn(Peer::new(MemberId(1), state.clone(), core, budget, clock, wire).run(mailbox));
         let stage = Stage { orders, told, state, clock };
         stage.give(KEY, statement, patience, safe).await;
@@ -106,11 +109,11 @@
     fn start() -> Self {
         let (begins, begun) = oneshot::channel();
         let (reads_on, may_read_on) = std_mpsc::channel::<()>();
-        let (address, whole) = scripted_member::start(WELCOME.to_vec(), move |client| {
+        let (address, whole) = scripted_member::start(STARTUP_RESPONSE.to_vec(), move |client| {
             client.peek(&mut [0])?;
             let _ = begins.send(());
             let _ = may_read_on.recv();
-            Ok(query(client).is_ok())
+            Ok(read_query(client).is_ok())
         });
         SlowReader { address, begun, reads_on, whole }
     }
@@ -161,7 +164,7 @@
 
 #[test]
 fn a_reset_in_mid_write_shows_that_the_statement_never_arrived_whole() {
-    let (address, member) = scripted_member::start(WELCOME.to_vec(), |client| {
+    let (address, member) = scripted_member::start(STARTUP_RESPONSE.to_vec(), |client| {
         client.read_exact(&mut [0; 1024])?;
         SockRef::from(&*client).set_linger(Some(Duration::ZERO))
     });
@@ -172,8 +175,8 @@
 
 #[test]
 fn a_reset_behind_the_last_byte_leaves_open_whether_the_statement_ran() {
-    let (address, member) = scripted_member::start(WELCOME.to_vec(), |client| {
-        query(client)?;
+    let (address, member) = scripted_member::start(STARTUP_RESPONSE.to_vec(), |client| {
+        read_query(client)?;
         SockRef::from(&*client).set_linger(Some(Duration::ZERO))
     });
     let outcome = block_on(async { Stage::attempt(address, 4096, PATIENCE, false).await.outcome().await });
@@ -184,9 +187,9 @@
 #[test]
 fn an_attempt_whose_value_is_passed_on_ends_once_though_it_is_cancelled() {
     let (cut, is_cut) = std_mpsc::channel::<()>();
-    let (address, member) = scripted_member::start(WELCOME.to_vec(), move |client| {
-        query(client)?;
-        client.write_all(&[description(), row_start(FLOWS_FROM as u32 + 1)].concat())?;
+    let (address, member) = scripted_member::start(STARTUP_RESPONSE.to_vec(), move |client| {
+        read_query(client)?;
+        client.write_all(&[row_description(), data_row_start(MAX_BUFFERED_VALUE_LEN as u32 + 1)].concat())?;
         let _ = is_cut.recv();
         Ok(())
     });
@@ -209,10 +212,10 @@
 
 #[test]
 fn a_connection_in_the_middle_of_a_value_that_is_not_passed_on_carries_the_next_statement() {
-    let (address, member) = scripted_member::start(WELCOME.to_vec(), |client| {
-        query(client)?;
-        client.write_all(&[description(), row_start(FLOWS_FROM as u32 + 1)].concat())?;
-        Ok(query(client).is_ok())
+    let (address, member) = scripted_member::start(STARTUP_RESPONSE.to_vec(), |client| {
+        read_query(client)?;
+        client.write_all(&[row_description(), data_row_start(MAX_BUFFERED_VALUE_LEN as u32 + 1)].concat())?;
+        Ok(read_query(client).is_ok())
     });
     let asked_again = block_on(async {
         let mut stage = Stage::attempt(address, 64, PATIENCE, false).await;
@@ -226,14 +229,14 @@
 /// How an attempt ends whose member turns it away, and then answers the next query, if there is one, so; and whether there
 /// was one.
 fn turned_away(safe: bool, next: Option<Vec<u8>>) -> (Outcome, bool) {
-    let (address, member) = scripted_member::start(WELCOME.to_vec(), move |client| {
-        query(client)?;
-        client.write_all(&[&error("ERROR", "53300")[..], READY].concat())?;
-        let asked = query(client).is_ok();
+    let (address, member) = scripted_member::start(STARTUP_RESPONSE.to_vec(), move |client| {
+        read_query(client)?;
+        client.write_all(&[&error("ERROR", "53300")[..], READY_FOR_QUERY].concat())?;
+        let asked = read_query(client).is_ok();
         if let Some(next) = next {
             client.write_all(&next)?;
             // It stays until its client has gone.
-            let _ = query(client);
+            let _ = read_query(client);
         }
         Ok(asked)
     });
@@ -248,8 +251,9 @@
 
 #[test]
 fn a_value_that_comes_later_behind_a_refusal_leaves_open_whether_an_unsafe_statement_ran() {
-    let empty = [&message(b'I', &[])[..], READY].concat();
-    let value = [&description()[..], &row(b"v"), &message(b'C', b"DONE 1\0"), READY].concat();
+    let empty = [&message(b'I', &[])[..], READY_FOR_QUERY].concat();
+    let value =
+        [&row_description()[..], &data_row(b"v"), &message(b'C', b"DONE 1\0"), READY_FOR_QUERY].concat();
     for late in [[&value[..], &empty].concat(), value[..30].to_vec(), [&empty[..], &value].concat()] {
         assert_eq!(turned_away(false, Some(late)), (Outcome::Errored, true));
     }
@@ -257,7 +261,7 @@
 
 #[test]
 fn a_refusal_with_nothing_behind_it_proves_that_an_unsafe_statement_never_ran() {
-    let empty = [&message(b'I', &[])[..], READY].concat();
+    let empty = [&message(b'I', &[])[..], READY_FOR_QUERY].concat();
     assert_eq!(turned_away(false, Some(empty)), (Outcome::Saturated, true));
     // The member ends the connection instead.
     assert_eq!(turned_away(false, None), (Outcome::Saturated, true));
@@ -265,10 +269,10 @@
 
 #[test]
 fn a_copy_of_a_refusal_that_comes_later_does_not_contradict_it() {
-    let empty = [&message(b'I', &[])[..], READY].concat();
-    let copy = [&error("ERROR", "53300")[..], READY].concat();
+    let empty = [&message(b'I', &[])[..], READY_FOR_QUERY].concat();
+    let copy = [&error("ERROR", "53300")[..], READY_FOR_QUERY].concat();
     assert_eq!(turned_away(false, Some([&copy[..], &empty].concat())), (Outcome::Saturated, true));
-    let failure = [&error("ERROR", "XX000")[..], READY].concat();
+    let failure = [&error("ERROR", "XX000")[..], READY_FOR_QUERY].concat();
     assert_eq!(turned_away(false, Some([&failure[..], &empty].concat())), (Outcome::Errored, true));
 }
 
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -5,8 +5,8 @@
 //! nothing that came with it is believed.
 
 use super::frames::WireError;
+use super::member_codec::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use super::statement::{is_write, render};
-use super::told::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use crate::core::counters::{count, Count};
 use crate::core::flow::{Chunk, Flow, Source};
 use crate::core::{Value, Work};
@@ -44,14 +44,14 @@
 
 /// The members' side of the platform's protocol.
 #[derive(Clone)]
-pub struct Pg {
+pub struct PgConnector {
     bytes: ByteBudget,
 }
 
-impl Pg {
+impl PgConnector {
     /// Connections count the bytes of what they hold in `bytes`.
     pub fn new(bytes: ByteBudget) -> Self {
-        Pg { bytes }
+        PgConnector { bytes }
     }
 }
 
@@ -88,7 +88,7 @@
     report: Option<Report>,
 }
 
-impl Wire for Pg {
+impl Wire for PgConnector {
     type Link = Connection;
 
     async fn open(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Connection, Outcome> {
--- a/src/pg/member_codec.rs
+++ b/src/pg/member_codec.rs
@@ -12,7 +12,7 @@
 const FREE: usize = 512;
 
 /// A value longer than this comes in pieces; shorter ones are passed on only once they are whole.
-pub const FLOWS_FROM: usize = 64 * 1024;
+pub const MAX_BUFFERED_VALUE_LEN: usize = 64 * 1024;
 /// The longest value: 4 MiB, in text form too.
 pub const LONGEST_VALUE: usize = 2 * 4 * 1024 * 1024 + 2;
 /// Room for one piece, and what of a flowing value may be in memory.
@@ -155,7 +155,7 @@
             if row > LONGEST_VALUE {
                 return Err(WireError::TooLong(row));
             }
-            if row > FLOWS_FROM {
+            if row > MAX_BUFFERED_VALUE_LEN {
                 if src[5..7] != [0, 1] {
                     return Err(WireError::Malformed("a row does not have one column"));
                 }
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -4,9 +4,9 @@
 mod frames;
 pub mod front;
 pub mod member;
+pub mod member_codec;
 mod replies;
 #[cfg(test)]
 pub(crate) mod scripted_member;
 mod session;
 pub mod statement;
-pub mod told;
--- a/src/pg/scripted_member.rs
+++ b/src/pg/scripted_member.rs
@@ -7,9 +7,9 @@
 use std::thread::JoinHandle;
 
 /// The welcome of a new connection.
-pub(crate) const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
+pub(crate) const STARTUP_RESPONSE: &[u8] = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I";
 /// The end of an answer.
-pub(crate) const READY: &[u8] = b"Z\0\0\0\x05I";
+pub(crate) const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
 
 /// A whole error message.
 pub(crate) fn error(severity: &str, code: &str) -> Vec<u8> {
@@ -22,17 +22,17 @@
 }
 
 /// The description of one binary column.
-pub(crate) fn description() -> Vec<u8> {
+pub(crate) fn row_description() -> Vec<u8> {
     message(b'T', &[&[0, 1, b'v', 0][..], &[0; 6], &17_u32.to_be_bytes(), &[0; 6], &[0, 1]].concat())
 }
 
 /// A row of one column.
-pub(crate) fn row(value: &[u8]) -> Vec<u8> {
+pub(crate) fn data_row(value: &[u8]) -> Vec<u8> {
     message(b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat())
 }
 
 /// The first bytes of a row whose value has so many bytes.
-pub(crate) fn row_start(length: u32) -> Vec<u8> {
+pub(crate) fn data_row_start(length: u32) -> Vec<u8> {
     [&b"D"[..], &(length + 10).to_be_bytes(), &[0, 1], &length.to_be_bytes()].concat()
 }
 
@@ -54,6 +54,6 @@
 }
 
 /// Reads one query.
-pub(crate) fn query(client: &mut TcpStream) -> std::io::Result<Vec<u8>> {
+pub(crate) fn read_query(client: &mut TcpStream) -> std::io::Result<Vec<u8>> {
     wire::read(client, true).map(|(_, body)| body)
 }
