--- a/src/ask.rs
+++ b/src/console_client.rs
@@ -13,7 +13,7 @@
 
 /// What a running process says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct ProcessStatus {
     /// It is ready to serve.
     pub ready: bool,
     /// Its answers, to be shown.
@@ -21,7 +21,7 @@
 }
 
 /// The console's address, as a start would have it.
-pub(crate) fn configured() -> Result<String, String> {
+pub(crate) fn configured_address() -> Result<String, String> {
     config::lookup("BALANCER_CONSOLE", "console").map_err(|e| format!("{e}; say --console HOST:PORT"))
 }
 
@@ -51,10 +51,10 @@
 ///
 /// # Errors
 /// When no process answers there, with one plain message.
-pub fn status(console: Option<&str>) -> Result<Told, String> {
-    let console = console.map_or_else(configured, |c| Ok(c.to_string()))?;
+pub fn status(console: Option<&str>) -> Result<ProcessStatus, String> {
+    let console = console.map_or_else(configured_address, |c| Ok(c.to_string()))?;
     let status = call(&console, "STATUS")?;
     let phase = call(&console, "PHASE")?;
     let ready = status.starts_with("200 ");
-    Ok(Told { ready, lines: vec![status, phase] })
+    Ok(ProcessStatus { ready, lines: vec![status, phase] })
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The commands that ask a fleet that agrees, through the console of any of its proxies.
 
-use crate::ask::{call, configured};
+use crate::console_client::{call, configured_address};
 use crate::cli::{self, Fleet};
 use serde_json::Value;
 use std::process::ExitCode;
@@ -168,7 +168,7 @@
 /// Runs one of the commands: 0 where it is so or done, 1 where not, 2 where nobody answers.
 pub fn run(asks: &Fleet, console: Option<&str>, json: bool) -> ExitCode {
     let told =
-        console.map_or_else(configured, |c| Ok(c.to_string())).map(|console| done(asks, &console, json));
+        console.map_or_else(configured_address, |c| Ok(c.to_string())).map(|console| done(asks, &console, json));
     match told {
         Ok(Ok((lines, well))) => {
             lines.iter().for_each(|line| cli::say(format_args!("{line}")));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 #![doc = include_str!("../README.md")]
 
 pub mod agreement;
-pub mod ask;
 pub mod check;
 pub mod cli;
 pub mod clock;
 pub mod config;
 pub mod console;
+pub mod console_client;
 pub mod core;
 pub mod dnssd;
 pub mod fleet;
--- a/src/main.rs
+++ b/src/main.rs
@@ -37,7 +37,7 @@
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
 use linentrail::terms::Slots;
-use linentrail::{ask, config, fleet, logs, meter, odata, pg};
+use linentrail::{config, console_client, fleet, logs, meter, odata, pg};
 use linentrail::{ListKind, Time};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -364,7 +364,7 @@
 }
 
 fn status(console: Option<&str>) -> ExitCode {
-    match ask::status(console) {
+    match console_client::status(console) {
         Ok(told) => {
             told.lines.iter().for_each(|line| cli::say(format_args!("{line}")));
             if told.ready {
