--- a/benches/append.rs
+++ b/benches/append.rs
@@ -2,7 +2,7 @@
 //! `cargo bench --bench append [WORDS] [FOLDER]`; never in CI, as it measures the disk.
 
 use linentrail::knowledge::Knowledge;
-use linentrail::overlay::Hand;
+use linentrail::effective_list::Suspension;
 use linentrail::store::disk::Folder;
 use linentrail::store::state::Store;
 use redb::{Database, ReadableDatabase, TableDefinition};
@@ -36,7 +36,7 @@
     let mut each = Vec::new();
     for (n, name) in names(words).iter().enumerate() {
         let began = Instant::now();
-        store.word(name, &Hand { out: n as u64 + 1, back: None })?;
+        store.word(name, &Suspension { suspended_at: n as u64 + 1, restored_at: None })?;
         each.push(began.elapsed());
     }
     told("log of this program", each, folder);
--- a/src/agreement/document.rs
+++ b/src/agreement/document.rs
@@ -14,7 +14,7 @@
 /// Longest document, in bytes with all that is around it.
 pub const LONGEST: usize = 1024 * 1024;
 /// Most members that may be out.
-pub const OUT_MOST: usize = crate::overlay::OUT_MOST;
+pub const OUT_MOST: usize = crate::effective_list::MAX_SUSPENDED;
 const PURPOSE: &str = "linentrail document 1";
 
 /// A document as it is agreed on.
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -6,13 +6,13 @@
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
 use super::{
-    violated, Answer, Attempt, CommitExchange, Ending, Input, Listed, Members, Order, Request, Taken, Value,
+    violated, Answer, Attempt, CommitExchange, Ending, Input, ListedMember, Members, Order, Request, Taken, Value,
     Work, REQUEST,
 };
 use crate::clock::Clock;
 use crate::interface::*;
 use crate::knowledge::evidence::Recalled;
-use crate::overlay::Overlay;
+use crate::effective_list::EffectiveList;
 use crate::phases::Returning;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
@@ -70,7 +70,7 @@
     pub(super) orders: mpsc::Receiver<Order>,
     /// Answers to that, which wait until the module has taken it in.
     pub(super) taken: Vec<(oneshot::Sender<Taken>, Taken)>,
-    pub(super) overlay: Overlay,
+    pub(super) overlay: EffectiveList,
     /// Another process of this proxy, while one lives.
     pub(super) peer_commits: Option<Box<dyn CommitExchange>>,
     live: FxHashMap<RequestId, LiveRequest>,
@@ -117,7 +117,7 @@
             mailbox,
             orders,
             taken: Vec::new(),
-            overlay: Overlay::default(),
+            overlay: EffectiveList::default(),
             peer_commits: None,
             live: FxHashMap::default(),
             names: HashSet::new(),
@@ -190,7 +190,7 @@
     }
 
     /// Members and module are told of the list alike.
-    pub(super) fn told(&mut self, kind: ListKind, entries: Vec<Listed>) -> Event {
+    pub(super) fn told(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
         self.members.list(kind, &entries);
         Event::List { kind, members: entries.into_iter().map(|e| e.member).collect() }
     }
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -23,7 +23,7 @@
         true
     }
     fn close_idle(&mut self, _: MemberId) {}
-    fn list(&mut self, _: ListKind, _: &[Listed]) {}
+    fn list(&mut self, _: ListKind, _: &[ListedMember]) {}
     fn times(&mut self, _: crate::settings::SocketTimes) {}
     fn follow(&mut self) -> bool {
         true
@@ -35,19 +35,19 @@
     pairs.settings(1).expect("sound settings")
 }
 
-pub(super) fn listed(id: u32, start: Option<Time>) -> Listed {
+pub(super) fn listed(id: u32, start: Option<Time>) -> ListedMember {
     let (zone, group, condition) = (0, 1, Condition::In);
     let member = Member { id: MemberId(id), zone, group, condition, primary: false, up_since: start };
-    Listed { name: format!("m{id}").into(), address: SocketAddr::from(([127, 0, 0, 1], 9)), member }
+    ListedMember { name: format!("m{id}").into(), address: SocketAddr::from(([127, 0, 0, 1], 9)), member }
 }
 
 /// An actor that has heard a list of these.
-fn actor(members: Vec<Listed>) -> Actor<Still> {
+fn actor(members: Vec<ListedMember>) -> Actor<Still> {
     actor_with(settings(), members)
 }
 
 /// The same with settings of its own.
-fn actor_with(settings: Settings, members: Vec<Listed>) -> Actor<Still> {
+fn actor_with(settings: Settings, members: Vec<ListedMember>) -> Actor<Still> {
     let (clock, inbox, orders) = (Clock::start(), mpsc::channel(1).1, mpsc::channel(1).1);
     let mut actor = Actor::new(settings, Still::default(), clock, (inbox, orders)).expect("sound settings");
     let now = actor.clock.now();
@@ -136,7 +136,7 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = recalled(&[]);
-        all.hands.insert("m1".into(), crate::overlay::Hand { out: 1, back: None });
+        all.hands.insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.recall(all);
         let now = actor.clock.now();
         let event = actor.take(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
@@ -174,7 +174,7 @@
 const WINDOW: Time = 400_000;
 
 /// An actor that is to send a keyed session read to each of these, of which the first breaks the connection; and when.
-fn sent_by_turns(scope: &str, members: &[Listed]) -> (Actor<Still>, Time) {
+fn sent_by_turns(scope: &str, members: &[ListedMember]) -> (Actor<Still>, Time) {
     let mut json = linentrail_standins::proxy::settings();
     json["services"][SESSION_READ]["idempotency"] = "idempotency_key".into();
     json["services"][SESSION_READ]["group"] = scope.into();
@@ -208,7 +208,7 @@
     in_runtime(|| {
         let place = |id, zone, group| {
             let near = listed(id, None);
-            Listed { member: Member { zone, group, ..near.member.clone() }, ..near }
+            ListedMember { member: Member { zone, group, ..near.member.clone() }, ..near }
         };
         for (scope, allowed) in [("all", 3), ("zone", 2), ("cell", 2)] {
             let (other_zone, other_group) = (place(2, 1, 1), place(3, 0, 2));
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -3,7 +3,7 @@
 
 use super::actor::Actor;
 use super::counters::{count, Count};
-use super::{Listed, Members};
+use super::{ListedMember, Members};
 use crate::interface::*;
 use crate::knowledge::Known;
 
@@ -28,16 +28,16 @@
     }
 
     /// A list as discovery words it, by this process's clock.
-    pub(super) fn listed_locally(&self, entries: &mut [Listed]) {
-        for Listed { member, .. } in entries {
+    pub(super) fn listed_locally(&self, entries: &mut [ListedMember]) {
+        for ListedMember { member, .. } in entries {
             member.up_since = member.up_since.map(|told| self.member_clock.local(told));
         }
     }
 
     /// The same the other way: what is written down is read by other processes, and by later ones.
-    pub(super) fn listed_as_told(&self) -> Vec<Listed> {
-        let mut entries: Vec<Listed> = self.overlay.listed().cloned().collect();
-        for Listed { member, .. } in &mut entries {
+    pub(super) fn listed_as_told(&self) -> Vec<ListedMember> {
+        let mut entries: Vec<ListedMember> = self.overlay.listed().cloned().collect();
+        for ListedMember { member, .. } in &mut entries {
             member.up_since = member.up_since.map(|local| self.member_clock.told(local));
         }
         entries
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -17,8 +17,8 @@
 
 use crate::interface::*;
 use crate::knowledge::{Knowledge, Known};
-pub use crate::overlay::Listed;
-use crate::overlay::{Hands, No};
+pub use crate::effective_list::ListedMember;
+use crate::effective_list::{Suspensions, SuspensionError};
 use crate::phases::Progress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
@@ -225,11 +225,11 @@
     /// A probe has ended, so long after it was asked for; none: it was not answered.
     Probed(MemberId, Option<Report>, Time),
     /// Word from the member list.
-    List(ListKind, Vec<Listed>),
+    List(ListKind, Vec<ListedMember>),
 }
 
 /// What came of the operators' word on a member.
-pub type Taken = Result<(), No>;
+pub type Taken = Result<(), SuspensionError>;
 
 /// Another process of this proxy, as far as a session's commits must reach it before the client that wrote is answered.
 /// Neither call may take longer than a look at memory.
@@ -273,7 +273,7 @@
     /// How far the way back to full service is.
     Progress(oneshot::Sender<Progress>),
     /// The members as discovery has them.
-    Listed(oneshot::Sender<Vec<Listed>>),
+    Listed(oneshot::Sender<Vec<ListedMember>>),
     /// Take a member out, by its id.
     Suspend(Arc<str>, oneshot::Sender<Taken>),
     /// Put it back.
@@ -281,9 +281,9 @@
     /// New settings, with the classes by slot, and times for connections.
     Settings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
     /// All that the operators said so far.
-    Hands(oneshot::Sender<Hands>),
+    Hands(oneshot::Sender<Suspensions>),
     /// That, as it was said to any process of this proxy.
-    Adopt(Hands, oneshot::Sender<()>),
+    Adopt(Suspensions, oneshot::Sender<()>),
     /// What was learned so far.
     Export(oneshot::Sender<Known>),
     /// Another process of this proxy lives beside this one, or no longer does.
@@ -310,7 +310,7 @@
     /// Closes idle connections.
     fn close_idle(&mut self, member: MemberId);
     /// Takes in addresses.
-    fn list(&mut self, kind: ListKind, entries: &[Listed]);
+    fn list(&mut self, kind: ListKind, entries: &[ListedMember]);
     /// Takes new times for connections.
     fn times(&mut self, times: SocketTimes);
     /// Asks for the list and its changes; false if that cannot even be queued.
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -4,7 +4,7 @@
 use super::actor::Actor;
 use super::counters::{add, count, Count};
 use super::member_times::with_times;
-use super::{Listed, Members, Order, PeerCommits, Readiness};
+use super::{ListedMember, Members, Order, PeerCommits, Readiness};
 use crate::interface::*;
 use crate::knowledge::evidence::{Listed as Life, Recalled, Usable};
 use crate::knowledge::{merge_hands, Knowledge, Known};
@@ -107,7 +107,7 @@
         self.operator(told)
     }
 
-    fn operator(&mut self, told: Vec<Listed>) -> Vec<Event> {
+    fn operator(&mut self, told: Vec<ListedMember>) -> Vec<Event> {
         if told.is_empty() {
             Vec::new()
         } else {
--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -7,7 +7,7 @@
 use super::records::Cache;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::{Input, Listed};
+use crate::core::{Input, ListedMember};
 use crate::interface::*;
 use crate::net::discovery::{Follow, Lists, Numbers};
 use crate::net::momentary;
@@ -40,7 +40,7 @@
     clock: Clock,
     cache: Cache,
     numbers: Numbers,
-    told: Option<Vec<Listed>>,
+    told: Option<Vec<ListedMember>>,
     link: Option<Framed<Socket, LengthDelimitedCodec>>,
     asked: u16,
 }
--- a/src/dnssd/records.rs
+++ b/src/dnssd/records.rs
@@ -5,7 +5,7 @@
 //! list needs beside. Without an `id`, the instance's name stands for it.
 
 use crate::core::counters::{count, Count};
-use crate::core::Listed;
+use crate::core::ListedMember;
 use crate::interface::*;
 use crate::net::discovery::Numbers;
 use hickory_proto::rr::rdata::{A, PTR, SRV, TXT};
@@ -125,8 +125,8 @@
 
     /// The members that can be made of what is held. Those whose records are incomplete or cannot be acted on are
     /// skipped and counted.
-    pub fn members(&self, service: &Name, zones: &[String], numbers: &mut Numbers) -> Vec<Listed> {
-        let mut members: Vec<Listed> = Vec::new();
+    pub fn members(&self, service: &Name, zones: &[String], numbers: &mut Numbers) -> Vec<ListedMember> {
+        let mut members: Vec<ListedMember> = Vec::new();
         for instance in self.instances(service) {
             match self.member(&instance, zones, numbers) {
                 Some(new) if members.iter().all(|m| m.member.id != new.member.id) => members.push(new),
@@ -139,7 +139,7 @@
         members
     }
 
-    fn member(&self, instance: &Name, zones: &[String], numbers: &mut Numbers) -> Option<Listed> {
+    fn member(&self, instance: &Name, zones: &[String], numbers: &mut Numbers) -> Option<ListedMember> {
         // The lowest priority first, then the highest weight.
         let mut servers: Vec<_> = self.servers.get(instance)?.iter().map(|(s, _)| s).collect();
         servers.sort();
@@ -156,7 +156,7 @@
             None => None,
         };
         let id = text.get("id").unwrap_or(&label);
-        Some(Listed {
+        Some(ListedMember {
             name: id.as_str().into(),
             address,
             member: Member {
--- a/src/overlay.rs
+++ b/src/effective_list.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Most members that may be out at a time.
-pub const OUT_MOST: usize = 1_024;
+pub const MAX_SUSPENDED: usize = 1_024;
 /// Most ids remembered of members that have left, and how long, in us: a call about one of them is no mistake.
 const LEFT_MOST: usize = 4_096;
 const LEFT_KEPT: Time = 600_000_000;
@@ -22,7 +22,7 @@
 
 /// An entry of the member list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedMember {
     /// Its id, as the list names it.
     pub name: Arc<str>,
     /// What the module needs to know.
@@ -33,7 +33,7 @@
 
 /// Why a call about a member is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum No {
+pub enum SuspensionError {
     /// No list has named it.
     Unknown,
     /// As many are out as may be.
@@ -42,28 +42,28 @@
 
 /// What the operators said of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hand {
+pub struct Suspension {
     /// When they took it out.
-    pub out: Time,
+    pub suspended_at: Time,
     /// When they put it back; none: it is out.
-    pub back: Option<Time>,
+    pub restored_at: Option<Time>,
 }
 
-impl Hand {
+impl Suspension {
     fn is_out(&self) -> bool {
-        self.back.is_none()
+        self.restored_at.is_none()
     }
 }
 
 /// All that the operators said, by the members' ids.
-pub type Hands = BTreeMap<Arc<str>, Hand>;
+pub type Suspensions = BTreeMap<Arc<str>, Suspension>;
 
 /// Both words on every member.
 #[derive(Debug, Default)]
-pub struct Overlay {
+pub struct EffectiveList {
     /// What discovery last said of the members that it lists.
-    listed: BTreeMap<Arc<str>, Listed>,
-    hands: Hands,
+    listed: BTreeMap<Arc<str>, ListedMember>,
+    hands: Suspensions,
     /// Those that discovery no longer lists, and since when.
     left: BTreeMap<Arc<str>, Time>,
     /// Starts that others have seen and discovery may not know of.
@@ -72,9 +72,9 @@
     fleet: BTreeSet<Arc<str>>,
 }
 
-impl Overlay {
+impl EffectiveList {
     /// Discovery's word, turned into what the module is to be told.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Listed>, now: Time) -> Vec<Listed> {
+    pub fn list(&mut self, kind: ListKind, entries: Vec<ListedMember>, now: Time) -> Vec<ListedMember> {
         if matches!(kind, ListKind::Disk | ListKind::Full) {
             let named: BTreeSet<&Arc<str>> = entries.iter().map(|e| &e.name).collect();
             let gone: Vec<Arc<str>> = self.listed.keys().filter(|n| !named.contains(n)).cloned().collect();
@@ -104,24 +104,24 @@
             let oldest = self.left.iter().min_by_key(|(_, since)| **since).map(|(name, _)| name.clone());
             oldest.map(|name| self.left.remove(&name));
         }
-        self.hands.retain(|_, hand| hand.back.is_none_or(|back| now < back + BACK_KEPT));
+        self.hands.retain(|_, hand| hand.restored_at.is_none_or(|back| now < back + BACK_KEPT));
         let listed = &self.listed;
         self.begun.retain(|name, at| now < *at + BACK_KEPT && listed.contains_key(name));
     }
 
     /// An entry of discovery's as the module is to see it.
-    fn told(&self, mut entry: Listed) -> Listed {
+    fn told(&self, mut entry: ListedMember) -> ListedMember {
         let member = &mut entry.member;
         if member.condition == Condition::In && self.fleet.contains(&entry.name) {
             member.condition = Condition::Draining;
         }
         match self.hands.get(&entry.name) {
-            Some(Hand { back: None, .. }) if member.condition == Condition::In => {
+            Some(Suspension { restored_at: None, .. }) if member.condition == Condition::In => {
                 member.condition = Condition::Draining;
             }
-            Some(Hand { out, back: Some(back) }) => {
-                let proven = member.up_since.filter(|start| start > out);
-                member.up_since = proven.or(Some(*back));
+            Some(Suspension { suspended_at, restored_at: Some(restored_at) }) => {
+                let proven = member.up_since.filter(|start| start > suspended_at);
+                member.up_since = proven.or(Some(*restored_at));
             }
             _ => {}
         }
@@ -131,7 +131,7 @@
 
     /// A member was seen to begin its warm-up then; what the module is to be told, if that is later than it knows. It
     /// lasts over later lists, until one no longer names the member: none is warmer than its latest start allows.
-    pub fn warms(&mut self, name: &Arc<str>, at: Time) -> Option<Listed> {
+    pub fn warms(&mut self, name: &Arc<str>, at: Time) -> Option<ListedMember> {
         let known = self.again(name).map(|e| e.member.up_since);
         if known.is_some_and(|start| start >= Some(at)) {
             return None;
@@ -141,17 +141,17 @@
     }
 
     /// Discovery's word on the members that it lists.
-    pub fn listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn listed(&self) -> impl Iterator<Item = &ListedMember> {
         self.listed.values()
     }
 
     /// What the module is to be told of a listed member.
-    pub fn again(&self, name: &str) -> Option<Listed> {
+    pub fn again(&self, name: &str) -> Option<ListedMember> {
         self.listed.get(name).map(|entry| self.told(entry.clone()))
     }
 
     /// The clock that lists tell starts by is by so many us further ahead than was thought; what the module is to be told.
-    pub fn shift_starts(&mut self, us: i64) -> Vec<Listed> {
+    pub fn shift_starts(&mut self, us: i64) -> Vec<ListedMember> {
         let started = self.listed.values_mut().filter(|entry| entry.member.up_since.is_some());
         let names: Vec<Arc<str>> = started
             .map(|entry| {
@@ -169,7 +169,7 @@
 
     /// Whether any member is listed that may be sent to.
     pub fn serves(&self) -> bool {
-        let usable = |e: &Listed| e.member.condition == Condition::In;
+        let usable = |e: &ListedMember| e.member.condition == Condition::In;
         self.listed.values().any(|entry| usable(&self.told(entry.clone())))
     }
 
@@ -177,19 +177,19 @@
     ///
     /// # Errors
     /// Why that cannot be done.
-    pub fn suspend(&mut self, name: &str, now: Time) -> Result<Option<Listed>, No> {
+    pub fn suspend(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
         if !self.knows(name) {
-            return Err(No::Unknown);
+            return Err(SuspensionError::UnknownMember);
         }
-        if self.hands.get(name).is_some_and(Hand::is_out) {
+        if self.hands.get(name).is_some_and(Suspension::is_out) {
             return Ok(None);
         }
-        if self.hands.values().filter(|h| h.is_out()).count() >= OUT_MOST {
-            return Err(No::Full);
+        if self.hands.values().filter(|h| h.is_out()).count() >= MAX_SUSPENDED {
+            return Err(SuspensionError::TooManySuspended);
         }
         // Later than all that was said before, also by a process whose clock was ahead of this one's.
-        let before = self.hands.get(name).map_or(0, |hand| hand.back.unwrap_or(hand.out).max(hand.out) + 1);
-        self.hands.insert(name.into(), Hand { out: now.max(before), back: None });
+        let before = self.hands.get(name).map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
+        self.hands.insert(name.into(), Suspension { suspended_at: now.max(before), restored_at: None });
         Ok(self.again(name))
     }
 
@@ -197,12 +197,12 @@
     ///
     /// # Errors
     /// Why that cannot be done.
-    pub fn restore(&mut self, name: &str, now: Time) -> Result<Option<Listed>, No> {
+    pub fn restore(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
         if !self.knows(name) {
-            return Err(No::Unknown);
+            return Err(SuspensionError::UnknownMember);
         }
         match self.hands.get_mut(name) {
-            Some(hand) if hand.is_out() => hand.back = Some(now.max(hand.out + 1)),
+            Some(hand) if hand.is_out() => hand.restored_at = Some(now.max(hand.suspended_at + 1)),
             _ => return Ok(None),
         }
         Ok(self.again(name))
@@ -210,7 +210,7 @@
 
     /// These are out for the whole fleet, in place of all that were; what the module is to be told. One that comes back
     /// counts as started now, like one that is put back here.
-    pub fn fleet(&mut self, out: BTreeSet<Arc<str>>, now: Time) -> Vec<Listed> {
+    pub fn fleet(&mut self, out: BTreeSet<Arc<str>>, now: Time) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.fleet, out);
         let back: Vec<Arc<str>> = former.difference(&self.fleet).cloned().collect();
         back.into_iter().filter(|name| self.listed.contains_key(name)).for_each(|name| {
@@ -220,13 +220,13 @@
     }
 
     /// All that the operators said.
-    pub fn hands(&self) -> &Hands {
+    pub fn hands(&self) -> &Suspensions {
         &self.hands
     }
 
     /// What the operators said to any process of this proxy, in place of what is known of it here; what the module is
     /// to be told.
-    pub fn adopt(&mut self, hands: Hands) -> Vec<Listed> {
+    pub fn adopt(&mut self, hands: Suspensions) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.hands, hands);
         let changed = |name: &&Arc<str>| former.get(*name) != self.hands.get(*name);
         let names: BTreeSet<&Arc<str>> = former.keys().chain(self.hands.keys()).filter(changed).collect();
--- a/src/handover/handover_tests.rs
+++ b/src/handover/handover_tests.rs
@@ -13,7 +13,7 @@
     while let Some(order) = orders.recv().await {
         match order {
             Order::Suspend(_, reply) => drop(reply.send(Ok(()))),
-            Order::Hands(reply) => drop(reply.send(Hands::default())),
+            Order::Hands(reply) => drop(reply.send(Suspensions::default())),
             Order::Adopt(_, reply) => drop(reply.send(())),
             _ => panic!("not asked here"),
         }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -16,7 +16,7 @@
 use crate::core::{CommitExchange, Order, Taken};
 use crate::knowledge::format;
 use crate::net::budget::Budget;
-use crate::overlay::{Hands, No};
+use crate::effective_list::{Suspensions, SuspensionError};
 use crate::store::actor::Scribe;
 use commits::{CommitLog, UnseenPeer};
 use files::{Folder, FollowedFile};
@@ -163,10 +163,10 @@
     }
 }
 
-fn said(no: No) -> String {
+fn said(no: SuspensionError) -> String {
     match no {
-        No::Unknown => "no list has named a member of that id".to_string(),
-        No::Full => "too many members are out".to_string(),
+        SuspensionError::UnknownMember => "no list has named a member of that id".to_string(),
+        SuspensionError::TooManySuspended => "too many members are out".to_string(),
     }
 }
 
@@ -312,7 +312,7 @@
     async fn follow(&mut self) -> Option<()> {
         let mark = self.folder.mark(HANDS);
         let Some(news) = self.hands.news(mark, || self.folder.read(HANDS)) else { return Some(()) };
-        let hands: Hands = usable(HANDS, news, format::read_hands)?;
+        let hands: Suspensions = usable(HANDS, news, format::read_hands)?;
         self.control.request(|reply| Order::Adopt(hands, reply)).await
     }
 
--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -5,7 +5,7 @@
 
 use super::{Held, Knowledge, Known, MemberFacts, MOST};
 use crate::interface::Time;
-use crate::overlay::{Hand, Hands, OUT_MOST};
+use crate::effective_list::{Suspension, Suspensions, MAX_SUSPENDED};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
@@ -62,13 +62,13 @@
 }
 
 /// Writes down what the operators said.
-pub fn write_hands(hands: &Hands) -> Vec<u8> {
+pub fn write_hands(hands: &Suspensions) -> Vec<u8> {
     seal(&json!({ "hands": hands_body(hands) }))
 }
 
-fn hands_body(hands: &Hands) -> Value {
+fn hands_body(hands: &Suspensions) -> Value {
     let all: Map<String, Value> =
-        hands.iter().map(|(name, h)| (name.to_string(), json!([h.out, h.back]))).collect();
+        hands.iter().map(|(name, h)| (name.to_string(), json!([h.suspended_at, h.restored_at]))).collect();
     all.into()
 }
 
@@ -76,11 +76,11 @@
 ///
 /// # Errors
 /// Why it cannot be used.
-pub fn read_hands(bytes: &[u8]) -> Result<Hands, Unusable> {
+pub fn read_hands(bytes: &[u8]) -> Result<Suspensions, Unusable> {
     hands_of(&open(bytes)?)
 }
 
-fn hands_of(body: &Value) -> Result<Hands, Unusable> {
+fn hands_of(body: &Value) -> Result<Suspensions, Unusable> {
     let bad = Unusable::Malformed("word on a member");
     let all = body.get("hands").and_then(Value::as_object).ok_or(Unusable::Malformed("list of members"))?;
     if all.len() > MOST {
@@ -89,15 +89,15 @@
     let mut hands = BTreeMap::new();
     for (name, value) in all {
         let hand = match value.as_array().map(Vec::as_slice) {
-            Some([out, Value::Null]) => Hand { out: out.as_u64().ok_or(bad.clone())?, back: None },
+            Some([out, Value::Null]) => Suspension { suspended_at: out.as_u64().ok_or(bad.clone())?, restored_at: None },
             Some([out, back]) => {
-                Hand { out: out.as_u64().ok_or(bad.clone())?, back: Some(back.as_u64().ok_or(bad.clone())?) }
+                Suspension { suspended_at: out.as_u64().ok_or(bad.clone())?, restored_at: Some(back.as_u64().ok_or(bad.clone())?) }
             }
             _ => return Err(bad),
         };
         hands.insert(name.as_str().into(), hand);
     }
-    match hands.values().filter(|h: &&Hand| h.back.is_none()).count() <= OUT_MOST {
+    match hands.values().filter(|h: &&Suspension| h.restored_at.is_none()).count() <= MAX_SUSPENDED {
         true => Ok(hands),
         false => Err(Unusable::Malformed("number of members that are out")),
     }
@@ -217,8 +217,8 @@
 mod tests {
     use super::*;
 
-    fn hands() -> Hands {
-        let out = |out, back| Hand { out, back };
+    fn hands() -> Suspensions {
+        let out = |suspended_at, restored_at| Suspension { suspended_at, restored_at };
         [("s-1", out(5, None)), ("s \"2\"", out(5, Some(9)))].map(|(n, h)| (n.into(), h)).into()
     }
 
@@ -251,7 +251,7 @@
     #[test]
     fn what_was_written_is_read() {
         assert_eq!(read_hands(&write_hands(&hands())), Ok(hands()));
-        assert_eq!(read_hands(&write_hands(&Hands::new())), Ok(Hands::new()));
+        assert_eq!(read_hands(&write_hands(&Suspensions::new())), Ok(Suspensions::new()));
         assert_eq!(read_known(&write_known(&known(), 80)), Ok((known(), 80)));
     }
 
--- a/src/knowledge/mod.rs
+++ b/src/knowledge/mod.rs
@@ -8,7 +8,7 @@
 pub mod format;
 
 use crate::interface::{Position, Time};
-use crate::overlay::{Hand, Hands};
+use crate::effective_list::{Suspension, Suspensions};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -80,8 +80,8 @@
 }
 
 /// Takes in what else the operators said: the later taking out wins, and of one taking out the latest putting back.
-pub fn merge_hands(hands: &mut Hands, other: &Hands) {
-    let order = |hand: &Hand| (hand.out, hand.back);
+pub fn merge_hands(hands: &mut Suspensions, other: &Suspensions) {
+    let order = |hand: &Suspension| (hand.suspended_at, hand.restored_at);
     for (name, hand) in other {
         match hands.get_mut(name) {
             Some(known) if order(known) >= order(hand) => {}
@@ -106,7 +106,7 @@
     /// Of members and sessions.
     pub known: Known,
     /// What the operators said.
-    pub hands: Hands,
+    pub hands: Suspensions,
     /// The configuration that last held.
     pub settings: Option<Held>,
     /// The member list that was last held, as discovery words it.
--- a/src/knowledge/tests.rs
+++ b/src/knowledge/tests.rs
@@ -32,7 +32,7 @@
 }
 
 fn knowledge() -> impl Strategy<Value = Knowledge> {
-    let hand = (0..3u64, prop::option::of(0..3u64)).prop_map(|(out, back)| Hand { out, back });
+    let hand = (0..3u64, prop::option::of(0..3u64)).prop_map(|(suspended_at, restored_at)| Suspension { suspended_at, restored_at });
     (
         prop::collection::btree_map(name(), facts(), 0..3),
         prop::collection::btree_map(name(), 0..4u64, 0..3),
@@ -74,7 +74,7 @@
         }
         prop_assert!(all.known.floor >= a.known.floor.max(b.known.floor));
         for (name, hand) in a.hands.iter().chain(&b.hands) {
-            prop_assert!(all.hands[name].out >= hand.out);
+            prop_assert!(all.hands[name].suspended_at >= hand.suspended_at);
         }
         for (name, facts) in a.known.members.iter().chain(&b.known.members) {
             let known = &all.known.members[name];
@@ -105,7 +105,7 @@
 
 #[test]
 fn the_operators_last_word_wins_whoever_heard_it() {
-    let hands = |out, back| -> Hands { [("m".into(), Hand { out, back })].into() };
+    let hands = |suspended_at, restored_at| -> Suspensions { [("m".into(), Suspension { suspended_at, restored_at })].into() };
     for (a, b, last) in [
         (hands(5, None), hands(5, Some(8)), hands(5, Some(8))),
         (hands(5, Some(8)), hands(9, None), hands(9, None)),
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -14,7 +14,7 @@
 use super::momentary;
 use super::socket::Socket;
 use crate::core::counters::{count, Count};
-use crate::core::{Input, Listed};
+use crate::core::{Input, ListedMember};
 use crate::http::{Headers, HttpClient, HttpRequest};
 use crate::interface::*;
 use crate::listing::{Call, Delivery, Listing, Next};
@@ -124,7 +124,7 @@
 
     /// The list's version, whether it is whole, and its entries; none where it is not to be used, above all where it
     /// is older than the version `held`. Entries that cannot be read are skipped and counted.
-    pub fn read(&mut self, json: &Json, held: Option<u64>) -> Option<(u64, bool, Vec<Listed>)> {
+    pub fn read(&mut self, json: &Json, held: Option<u64>) -> Option<(u64, bool, Vec<ListedMember>)> {
         let version = json.get("generation")?.as_u64()?;
         let whole = json.get("reset").and_then(Json::as_bool).unwrap_or(false);
         let items = json.get("instances")?.as_array()?;
@@ -154,7 +154,7 @@
         Some((version, whole, entries))
     }
 
-    fn entry(&mut self, item: &Json) -> Option<Listed> {
+    fn entry(&mut self, item: &Json) -> Option<ListedMember> {
         let text = |name: &str| item.get(name).and_then(Json::as_str);
         let condition = match text("lifecycle")? {
             "active" => Condition::In,
@@ -165,7 +165,7 @@
         let zone = text("zone").and_then(|z| self.zones.iter().position(|n| n == z));
         let id = text("instanceId")?;
         let started = item.get("startedAtMs").and_then(Json::as_u64).filter(|ms| *ms > 0);
-        Some(Listed {
+        Some(ListedMember {
             name: id.into(),
             address: text("hostPort")?.parse().ok()?,
             member: Member {
@@ -186,8 +186,8 @@
 }
 
 /// A list as discovery words it, for a later start.
-pub fn write(entries: &[Listed], version: u64, zones: &[String]) -> Json {
-    let entry = |Listed { name, address, member }: &Listed| {
+pub fn write(entries: &[ListedMember], version: u64, zones: &[String]) -> Json {
+    let entry = |ListedMember { name, address, member }: &ListedMember| {
         let lifecycle = if member.condition == Condition::Draining { "leaving" } else { "active" };
         json!({"instanceId": &**name, "hostPort": address.to_string(), "cell": member.group,
             "zone": zones.get(member.zone as usize), "lifecycle": lifecycle,
@@ -390,7 +390,7 @@
 
     /// One call: the whole list, or a watch on what comes after the last. None where nothing came in its time, nothing
     /// within that where what came is no use.
-    async fn call(&mut self) -> Option<Option<(ListKind, Vec<Listed>)>> {
+    async fn call(&mut self) -> Option<Option<(ListKind, Vec<ListedMember>)>> {
         // A sleep of no length takes up to a millisecond.
         if !self.pause.is_zero() {
             tokio::time::sleep(self.pause).await;
@@ -421,7 +421,7 @@
         Some(got.and_then(|body| self.take(&body)))
     }
 
-    fn take(&mut self, body: &[u8]) -> Option<(ListKind, Vec<Listed>)> {
+    fn take(&mut self, body: &[u8]) -> Option<(ListKind, Vec<ListedMember>)> {
         let json = Some(body).filter(|body| values(body) <= LIST_VALUES_MAX);
         let json = json.and_then(|body| serde_json::from_slice(body).ok());
         let read = json.and_then(|json| self.lists.read(&json, self.after));
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -9,7 +9,7 @@
 use super::peer::{self, Order};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::{violated, Attempt, Input, Listed, Members};
+use crate::core::{violated, Attempt, Input, ListedMember, Members};
 use crate::interface::*;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
@@ -128,11 +128,11 @@
         self.peers.get(&member).into_iter().for_each(Peer::close_idle);
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[Listed]) {
+    fn list(&mut self, kind: ListKind, entries: &[ListedMember]) {
         if kind == ListKind::Failed {
             return;
         }
-        for Listed { member, address, .. } in entries {
+        for ListedMember { member, address, .. } in entries {
             if member.condition == Condition::Out {
                 self.gone(member.id);
                 continue;
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -67,9 +67,9 @@
 /// Attempts that find room, so that the next order does not.
 const ATTEMPTS: usize = MAILBOX;
 
-fn listed(condition: Condition, port: u16) -> Listed {
+fn listed(condition: Condition, port: u16) -> ListedMember {
     let member = Member { id: MEMBER, zone: 0, group: 1, condition, primary: true, up_since: None };
-    Listed { name: "m".into(), member, address: ([127, 0, 0, 1], port).into() }
+    ListedMember { name: "m".into(), member, address: ([127, 0, 0, 1], port).into() }
 }
 
 fn attempt(n: usize, clock: &Clock) -> Attempt {
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -6,7 +6,7 @@
 use crate::core::counters::{count, Count};
 use crate::interface::Time;
 use crate::knowledge::Knowledge;
-use crate::overlay::Hand;
+use crate::effective_list::Suspension;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
@@ -14,7 +14,7 @@
 const JOBS: usize = 32;
 
 enum Job {
-    Word(Arc<str>, Hand, oneshot::Sender<Result<(), String>>),
+    Word(Arc<str>, Suspension, oneshot::Sender<Result<(), String>>),
     Snapshot(Box<Knowledge>, Time, oneshot::Sender<Result<(), String>>),
     Keep(String, Vec<u8>, oneshot::Sender<Result<(), String>>),
 }
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// Why it cannot be proved to be written.
-    pub async fn word(&self, name: Arc<str>, hand: Hand) -> Result<(), String> {
+    pub async fn word(&self, name: Arc<str>, hand: Suspension) -> Result<(), String> {
         self.ask(|reply| Job::Word(name, hand, reply)).await
     }
 }
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::knowledge::Held;
-use crate::overlay::Hands;
+use crate::effective_list::Suspensions;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -132,8 +132,8 @@
 
 const MOST: u64 = 1 << 20;
 
-fn out(at: Time) -> Hand {
-    Hand { out: at, back: None }
+fn out(at: Time) -> Suspension {
+    Suspension { suspended_at: at, restored_at: None }
 }
 
 /// The disk outlives the store that fails to open it.
@@ -170,9 +170,9 @@
 }
 
 /// A life of the store: words, a snapshot, more words, a snapshot. What had its yes, and how far it came.
-fn live(disk: Memory) -> (Memory, Hands, Option<u64>, Option<u64>) {
+fn live(disk: Memory) -> (Memory, Suspensions, Option<u64>, Option<u64>) {
     let disk: Shared = Rc::new(RefCell::new(disk));
-    let (mut yes, mut boot, mut snapshot) = (Hands::new(), None, None);
+    let (mut yes, mut boot, mut snapshot) = (Suspensions::new(), None, None);
     if let Ok((mut store, found)) = Store::open(disk.clone(), MOST) {
         // A start that has not got so far has written nothing.
         boot = store.begin().is_ok().then_some(found.boot);
@@ -213,7 +213,7 @@
                 for (name, hand) in &yes {
                     let known =
                         back.all.hands.get(name).unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
-                    assert!(known.out >= hand.out, "{left} {keep}: {name} {known:?} {hand:?}");
+                    assert!(known.suspended_at >= hand.suspended_at, "{left} {keep}: {name} {known:?} {hand:?}");
                 }
                 assert!(boot.is_none_or(|b| back.boot > b), "{left} {keep}");
                 assert!(snapshot.is_none_or(|at| back.at >= at), "{left} {keep}: {} {snapshot:?}", back.at);
@@ -312,5 +312,5 @@
     assert!((1..99).contains(&words), "{words}");
     let (_, back) = Store::open(store.disk().after(6), 300).expect("it opens");
     assert_eq!((back.finding, back.at), (Finding::Sound, 1));
-    assert_eq!(back.all.hands["m1"].out, words as u64 - 1);
+    assert_eq!(back.all.hands["m1"].suspended_at, words as u64 - 1);
 }
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -4,7 +4,7 @@
 //! not whole: a tail cut off is what a crash in the middle of a write leaves; damage with more behind it is not, and is
 //! told as such.
 
-use crate::overlay::{Hand, Hands};
+use crate::effective_list::{Suspension, Suspensions};
 use serde_json::{json, Value};
 
 const HEAD: usize = 8;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Replay {
     /// All that its whole records say, later ones over earlier ones.
-    pub hands: Hands,
+    pub hands: Suspensions,
     /// Bytes of whole records, from the start.
     pub whole: usize,
     /// How it ends.
@@ -35,8 +35,8 @@
 }
 
 /// A record of the operators' word on a member.
-pub fn write(name: &str, hand: &Hand) -> Vec<u8> {
-    let body = json!([name, hand.out, hand.back]).to_string();
+pub fn write(name: &str, hand: &Suspension) -> Vec<u8> {
+    let body = json!([name, hand.suspended_at, hand.restored_at]).to_string();
     let mut record = Vec::with_capacity(HEAD + body.len());
     record.extend((body.len() as u32).to_le_bytes());
     record.extend(crc32fast::hash(body.as_bytes()).to_le_bytes());
@@ -44,11 +44,11 @@
     record
 }
 
-fn body(bytes: &[u8]) -> Option<(String, Hand)> {
+fn body(bytes: &[u8]) -> Option<(String, Suspension)> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
-    let [Value::String(name), out, back] = value.as_array().map(Vec::as_slice)? else { return None };
-    let back = if back.is_null() { None } else { Some(back.as_u64()?) };
-    Some((name.clone(), Hand { out: out.as_u64()?, back }))
+    let [Value::String(name), out, restored_at] = value.as_array().map(Vec::as_slice)? else { return None };
+    let restored_at = if restored_at.is_null() { None } else { Some(restored_at.as_u64()?) };
+    Some((name.clone(), Suspension { suspended_at: out.as_u64()?, restored_at }))
 }
 
 /// Reads a log.
@@ -89,9 +89,9 @@
     fn log() -> (Vec<u8>, Vec<usize>) {
         let (mut bytes, mut ends) = (Vec::new(), vec![0]);
         for (name, hand) in [
-            ("a", Hand { out: 1, back: None }),
-            ("b \"x\"", Hand { out: 2, back: Some(3) }),
-            ("a", Hand { out: 1, back: Some(9) }),
+            ("a", Suspension { suspended_at: 1, restored_at: None }),
+            ("b \"x\"", Suspension { suspended_at: 2, restored_at: Some(3) }),
+            ("a", Suspension { suspended_at: 1, restored_at: Some(9) }),
         ] {
             bytes.extend(write(name, &hand));
             ends.push(bytes.len());
@@ -104,8 +104,8 @@
         let (bytes, _) = log();
         let replay = replay(&bytes);
         assert_eq!((replay.whole, replay.end), (bytes.len(), End::Whole));
-        assert_eq!(replay.hands["a"], Hand { out: 1, back: Some(9) });
-        assert_eq!(replay.hands["b \"x\""], Hand { out: 2, back: Some(3) });
+        assert_eq!(replay.hands["a"], Suspension { suspended_at: 1, restored_at: Some(9) });
+        assert_eq!(replay.hands["b \"x\""], Suspension { suspended_at: 2, restored_at: Some(3) });
     }
 
     #[test]
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -10,7 +10,7 @@
 use crate::interface::Time;
 use crate::knowledge::format::{self, Unusable};
 use crate::knowledge::{merge_hands, Knowledge};
-use crate::overlay::Hand;
+use crate::effective_list::Suspension;
 use std::io;
 
 const SNAPSHOT: &str = "snapshot";
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// When it cannot be proved to be on the disk; nothing more is taken until a snapshot has been.
-    pub fn word(&mut self, name: &str, hand: &Hand) -> io::Result<()> {
+    pub fn word(&mut self, name: &str, hand: &Suspension) -> io::Result<()> {
         self.begin()?;
         if self.broken {
             return Err(io::Error::other("the log broke, and no snapshot could be written since"));
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -2,16 +2,16 @@
 //! show.
 #![allow(missing_docs)]
 
-use linentrail::overlay::{Listed, No, Overlay};
+use linentrail::effective_list::{ListedMember, SuspensionError, EffectiveList};
 use linentrail::{Condition, GroupId, ListKind, Member, MemberId, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 const GROUP: GroupId = 1;
 
-fn entry(name: &str, condition: Condition, up_since: Option<Time>) -> Listed {
+fn entry(name: &str, condition: Condition, up_since: Option<Time>) -> ListedMember {
     let id = MemberId(name.bytes().map(u32::from).sum());
-    Listed {
+    ListedMember {
         name: name.into(),
         member: Member { id, zone: 0, group: GROUP, condition, primary: false, up_since },
         address: ([127, 0, 0, 1], 5).into(),
@@ -71,18 +71,18 @@
 
 /// The overlay and what a module would hold of its word.
 struct Run {
-    overlay: Overlay,
+    overlay: EffectiveList,
     seen: BTreeMap<Arc<str>, Member>,
     model: Model,
     now: Time,
 }
 
 impl Run {
-    fn see(&mut self, kind: ListKind, told: Vec<Listed>) {
+    fn see(&mut self, kind: ListKind, told: Vec<ListedMember>) {
         if matches!(kind, ListKind::Disk | ListKind::Full) {
             self.seen.clear();
         }
-        for Listed { name, member, .. } in told {
+        for ListedMember { name, member, .. } in told {
             match member.condition {
                 Condition::Out => drop(self.seen.remove(&name)),
                 _ => drop(self.seen.insert(name, member)),
@@ -90,7 +90,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<Listed>) {
+    fn list(&mut self, kind: ListKind, entries: Vec<ListedMember>) {
         let told = self.overlay.list(kind, entries, self.now);
         self.see(kind, told);
     }
@@ -107,7 +107,7 @@
                 };
                 assert_eq!(told.is_ok(), model.known, "a no is owed to an unknown id, and to no other");
                 match (step, model.out_since) {
-                    _ if !model.known => assert_eq!(told, Err(No::Unknown)),
+                    _ if !model.known => assert_eq!(told, Err(SuspensionError::UnknownMember)),
                     (Step::Suspend, None) => (model.out_since, model.put_back) = (Some(now), None),
                     (Step::Restore, Some(out)) => {
                         (model.out_since, model.put_back) = (None, Some((out, now)));
@@ -135,11 +135,11 @@
             }
             Step::HandedOver => {
                 let hands = self.overlay.hands().clone();
-                let listed: Vec<Listed> =
+                let listed: Vec<ListedMember> =
                     model.listed.map(|(condition, start)| entry("m", condition, start)).into_iter().collect();
                 // What left before the other process began is known to it by the operators' word alone.
                 model.known = model.listed.is_some() || hands.contains_key("m");
-                self.overlay = Overlay::default();
+                self.overlay = EffectiveList::default();
                 self.seen.clear();
                 self.overlay.adopt(hands);
                 self.list(ListKind::Disk, listed);
@@ -162,7 +162,7 @@
     let mut history = Vec::new();
     for mut number in 0..STEPS.len().pow(LENGTH) {
         let mut run =
-            Run { overlay: Overlay::default(), seen: BTreeMap::new(), model: Model::default(), now: 100 };
+            Run { overlay: EffectiveList::default(), seen: BTreeMap::new(), model: Model::default(), now: 100 };
         history.clear();
         for _ in 0..LENGTH {
             history.push(STEPS[number % STEPS.len()]);
@@ -175,7 +175,7 @@
 
 #[test]
 fn one_that_another_process_took_out_or_put_back_is_told_at_once_and_no_other() {
-    let (mut here, mut there) = (Overlay::default(), Overlay::default());
+    let (mut here, mut there) = (EffectiveList::default(), EffectiveList::default());
     for side in [&mut here, &mut there] {
         let entries = vec![entry("a", Condition::In, None), entry("b", Condition::In, None)];
         side.list(ListKind::Full, entries, 5);
@@ -190,15 +190,15 @@
 
 #[test]
 fn what_is_remembered_has_a_bound() {
-    let mut overlay = Overlay::default();
-    let most = linentrail::overlay::OUT_MOST;
+    let mut overlay = EffectiveList::default();
+    let most = linentrail::effective_list::MAX_SUSPENDED;
     let names: Vec<String> = (0..=most).map(|n| format!("m{n}")).collect();
     let entries = names.iter().map(|n| entry(n, Condition::In, None)).collect();
     overlay.list(ListKind::Full, entries, 0);
     for name in &names[..most] {
         assert!(overlay.suspend(name, 1).is_ok());
     }
-    assert_eq!(overlay.suspend(&names[most], 1), Err(No::Full));
+    assert_eq!(overlay.suspend(&names[most], 1), Err(SuspensionError::TooManySuspended));
     assert!(overlay.restore(&names[0], 2).is_ok() && overlay.suspend(&names[most], 3).is_ok());
     // A day later all have left, and only those that are out are remembered.
     overlay.list(ListKind::Full, Vec::new(), 4);
@@ -212,21 +212,21 @@
 #[test]
 fn what_the_operators_said_last_wins_over_a_clock_that_was_set_back() {
     use linentrail::knowledge::merge_hands;
-    let mut first = Overlay::default();
+    let mut first = EffectiveList::default();
     first.list(ListKind::Full, vec![entry("m", Condition::In, None)], 5_000);
     first.suspend("m", 5_000).expect("it is listed");
     first.restore("m", 6_000).expect("it is out");
     let stored = first.hands().clone();
-    let mut second = Overlay::default();
+    let mut second = EffectiveList::default();
     second.list(ListKind::Full, vec![entry("m", Condition::In, None)], 1_000);
     second.adopt(stored.clone());
     let told = second.suspend("m", 1_500).expect("it is listed").expect("that is news");
     assert_eq!(told.member.condition, Condition::Draining);
     let mut joined = stored.clone();
     merge_hands(&mut joined, second.hands());
-    assert_eq!(joined["m"].back, None, "it is out: {joined:?}");
+    assert_eq!(joined["m"].restored_at, None, "it is out: {joined:?}");
     second.restore("m", 1_600).expect("it is out");
     let mut back = joined.clone();
     merge_hands(&mut back, second.hands());
-    assert!(back["m"].back.is_some(), "it is back: {back:?}");
+    assert!(back["m"].restored_at.is_some(), "it is back: {back:?}");
 }
--- a/tests/wide_lists.rs
+++ b/tests/wide_lists.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use linentrail::clock::Clock;
-use linentrail::core::{Input, Listed};
+use linentrail::core::{Input, ListedMember};
 use linentrail::dnssd::browse::Browser;
 use linentrail::listing::{Delivery, Listing};
 use linentrail::net::discovery::{Discovery, Follow, Lists, Service};
@@ -18,7 +18,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// The first list that names anybody.
-async fn first(inbox: &mut mpsc::Receiver<Input>) -> (ListKind, Vec<Listed>) {
+async fn first(inbox: &mut mpsc::Receiver<Input>) -> (ListKind, Vec<ListedMember>) {
     let named = async {
         loop {
             match inbox.recv().await {
@@ -31,7 +31,7 @@
     tokio::time::timeout(PATIENCE, named).await.expect("a list")
 }
 
-fn addresses(entries: &[Listed]) -> usize {
+fn addresses(entries: &[ListedMember]) -> usize {
     let mut all: Vec<SocketAddr> = entries.iter().map(|e| e.address).collect();
     all.sort_unstable();
     all.dedup();
