--- a/src/terms.rs
+++ b/src/class_table.rs
@@ -11,7 +11,7 @@
 
 /// Names and classes, as they hold for the requests that were read under them.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Terms {
+pub struct ClassTable {
     /// Names, those of classes by slot.
     pub names: Names,
     /// Classes by slot, also those that no new request may name.
@@ -20,7 +20,7 @@
     open: Vec<bool>,
 }
 
-impl Terms {
+impl ClassTable {
     /// The slot of a class that new requests may name.
     pub fn class(&self, name: &str) -> Option<usize> {
         (0..self.classes.len()).find(|slot| self.open[*slot] && self.names.classes[*slot] == name)
@@ -39,31 +39,31 @@
 
 /// Gives out slots, and remembers the terms that requests may still hold.
 #[derive(Debug, Default)]
-pub struct Slots {
-    now: Arc<Terms>,
-    former: Vec<Weak<Terms>>,
+pub struct ClassSlots {
+    current: Arc<ClassTable>,
+    former: Vec<Weak<ClassTable>>,
 }
 
-impl Slots {
+impl ClassSlots {
     /// The terms that hold now.
-    pub fn now(&self) -> Arc<Terms> {
-        self.now.clone()
+    pub fn current(&self) -> Arc<ClassTable> {
+        self.current.clone()
     }
 
     /// From now on these classes hold, named in the same order.
-    pub fn change(&mut self, names: Names, classes: Vec<Class>) -> Arc<Terms> {
-        let old = std::mem::take(&mut self.now);
+    pub fn replace(&mut self, names: Names, classes: Vec<Class>) -> Arc<ClassTable> {
+        let old = std::mem::take(&mut self.current);
         self.former.push(Arc::downgrade(&old));
         let mut next =
-            Terms { names: Names { classes: old.names.classes.clone(), ..names }, ..Terms::default() };
+            ClassTable { names: Names { classes: old.names.classes.clone(), ..names }, ..ClassTable::default() };
         (next.classes, next.open) = (old.classes.clone(), vec![false; old.classes.len()]);
         // Nothing but requests holds former terms.
         drop(old);
-        self.former.retain(|terms| terms.strong_count() > 0);
-        let held: Vec<Arc<Terms>> = self.former.iter().filter_map(Weak::upgrade).collect();
+        self.former.retain(|class_table| class_table.strong_count() > 0);
+        let held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
         let named: Vec<(String, Class)> = names.classes.into_iter().zip(classes).collect();
         // First those that stay as they are, so that no other takes their slots.
-        let stays = |next: &Terms, (name, class): &(String, Class)| {
+        let stays = |next: &ClassTable, (name, class): &(String, Class)| {
             (0..next.classes.len()).find(|slot| {
                 !next.open[*slot] && next.names.classes[*slot] == *name && next.classes[*slot] == *class
             })
@@ -88,8 +88,8 @@
                 }
             }
         }
-        self.now = Arc::new(next);
-        self.now.clone()
+        self.current = Arc::new(next);
+        self.current.clone()
     }
 }
 
@@ -102,15 +102,15 @@
         Class { need: Need::Any, repeat, aim: 5, deadline: 9, worth: 1.0, late_value: 0.0 }
     }
 
-    fn change(slots: &mut Slots, named: &[(&str, Repeat)]) -> Arc<Terms> {
+    fn change(slots: &mut ClassSlots, named: &[(&str, Repeat)]) -> Arc<ClassTable> {
         let names = named.iter().map(|(n, _)| n.to_string()).collect();
         let names = Names { classes: names, ..Names::default() };
-        slots.change(names, named.iter().map(|(_, r)| class(*r)).collect())
+        slots.replace(names, named.iter().map(|(_, r)| class(*r)).collect())
     }
 
     #[test]
     fn a_class_keeps_its_slot_and_a_changed_one_gets_another_while_a_request_holds_it() {
-        let mut slots = Slots::default();
+        let mut slots = ClassSlots::default();
         let first = change(&mut slots, &[("a", Repeat::Safe), ("b", Repeat::Safe)]);
         let (a, b) = (first.class("a"), first.class("b"));
         // In another order, and b may no longer be repeated.
@@ -133,7 +133,7 @@
 
     #[test]
     fn a_dropped_class_has_no_name_for_new_requests() {
-        let mut slots = Slots::default();
+        let mut slots = ClassSlots::default();
         let first = change(&mut slots, &[("a", Repeat::Safe), ("b", Repeat::Safe)]);
         let second = change(&mut slots, &[("a", Repeat::Safe)]);
         assert_eq!((second.class("b"), first.class("b")), (None, Some(1)));
@@ -143,14 +143,14 @@
 
     #[test]
     fn a_thousand_changes_take_no_more_slots_than_open_requests_need() {
-        let mut slots = Slots::default();
+        let mut slots = ClassSlots::default();
         let held = change(&mut slots, &[("a", Repeat::Safe), ("b", Repeat::Safe)]);
         for n in 0..1_000 {
             let (x, y) = (format!("x{n}"), format!("y{n}"));
-            let terms =
+            let class_table =
                 change(&mut slots, &[(&x, Repeat::Safe), ("b", Repeat::Unsafe), (&y, Repeat::Unsafe)]);
-            assert!(terms.classes.len() <= 7, "{}", terms.classes.len());
-            assert_eq!(terms.classes[0], held.classes[0]);
+            assert!(class_table.classes.len() <= 7, "{}", class_table.classes.len());
+            assert_eq!(class_table.classes[0], held.classes[0]);
         }
         assert!(slots.former.len() <= 2);
     }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -254,7 +254,7 @@
         reply: oneshot::Sender<Answer>,
         now: Time,
     ) -> Option<Event> {
-        let Some(need) = request.terms.classes.get(request.class).map(|c| c.need) else {
+        let Some(need) = request.class_table.classes.get(request.class).map(|c| c.need) else {
             let _ = reply.send(Answer::Failed);
             return None;
         };
@@ -287,7 +287,7 @@
             repeat: request.repeat,
         };
         log::debug!(
-            target: REQUEST, id = id.0, name:? = request.name, class = request.terms.class_name(request.class),
+            target: REQUEST, id = id.0, name:? = request.name, class = request.class_table.class_name(request.class),
             group = request.group, wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
             "taken"
         );
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::knowledge::{Knowledge, Known, MemberFacts};
 use crate::net::member_state::SharedState;
-use crate::terms::{Slots, Terms};
+use crate::class_table::{ClassSlots, ClassTable};
 use std::net::SocketAddr;
 
 /// Members that only stand there, and what they were given.
@@ -153,9 +153,9 @@
 const BOUNDED_READ: usize = 0;
 
 /// A read of the class of session reads, under these terms.
-fn session_read(terms: Arc<Terms>, deadline: Time) -> Request {
+fn session_read(class_table: Arc<ClassTable>, deadline: Time) -> Request {
     Request {
-        terms,
+        class_table,
         name: None,
         class: SESSION_READ,
         tenant: 0,
@@ -181,10 +181,10 @@
     json["services"][SESSION_READ]["window_us"] = WINDOW.into();
     let pairs = crate::settings::Pairs::from_json(&json);
     let settings = pairs.settings(1).expect("sound settings");
-    let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+    let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, members.to_vec());
     let (id, came) = (RequestId(1), actor.clock.now());
-    let submit = Input::Submit(id, session_read(terms, came + 1_000_000), oneshot::channel().0);
+    let submit = Input::Submit(id, session_read(class_table, came + 1_000_000), oneshot::channel().0);
     actor.take(submit, came).expect("it is taken");
     for listed in members {
         actor.act(came, Action::Send { id, member: listed.member.id, stop_at: None });
@@ -224,7 +224,7 @@
         const MS: Time = 1_000;
         let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
         let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
-        let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+        let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
         let mut actor = actor_with(settings, vec![listed(2, None)]);
         // Late enough that nothing waits for its turn.
         let now = actor.clock.now() + 4_000 * MS;
@@ -233,7 +233,7 @@
         actor.step(now, &[heard]);
         let (reply, mut answer) = oneshot::channel();
         let deadline = now + 1_000 * MS;
-        let read = Request { after: Some(now + 600 * MS), ..session_read(terms, deadline) };
+        let read = Request { after: Some(now + 600 * MS), ..session_read(class_table, deadline) };
         let asked = actor.take(Input::Submit(RequestId(1), read, reply), now).expect("it is taken");
         actor.step(now, &[asked]);
         for at in (now..=deadline).step_by(10 * MS as usize) {
@@ -252,7 +252,7 @@
     let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
     let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
     let Need::Bounded(age) = settings.classes[BOUNDED_READ].need else { panic!("another class") };
-    let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+    let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, vec![listed(2, None)]);
     // Late enough that nothing waits for its turn.
     tokio::time::advance(std::time::Duration::from_secs(4)).await;
@@ -261,7 +261,7 @@
     let report = Report { position: Some(position), primary: Some(false), busy: None };
     let heard = actor.take(Input::Probed(MemberId(2), Some(report), 0), now).expect("it is heard");
     actor.step(now, &[heard]);
-    let read = Request { class: BOUNDED_READ, session: None, ..session_read(terms, now + 1_000 * MS) };
+    let read = Request { class: BOUNDED_READ, session: None, ..session_read(class_table, now + 1_000 * MS) };
     let asked =
         actor.take(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("it is taken");
     actor.step(now, &[asked]);
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -50,7 +50,7 @@
 
     /// Its class.
     pub fn class(&self) -> &Class {
-        &self.request.terms.classes[self.request.class]
+        &self.request.class_table.classes[self.request.class]
     }
 
     /// How many attempts were decided on, sent or not.
--- a/src/core/live_tests.rs
+++ b/src/core/live_tests.rs
@@ -2,7 +2,7 @@
 use crate::core::Work;
 use crate::policy::invariants::Violation;
 use crate::settings::Pairs;
-use crate::terms::{Slots, Terms};
+use crate::class_table::{ClassSlots, ClassTable};
 use bytes::Bytes;
 use linentrail_standins::proxy;
 use std::sync::Arc;
@@ -14,18 +14,18 @@
 const DEADLINE: Time = 1_000;
 
 /// The platform's terms, with session reads that may be repeated so.
-fn terms(repeat: &str) -> Arc<Terms> {
+fn class_table(repeat: &str) -> Arc<ClassTable> {
     let mut settings = proxy::settings();
     settings["services"][SESSION_READ]["idempotency"] = repeat.into();
     let pairs = Pairs::from_json(&settings);
     let classes = pairs.settings(1).expect("sound settings").classes;
-    Slots::default().change(pairs.names().expect("names"), classes)
+    ClassSlots::default().replace(pairs.names().expect("names"), classes)
 }
 
 /// A session read that must see a write which members do not know of.
 fn session_read(repeat: &str) -> LiveRequest {
     let request = Request {
-        terms: terms(repeat),
+        class_table: class_table(repeat),
         name: None,
         class: SESSION_READ,
         tenant: 0,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,7 +23,7 @@
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
-use crate::terms::Terms;
+use crate::class_table::ClassTable;
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operation {
     /// The terms that it was read under.
-    pub terms: Arc<Terms>,
+    pub class_table: Arc<ClassTable>,
     /// The request's id, as members are to know it.
     pub id: u64,
     /// Index of its class.
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The terms that it was read under, and keeps.
-    pub terms: Arc<Terms>,
+    pub class_table: Arc<ClassTable>,
     /// The name that its client gave it, where it did: no two open requests may share one.
     pub name: Option<Bytes>,
     /// Index of its class.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod agreement;
 pub mod check;
+pub mod class_table;
 pub mod cli;
 pub mod clock;
 pub mod config;
@@ -31,7 +32,6 @@
 pub mod settings;
 pub mod shutdown;
 pub mod store;
-pub mod terms;
 
 pub use interface::*;
 pub use policy::Router;
--- a/src/main.rs
+++ b/src/main.rs
@@ -36,7 +36,7 @@
 use linentrail::recovery::{self, Gatherer, Start};
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
-use linentrail::terms::Slots;
+use linentrail::class_table::ClassSlots;
 use linentrail::{config, console_client, fleet, logs, meter, odata, pg};
 use linentrail::{ListKind, Time};
 use std::path::{Path, PathBuf};
@@ -162,8 +162,8 @@
     let Start { told, sound, stored, store, memory: votes, own } = start.await?;
     let Sound { names, settings, times } = sound;
     let zones = names.zones.clone();
-    let mut slots = Slots::default();
-    let (terms, read_under) = watch::channel(slots.change(names, settings.classes.clone()));
+    let mut slots = ClassSlots::default();
+    let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
     tell_classes(&slots.now());
     let (memory, idle) = (told.memory >> 20, times.keepalive / 1000);
     log::info!(
@@ -251,7 +251,7 @@
         zone,
         agreed,
         slots,
-        terms,
+        class_table,
         discovery,
         control: control.clone(),
         held,
@@ -290,7 +290,7 @@
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
         core: core.clone(),
-        terms: read_under.clone(),
+        class_table: read_under.clone(),
         clock,
         clients: clients.clone(),
         bytes: budget.bytes.clone(),
@@ -307,8 +307,8 @@
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
         let bookings = Bookings::new(core.clone(), clock, repeat_ids);
-        let (terms, limit) = (read_under.clone(), answer_limit.clone());
-        let front = odata::front::Front::new(core, bookings, terms, clock, (budget.clone(), pace), limit);
+        let (class_table, limit) = (read_under.clone(), answer_limit.clone());
+        let front = odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_waits.take() {
             odata_address = accepting.take(listener, ODATA, &budget, odata_gate);
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -17,7 +17,7 @@
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::terms::Terms;
+use crate::class_table::ClassTable;
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use std::future::Future;
@@ -41,7 +41,7 @@
 pub struct Front {
     core: Handle,
     bookings: Bookings,
-    terms: watch::Receiver<Arc<Terms>>,
+    class_table: watch::Receiver<Arc<ClassTable>>,
     pub(super) clock: Clock,
     pub(super) budget: Budget,
     pub(super) pace: Pace,
@@ -85,13 +85,13 @@
     pub fn new(
         core: Handle,
         bookings: Bookings,
-        terms: watch::Receiver<Arc<Terms>>,
+        class_table: watch::Receiver<Arc<ClassTable>>,
         clock: Clock,
         (budget, pace): (Budget, Pace),
         answer_limit: AnswerLimit,
     ) -> Self {
         let (random, sent) = (RandomState::new(), AtomicU64::new(0));
-        Front { core, bookings, terms, clock, budget, pace, answer_limit, random, sent }
+        Front { core, bookings, class_table, clock, budget, pace, answer_limit, random, sent }
     }
 
     /// The response to a request that has waited so long, in us, before it could be read.
@@ -105,8 +105,8 @@
             Ok(form) => form,
             Err(fault) => return refused(fault, Form::default()),
         };
-        let terms = self.terms.borrow().clone();
-        let mut call = request::read(http, &terms);
+        let class_table = self.class_table.borrow().clone();
+        let mut call = request::read(http, &class_table);
         if let Ok(Call::Read(facts, _) | Call::Create { facts, .. }) = &mut call {
             facts.wait = facts.wait.saturating_sub(waited);
         }
@@ -114,18 +114,18 @@
             Ok(Call::Service) => reply::service(form),
             Ok(Call::Metadata) => reply::metadata(form),
             Ok(Call::Read(facts, key)) => {
-                let mut request = self.request(&terms, facts, &key, None);
+                let mut request = self.request(&class_table, facts, &key, None);
                 request.client = Some(client);
                 let deadline = request.deadline;
-                let safe = terms.classes[request.class].repeat == Repeat::Safe;
+                let safe = class_table.classes[request.class].repeat == Repeat::Safe;
                 let answer = self.gathered(self.core.submit(request).await.await, safe).await;
                 reply::answer(form, Asked::Read(&key), answer, self.late(deadline))
             }
             Ok(Call::Create { facts, key, value, repeatable, minimal }) => {
                 let asked = Asked::Create { key: &key, minimal, repeatable: repeatable.is_some() };
-                let fingerprint = fingerprint(&terms, &facts, &key, &value);
+                let fingerprint = fingerprint(&class_table, &facts, &key, &value);
                 let weight = value.len() + 512;
-                let mut request = self.request(&terms, facts, &key, Some(value));
+                let mut request = self.request(&class_table, facts, &key, Some(value));
                 let deadline = request.deadline;
                 let Some(Repeatable { id, first_sent }) = repeatable else {
                     request.client = Some(client);
@@ -183,18 +183,18 @@
         self.clock.now() + LEAD >= deadline
     }
 
-    fn request(&self, terms: &Arc<Terms>, facts: Facts, key: &str, value: Option<Bytes>) -> Request {
+    fn request(&self, class_table: &Arc<ClassTable>, facts: Facts, key: &str, value: Option<Bytes>) -> Request {
         let Facts { class, tenant, group, session, after, wait, repeat } = facts;
         let id = self.random.hash_one(self.sent.fetch_add(1, Ordering::Relaxed));
         let key_text = key.to_string();
         let operation =
-            Operation { terms: terms.clone(), id, class, tenant, group, after, repeat, key: key_text, value };
+            Operation { class_table: class_table.clone(), id, class, tenant, group, after, repeat, key: key_text, value };
         let work = Work::Operation(Arc::new(operation));
         let deadline = self.answer_limit.cap(self.clock.now().saturating_add(wait));
         let session: Option<Arc<str>> = session.map(Arc::from);
         let key_session = session.as_ref().filter(|s| &***s != key).map(|_| Arc::from(key));
         Request {
-            terms: terms.clone(),
+            class_table: class_table.clone(),
             name: None,
             class,
             tenant,
@@ -212,11 +212,11 @@
 
 /// Fingerprint of what a booking asks for; how long a try waits is not part of it. By names, as a reload may give a class
 /// another number, and by a hash that every version of the program works out alike.
-fn fingerprint(terms: &Terms, facts: &Facts, key: &str, value: &[u8]) -> u64 {
+fn fingerprint(class_table: &ClassTable, facts: &Facts, key: &str, value: &[u8]) -> u64 {
     let group = facts.group.to_be_bytes();
     let session = facts.session.as_deref().unwrap_or_default();
-    let class = terms.class_name(facts.class);
-    let tenant = terms.names.tenants.get(facts.tenant).map_or("", |name| name);
+    let class = class_table.class_name(facts.class);
+    let tenant = class_table.names.tenants.get(facts.tenant).map_or("", |name| name);
     let mut hash = Sha256::new();
     for field in [class.as_bytes(), tenant.as_bytes(), &group, session.as_bytes(), key.as_bytes(), value] {
         hash.update((field.len() as u64).to_be_bytes());
--- a/src/odata/request.rs
+++ b/src/odata/request.rs
@@ -4,7 +4,7 @@
 use crate::core::plain_key;
 use crate::http::{Headers, HttpRequest};
 use crate::interface::*;
-use crate::terms::Terms;
+use crate::class_table::ClassTable;
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig, URL_SAFE_NO_PAD};
 use base64::engine::DecodePaddingMode;
 use base64::{alphabet, Engine};
@@ -239,8 +239,8 @@
 }
 
 /// Reads a request as a call.
-pub fn read(request: &HttpRequest, terms: &Terms) -> Result<Call, Fault> {
-    let classes = &terms.classes;
+pub fn read(request: &HttpRequest, class_table: &ClassTable) -> Result<Call, Fault> {
+    let classes = &class_table.classes;
     options(query(&request.target))?;
     let path = decoded(path(&request.target))?;
     let path = path.trim_matches('/');
@@ -256,7 +256,7 @@
         "$metadata" if get => Ok(Call::Metadata),
         "" | "$metadata" => only("GET"),
         "records" if post => {
-            let facts = facts(&request.headers, terms)?;
+            let facts = facts(&request.headers, class_table)?;
             if read_class(&facts) {
                 return Err(misfit());
             }
@@ -272,7 +272,7 @@
         }
         _ => match key_of(path)? {
             Some(key) if get => {
-                let mut facts = facts(&request.headers, terms)?;
+                let mut facts = facts(&request.headers, class_table)?;
                 if !read_class(&facts) {
                     return Err(misfit());
                 }
@@ -294,7 +294,7 @@
     facts.session = if named { facts.session.take().or_else(|| Some(key.to_string())) } else { None };
 }
 
-fn facts(headers: &Headers, terms: &Terms) -> Result<Facts, Fault> {
+fn facts(headers: &Headers, class_table: &ClassTable) -> Result<Facts, Fault> {
     let bad = |name: &'static str, text: String| Fault::new(400, "BadHeader", text).at(name);
     let must = |name: &'static str| {
         headers
@@ -308,12 +308,12 @@
         let given = must(name)?;
         find(given).ok_or_else(|| bad(name, format!("{name} names none that is known: {given}")))
     };
-    let class = listed("Skip-Class", &|given| terms.class(given))?;
+    let class = listed("Skip-Class", &|given| class_table.class(given))?;
     let tenant =
-        if terms.names.tenants.is_empty() { 0 } else { listed("Skip-Tenant", &|given| terms.tenant(given))? };
+        if class_table.names.tenants.is_empty() { 0 } else { listed("Skip-Tenant", &|given| class_table.tenant(given))? };
     let wait = match headers.get("Skip-Wait") {
         Some(text) => number("Skip-Wait", text)?.min(3_600_000) * 1000,
-        None => terms.classes[class].deadline,
+        None => class_table.classes[class].deadline,
     };
     if wait == 0 {
         return Err(bad("Skip-Wait", "Skip-Wait must be above 0".to_string()));
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -11,7 +11,7 @@
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::terms::Terms;
+use crate::class_table::ClassTable;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::future::Future;
@@ -31,7 +31,7 @@
     /// Way into the core.
     pub core: Handle,
     /// The terms under which requests are read.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    pub class_table: watch::Receiver<Arc<ClassTable>>,
     /// The clock.
     pub clock: Clock,
     /// Permits for clients' connections.
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -272,16 +272,16 @@
     async fn query(&mut self, text: Bytes) -> PendingReply {
         count(Count::pg_requests);
         let front = &self.front;
-        let terms = front.terms.borrow().clone();
+        let class_table = front.class_table.borrow().clone();
         let waited = held_up::waited(self.state.waits_since);
-        match statement::read(text, &terms, front.clock.now().saturating_sub(waited)) {
+        match statement::read(text, &class_table, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
                 self.state.sound = true;
                 let client = self.conn.get_ref();
                 request.deadline = front.answer_limit.cap(request.deadline.saturating_sub(DEADLINE_MARGIN));
                 request.client = Some(client.presence());
                 log::debug!(target: CONNECTION, client = client.port(), name:? = request.name; "request read");
-                let write = request.terms.classes[request.class].need == Need::Write;
+                let write = request.class_table.classes[request.class].need == Need::Write;
                 PendingReply::Waiting(front.core.submit(request).await, write)
             }
             Err(Fault { code, message }) => {
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{plain_key, Operation, Request, Work};
 use crate::interface::*;
-use crate::terms::Terms;
+use crate::class_table::ClassTable;
 use bytes::Bytes;
 use std::ops::Range;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// With the SQLSTATE that the client gets.
-pub fn read(text: Bytes, terms: &Arc<Terms>, now: Time) -> Result<Request, Fault> {
+pub fn read(text: Bytes, class_table: &Arc<ClassTable>, now: Time) -> Result<Request, Fault> {
     let Ok(sql) = std::str::from_utf8(&text) else { return fault("22021", "the statement is not UTF-8") };
     let (write, rest) = match (sql.strip_prefix(READ), sql.strip_prefix(CREATE)) {
         (Some(rest), _) => (false, rest),
@@ -105,8 +105,8 @@
         return fault("22023", "an id has 1 to 64 letters and digits");
     }
     let (class, wait) = (class.ok_or_else(|| missing("c"))?, wait.ok_or_else(|| missing("d"))?);
-    let (names, classes) = (&terms.names, &terms.classes);
-    let Some(class) = terms.class(class) else {
+    let (names, classes) = (&class_table.names, &class_table.classes);
+    let Some(class) = class_table.class(class) else {
         return fault("22023", format!("no class is named {class}"));
     };
     let need = classes[class].need;
@@ -116,7 +116,7 @@
     let tenant = match tenant {
         None if names.tenants.is_empty() => 0,
         None => return Err(missing("t")),
-        Some(name) => match terms.tenant(name) {
+        Some(name) => match class_table.tenant(name) {
             Some(tenant) => tenant,
             None => return fault("22023", format!("no tenant is named {name}")),
         },
@@ -140,7 +140,7 @@
     let session = matches!(need, Need::Write | Need::Session).then(|| Arc::from(key));
     let (name, wait) = (text.slice(part(id)), part(wait));
     Ok(Request {
-        terms: terms.clone(),
+        class_table: class_table.clone(),
         name: Some(name),
         class,
         tenant,
@@ -157,13 +157,13 @@
 
 /// The statement of an operation, and where in it the waiting time stands.
 pub fn render(operation: &Operation) -> (String, Range<usize>) {
-    let Operation { terms, id, class, tenant, group, after, repeat, key, value } = operation;
-    let tenants = &terms.names.tenants;
+    let Operation { class_table, id, class, tenant, group, after, repeat, key, value } = operation;
+    let tenants = &class_table.names.tenants;
     let mut text = match value {
         None => format!("{READ}{key}' /* "),
         Some(value) => format!("{CREATE}{key}', '\\x{}') RETURNING v /* ", hex(value)),
     };
-    text.push_str(&format!("id={id:016x},c={}", terms.class_name(*class)));
+    text.push_str(&format!("id={id:016x},c={}", class_table.class_name(*class)));
     if !tenants.is_empty() {
         text.push_str(&format!(",t={}", tenants.get(*tenant).map_or("", |name| name)));
     }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -12,7 +12,7 @@
 use crate::net::discovery::Service;
 use crate::parley::Rules;
 use crate::settings::{Names, SocketTimes};
-use crate::terms::{Slots, Terms};
+use crate::class_table::{ClassSlots, ClassTable};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,9 +31,9 @@
     /// The zone of this proxy.
     pub zone: u32,
     /// Its classes.
-    pub slots: Slots,
+    pub slots: ClassSlots,
     /// Where the fronts learn the terms of new requests.
-    pub terms: watch::Sender<Arc<Terms>>,
+    pub class_table: watch::Sender<Arc<ClassTable>>,
     /// Where discovery's reader learns its address.
     pub discovery: watch::Sender<Service>,
     /// The way to the core.
@@ -102,11 +102,11 @@
 
     /// The settings that hold from now on.
     async fn hold(&mut self, names: Names, mut settings: Settings, times: SocketTimes) {
-        let terms = self.slots.change(names, std::mem::take(&mut settings.classes));
-        settings.classes = terms.classes.clone();
+        let class_table = self.slots.replace(names, std::mem::take(&mut settings.classes));
+        settings.classes = class_table.classes.clone();
         // The module first: no request may come under terms that it does not know.
         self.control.request(|reply| Order::Settings(Box::new(settings), times, reply)).await;
-        let _ = self.terms.send(terms);
+        let _ = self.class_table.send(class_table);
     }
 
     /// What all proxies act on: with this one's own zone and random numbers.
@@ -115,7 +115,7 @@
         let (seed, zone) = (self.running.seed, self.zone);
         self.hold(names, Settings { seed, zone, ..settings }, times).await;
         log::info!("settings that are agreed on hold from now on");
-        tell_classes(&self.slots.now());
+        tell_classes(&self.slots.current());
     }
 
     async fn take(&mut self, told: Config, sound: Sound, text: &[u8]) {
@@ -139,7 +139,7 @@
         }
         log::info!("the configuration was read again; discovery is asked at {} from now on", told.discovery);
         if self.agreed.is_none() {
-            tell_classes(&self.slots.now());
+            tell_classes(&self.slots.current());
         }
         self.running = told;
     }
@@ -152,10 +152,10 @@
 }
 
 /// Tells the log what holds for new requests.
-pub fn tell_classes(terms: &Terms) {
-    for (slot, class) in terms.classes.iter().enumerate() {
-        let name = terms.class_name(slot);
-        if terms.class(name) == Some(slot) {
+pub fn tell_classes(class_table: &ClassTable) {
+    for (slot, class) in class_table.classes.iter().enumerate() {
+        let name = class_table.class_name(slot);
+        if class_table.class(name) == Some(slot) {
             let (aim, deadline) = (class.aim / 1000, class.deadline / 1000);
             let (need, repeat) = (&class.need, &class.repeat);
             log::info!(need:?, repeat:?; "class {name}: wanted in {aim} ms, given up after {deadline} ms");
