--- a/src/core/flow.rs
+++ b/src/core/flow.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, Mutex};
 
 /// Pieces that may wait; with the one read and the one written, what a flow holds in memory.
-pub const WAITING: usize = 2;
+pub const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// What comes of a value.
 #[derive(Debug)]
@@ -17,15 +17,15 @@
     /// The next bytes.
     Bytes(Bytes),
     /// That was all of them, and the member has said so.
-    Whole,
+    End,
 }
 
 /// Where pieces are put in.
-pub type Source = mpsc::Sender<Chunk>;
+pub type ChunkSender = mpsc::Sender<Chunk>;
 
 /// Where they are taken out. Copies are the same one: whoever takes a piece has it alone.
 #[derive(Debug, Clone)]
-pub struct Flow(Arc<Inner>);
+pub struct ValueStream(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
@@ -33,19 +33,19 @@
     pieces: Mutex<mpsc::Receiver<Chunk>>,
 }
 
-impl PartialEq for Flow {
+impl PartialEq for ValueStream {
     fn eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
 
-impl Eq for Flow {}
+impl Eq for ValueStream {}
 
-impl Flow {
+impl ValueStream {
     /// Both ends of a flow of so many bytes.
-    pub fn new(length: usize) -> (Source, Flow) {
-        let (source, pieces) = mpsc::channel(WAITING);
-        (source, Flow(Arc::new(Inner { length, pieces: Mutex::new(pieces) })))
+    pub fn new(length: usize) -> (ChunkSender, ValueStream) {
+        let (source, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        (source, ValueStream(Arc::new(Inner { length, pieces: Mutex::new(pieces) })))
     }
 
     /// Bytes in all.
@@ -59,14 +59,14 @@
     }
 
     /// All of it; none where it broke off, or was not as long as was said.
-    pub async fn gather(&self) -> Option<Bytes> {
+    pub async fn collect(&self) -> Option<Bytes> {
         let mut all = Vec::with_capacity(self.length());
         loop {
             match self.next().await? {
                 Chunk::Bytes(bytes) if all.len() + bytes.len() <= self.length() => {
                     all.extend_from_slice(&bytes)
                 }
-                Chunk::Whole if all.len() == self.length() => return Some(all.into()),
+                Chunk::End if all.len() == self.length() => return Some(all.into()),
                 _ => return None,
             }
         }
@@ -83,18 +83,18 @@
         runtime.block_on(async {
             let bytes = |text: &'static str| Chunk::Bytes(Bytes::from_static(text.as_bytes()));
             for (pieces, whole) in [
-                (vec![bytes("ab"), bytes("c"), Chunk::Whole], true),
+                (vec![bytes("ab"), bytes("c"), Chunk::End], true),
                 (vec![bytes("ab"), bytes("c")], false),
-                (vec![bytes("ab"), Chunk::Whole], false),
-                (vec![bytes("ab"), bytes("cd"), Chunk::Whole], false),
+                (vec![bytes("ab"), Chunk::End], false),
+                (vec![bytes("ab"), bytes("cd"), Chunk::End], false),
             ] {
-                let (source, flow) = Flow::new(3);
+                let (source, flow) = ValueStream::new(3);
                 let put = async move {
                     for piece in pieces {
                         let _ = source.send(piece).await;
                     }
                 };
-                let (_, all) = tokio::join!(put, flow.gather());
+                let (_, all) = tokio::join!(put, flow.collect());
                 assert_eq!(all, whole.then(|| Bytes::from_static(b"abc")));
             }
         });
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -135,7 +135,7 @@
     /// The bytes; none stands for no value, or for one that flows.
     pub bytes: Option<Bytes>,
     /// A large value, whose bytes are still to come.
-    pub flow: Option<flow::Flow>,
+    pub stream: Option<flow::ValueStream>,
     /// Rows: 0 where the key is unknown.
     pub rows: u32,
 }
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -1,7 +1,7 @@
 //! What becomes of attempts that wait at a member whose mailbox is full.
 
 use super::*;
-use crate::core::flow::Source;
+use crate::core::flow::ChunkSender;
 use crate::core::Work;
 use crate::net::link::{Confirmation, Exchange, Guard, Link};
 use bytes::Bytes;
@@ -54,7 +54,7 @@
         Confirmation::Alone
     }
 
-    async fn rest(&mut self, _: Source) -> bool {
+    async fn rest(&mut self, _: ChunkSender) -> bool {
         false
     }
 
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,6 +1,6 @@
 //! What the peers need of a member's wire, without naming one: open a connection, run a statement, ask for a report.
 
-use crate::core::flow::Source;
+use crate::core::flow::ChunkSender;
 use crate::core::{Value, Work};
 use crate::interface::*;
 use std::future::Future;
@@ -21,7 +21,7 @@
     /// The connection may carry another.
     pub reusable: bool,
     /// Of the value only the start has come; the rest is to be passed on here, by [`Link::rest`].
-    pub begun: Option<Source>,
+    pub begun: Option<ChunkSender>,
 }
 
 /// One that never got as far as being written.
@@ -83,7 +83,7 @@
 
     /// Passes on the rest of a value that has begun, no faster than it is taken; whether the connection may carry
     /// another statement.
-    fn rest(&mut self, to: Source) -> impl Future<Output = bool> + Send;
+    fn rest(&mut self, to: ChunkSender) -> impl Future<Output = bool> + Send;
 
     /// Asks for the member's report, and tells whether the connection may carry another query; none if the member
     /// does not answer. An answer that cannot be read shows no more than that the member is there.
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -11,7 +11,7 @@
 use super::timeout::Timeout;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::flow::Source;
+use crate::core::flow::ChunkSender;
 use crate::core::{Attempt, Ending, Input};
 use crate::interface::*;
 use crate::policy::begin::AttemptKey;
@@ -359,7 +359,7 @@
 }
 
 /// Passes a value's rest on.
-async fn pass_on<L: Link>(link: Option<L>, to: Source) -> Option<L> {
+async fn pass_on<L: Link>(link: Option<L>, to: ChunkSender) -> Option<L> {
     let mut link = link?;
     link.rest(to).await.then_some(link)
 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -164,12 +164,12 @@
     /// memory for its value it is refused only if it may safely run again.
     async fn gathered(&self, answer: Answer, safe: bool) -> Answer {
         let Answer::Served(mut value, position) = answer else { return answer };
-        let Some(flow) = value.flow.take() else { return Answer::Served(value, position) };
+        let Some(flow) = value.stream.take() else { return Answer::Served(value, position) };
         // As it is, and in base64 in its response.
         let Some(_share) = self.budget.bytes.take(flow.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
-        match tokio::time::timeout(GATHER_TIMEOUT, flow.gather()).await {
+        match tokio::time::timeout(GATHER_TIMEOUT, flow.collect()).await {
             Ok(Some(bytes)) => {
                 value.bytes = Some(bytes);
                 Answer::Served(value, position)
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -8,7 +8,7 @@
 use super::statement::{is_write, render};
 use super::told::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use crate::core::counters::{count, Count};
-use crate::core::flow::{Chunk, Flow, Source};
+use crate::core::flow::{Chunk, ValueStream, ChunkSender};
 use crate::core::{Value, Work};
 use crate::interface::*;
 use crate::meter::{self, Cost};
@@ -288,13 +288,13 @@
         }
         if let End::Begun(length) = end {
             count(Count::flows);
-            let (source, flow) = Flow::new(length);
+            let (source, flow) = ValueStream::new(length);
             let value = reply.column.as_ref().map(|c| Value {
                 binary: c.binary,
                 type_id: c.type_id,
                 rows: 1,
                 bytes: None,
-                flow: Some(flow),
+                stream: Some(flow),
             });
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
@@ -307,7 +307,7 @@
             type_id: c.type_id,
             rows: u32::from(row.is_some()),
             bytes: row.flatten(),
-            flow: None,
+            stream: None,
         });
         Exchange { outcome, value, note, report, reusable: whole && !more, begun: None }
     }
@@ -345,7 +345,7 @@
         }
     }
 
-    async fn rest(&mut self, to: Source) -> bool {
+    async fn rest(&mut self, to: ChunkSender) -> bool {
         let Some(mut reply) = self.begun.take() else { return false };
         let whole = loop {
             let read = tokio::time::timeout(FLOW_STALL, next(&mut self.framed, true)).await;
@@ -366,7 +366,7 @@
         shrink(&mut self.framed);
         self.framed.get_ref().expects_nothing();
         if whole {
-            let _ = to.send(Chunk::Whole).await;
+            let _ = to.send(Chunk::End).await;
         } else {
             count(Count::flows_broken);
         }
--- a/src/pg/replies.rs
+++ b/src/pg/replies.rs
@@ -88,7 +88,7 @@
                 head.clear();
                 *conn.write_buffer_mut() = head;
             }
-            Reply::Row(value, write) if value.flow.is_some() => flow(conn, value, write).await?,
+            Reply::Row(value, write) if value.stream.is_some() => flow(conn, value, write).await?,
             reply => in_time(conn.feed(reply)).await?,
         }
         next = if owed.is_empty() { None } else { due(owed).now_or_never() };
@@ -107,7 +107,7 @@
 /// Passes on a large value as it comes. Its length stands before it, so that a client can tell when it breaks off:
 /// all that is left then is to end the connection.
 async fn flow(conn: &mut Conn, value: Value, write: bool) -> Result<(), WireError> {
-    let Some(flow) = &value.flow else { return Ok(()) };
+    let Some(flow) = &value.stream else { return Ok(()) };
     let (mut head, mut left) = (std::mem::take(conn.write_buffer_mut()), flow.length());
     row_head(&value, &mut head);
     in_time(conn.get_mut().write_all(&head)).await?;
@@ -119,7 +119,7 @@
                 left -= bytes.len();
                 in_time(conn.get_mut().write_all_buf(&mut bytes)).await?;
             }
-            Some(Chunk::Whole) if left == 0 => break,
+            Some(Chunk::End) if left == 0 => break,
             _ => return Err(WireError::Io(ErrorKind::UnexpectedEof.into())),
         }
     }
--- a/src/pg/told.rs
+++ b/src/pg/told.rs
@@ -17,7 +17,7 @@
 pub const LONGEST_VALUE: usize = 2 * 4 * 1024 * 1024 + 2;
 /// Room for one piece, and what of a flowing value may be in memory.
 const PIECE: usize = 16 * 1024;
-const IN_MEMORY: usize = PIECE * (flow::WAITING + 2);
+const IN_MEMORY: usize = PIECE * (flow::MAX_QUEUED_CHUNKS + 2);
 
 /// The description of the one column that answers have.
 #[derive(Debug, Clone, PartialEq, Eq)]
