--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -8,7 +8,7 @@
 pub mod line;
 
 use crate::core::counters::{count, Count};
-use crate::core::{Order, Readiness};
+use crate::core::{CoreCommand, Readiness};
 use crate::handover::ControlHandle;
 use crate::net::listen::{Closing, Phase};
 use crate::net::socket::Socket;
@@ -132,14 +132,14 @@
         let (told, done) = match call {
             Call::Status => return self.status().await,
             Call::Phase => {
-                return match self.control.request(Order::Progress).await {
+                return match self.control.request(CoreCommand::QueryStartup).await {
                     Some(told) if told.phase == phases::Phase::Full => Reply::Yes(told.to_string().into()),
                     Some(told) => Reply::No(told.to_string()),
                     None => Reply::No("ending".to_string()),
                 }
             }
             Call::Confirm => {
-                return match self.control.request(Order::Confirm).await {
+                return match self.control.request(CoreCommand::ConfirmSuspensions).await {
                     Some(true) => Reply::Yes("confirmed".into()),
                     Some(false) => Reply::No("nothing waits to be confirmed".to_string()),
                     None => Reply::No("ending".to_string()),
@@ -149,10 +149,10 @@
                 return self.fleet(call).await.map_or_else(Reply::No, |yes| Reply::Yes(yes.into()))
             }
             Call::Suspend(id) => {
-                (self.control.change(id, |reply| Order::Suspend(id.as_str().into(), reply)).await, "out")
+                (self.control.change(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply)).await, "out")
             }
             Call::Restore(id) => {
-                (self.control.change(id, |reply| Order::Restore(id.as_str().into(), reply)).await, "back")
+                (self.control.change(id, |reply| CoreCommand::Restore(id.as_str().into(), reply)).await, "back")
             }
         };
         told.map_or_else(Reply::No, |()| Reply::Yes(done.into()))
@@ -183,13 +183,13 @@
             Phase::Leaving | Phase::Closing | Phase::Ended => return Reply::No("ending".to_string()),
             Phase::Serving => {}
         }
-        match self.control.request(Order::Ready).await {
+        match self.control.request(CoreCommand::QueryReadiness).await {
             Some(Readiness::Ready) if self.stored.load(Ordering::Relaxed) => {
                 Reply::Yes("serving, by the last configuration that held".into())
             }
             Some(Readiness::Ready) => Reply::Yes("serving".into()),
-            Some(Readiness::Nobody) => Reply::No("no member is listed that requests could go to".to_string()),
-            Some(Readiness::Unconfirmed) => {
+            Some(Readiness::NoUsableMember) => Reply::No("no member is listed that requests could go to".to_string()),
+            Some(Readiness::SuspensionsUnconfirmed) => {
                 let why = "what was said by hand may be lost; say it again, then CONFIRM";
                 Reply::No(why.to_string())
             }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -6,7 +6,7 @@
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
 use super::{
-    violated, Answer, Attempt, CommitExchange, Ending, Input, ListedMember, Members, Order, Request, Taken, Value,
+    violated, Answer, Attempt, CommitExchange, Ending, Input, ListedMember, Members, CoreCommand, Request, SuspensionResult, Value,
     Work, REQUEST,
 };
 use crate::clock::Clock;
@@ -67,9 +67,9 @@
     pub(super) clock: Clock,
     mailbox: mpsc::Receiver<Input>,
     /// What the operators ask, read first: a full mailbox must not hold it up.
-    pub(super) orders: mpsc::Receiver<Order>,
+    pub(super) orders: mpsc::Receiver<CoreCommand>,
     /// Answers to that, which wait until the module has taken it in.
-    pub(super) taken: Vec<(oneshot::Sender<Taken>, Taken)>,
+    pub(super) taken: Vec<(oneshot::Sender<SuspensionResult>, SuspensionResult)>,
     pub(super) overlay: EffectiveList,
     /// Another process of this proxy, while one lives.
     pub(super) peer_commits: Option<Box<dyn CommitExchange>>,
@@ -106,7 +106,7 @@
         settings: Settings,
         members: M,
         clock: Clock,
-        (mailbox, orders): (mpsc::Receiver<Input>, mpsc::Receiver<Order>),
+        (mailbox, orders): (mpsc::Receiver<Input>, mpsc::Receiver<CoreCommand>),
     ) -> Result<Self, SettingsError> {
         let max_attempts = settings.max_attempts as usize;
         Ok(Actor {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -229,7 +229,7 @@
 }
 
 /// What came of the operators' word on a member.
-pub type Taken = Result<(), SuspensionError>;
+pub type SuspensionResult = Result<(), SuspensionError>;
 
 /// Another process of this proxy, as far as a session's commits must reach it before the client that wrote is answered.
 /// Neither call may take longer than a look at memory.
@@ -255,45 +255,45 @@
     /// It is.
     Ready,
     /// No member is listed that requests could go to.
-    Nobody,
+    NoUsableMember,
     /// The operators' word may have been lost, and they have not said so.
-    Unconfirmed,
+    SuspensionsUnconfirmed,
 }
 
 /// What the operators ask of the core.
-pub enum Order {
+pub enum CoreCommand {
     /// Whether this process is ready to serve.
-    Ready(oneshot::Sender<Readiness>),
+    QueryReadiness(oneshot::Sender<Readiness>),
     /// What was written down before this process began; until then, without a word of the operators', it is not ready.
-    Recall(Box<Knowledge>, Time, oneshot::Sender<()>),
+    RestoreKnowledge(Box<Knowledge>, Time, oneshot::Sender<()>),
     /// The operators have said all that there is to say again; whether that was waited for.
-    Confirm(oneshot::Sender<bool>),
+    ConfirmSuspensions(oneshot::Sender<bool>),
     /// Clients are taken from now on, by a process that began at this time.
-    Serves(Time, oneshot::Sender<()>),
+    StartServing(Time, oneshot::Sender<()>),
     /// How far the way back to full service is.
-    Progress(oneshot::Sender<Progress>),
+    QueryStartup(oneshot::Sender<Progress>),
     /// The members as discovery has them.
-    Listed(oneshot::Sender<Vec<ListedMember>>),
+    QueryMembers(oneshot::Sender<Vec<ListedMember>>),
     /// Take a member out, by its id.
-    Suspend(Arc<str>, oneshot::Sender<Taken>),
+    Suspend(Arc<str>, oneshot::Sender<SuspensionResult>),
     /// Put it back.
-    Restore(Arc<str>, oneshot::Sender<Taken>),
+    Restore(Arc<str>, oneshot::Sender<SuspensionResult>),
     /// New settings, with the classes by slot, and times for connections.
-    Settings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
+    ApplySettings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
     /// All that the operators said so far.
-    Hands(oneshot::Sender<Suspensions>),
+    QuerySuspensions(oneshot::Sender<Suspensions>),
     /// That, as it was said to any process of this proxy.
-    Adopt(Suspensions, oneshot::Sender<()>),
+    ReplaceSuspensions(Suspensions, oneshot::Sender<()>),
     /// What was learned so far.
-    Export(oneshot::Sender<Known>),
+    ExportLearned(oneshot::Sender<Known>),
     /// Another process of this proxy lives beside this one, or no longer does.
-    Peer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
+    SetPeer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
     /// What another process of this proxy has learned.
-    Learn(Known, oneshot::Sender<()>),
+    ImportLearned(Known, oneshot::Sender<()>),
     /// The rules in force hold until then; nothing is sent after that unless told so again.
-    Lease(Time),
+    ExtendLease(Time),
     /// These members are out for the whole fleet.
-    Fleet(BTreeSet<Arc<str>>, oneshot::Sender<()>),
+    SetFleetSuspensions(BTreeSet<Arc<str>>, oneshot::Sender<()>),
 }
 
 /// The members, as the core sees them. No call may wait: the core must always get back to its mailbox, which the
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -4,7 +4,7 @@
 use super::actor::Actor;
 use super::counters::{add, count, Count};
 use super::member_times::with_times;
-use super::{ListedMember, Members, Order, PeerCommits, Readiness};
+use super::{ListedMember, Members, CoreCommand, PeerCommits, Readiness};
 use crate::interface::*;
 use crate::knowledge::evidence::{Listed as Life, Recalled, Usable};
 use crate::knowledge::{merge_hands, Knowledge, Known};
@@ -20,48 +20,48 @@
 
 impl<M: Members> Actor<M> {
     /// What the operators ask, or another process tells, and what of it the module must know.
-    pub(super) fn order(&mut self, order: Order) -> Vec<Event> {
+    pub(super) fn order(&mut self, order: CoreCommand) -> Vec<Event> {
         let now = self.clock.now();
         let (told, reply) = match order {
-            Order::Suspend(name, reply) => (self.overlay.suspend(&name, now), reply),
-            Order::Restore(name, reply) => (self.overlay.restore(&name, now), reply),
-            Order::Ready(reply) => {
+            CoreCommand::Suspend(name, reply) => (self.overlay.suspend(&name, now), reply),
+            CoreCommand::Restore(name, reply) => (self.overlay.restore(&name, now), reply),
+            CoreCommand::QueryReadiness(reply) => {
                 let _ = reply.send(match (self.overlay.serves(), now < self.unconfirmed) {
-                    (_, true) => Readiness::Unconfirmed,
+                    (_, true) => Readiness::SuspensionsUnconfirmed,
                     (true, _) => Readiness::Ready,
-                    (false, _) => Readiness::Nobody,
+                    (false, _) => Readiness::NoUsableMember,
                 });
                 return Vec::new();
             }
-            Order::Recall(all, until, reply) => {
+            CoreCommand::RestoreKnowledge(all, until, reply) => {
                 self.unconfirmed = until;
                 let _ = reply.send(());
                 return self.recall(*all);
             }
-            Order::Confirm(reply) => {
+            CoreCommand::ConfirmSuspensions(reply) => {
                 let _ = reply.send(now < std::mem::take(&mut self.unconfirmed));
                 return Vec::new();
             }
-            Order::Serves(began, reply) => {
+            CoreCommand::StartServing(began, reply) => {
                 let news = self.returning.serves(began, now);
                 self.told_of_return(news);
                 let _ = reply.send(());
                 return Vec::new();
             }
-            Order::Progress(reply) => {
+            CoreCommand::QueryStartup(reply) => {
                 self.look_back(now);
                 let _ = reply.send(self.returning.progress(now));
                 return Vec::new();
             }
-            Order::Listed(reply) => {
+            CoreCommand::QueryMembers(reply) => {
                 let _ = reply.send(self.listed_as_told());
                 return Vec::new();
             }
-            Order::Hands(reply) => {
+            CoreCommand::QuerySuspensions(reply) => {
                 let _ = reply.send(self.overlay.hands().clone());
                 return Vec::new();
             }
-            Order::Settings(settings, times, reply) => {
+            CoreCommand::ApplySettings(settings, times, reply) => {
                 let _ = reply.send(());
                 self.max_attempts = settings.max_attempts as usize;
                 self.members.times(times);
@@ -71,32 +71,32 @@
                 };
                 return vec![Event::Settings(settings)];
             }
-            Order::Lease(until) => {
+            CoreCommand::ExtendLease(until) => {
                 self.lease.get_or_insert_default().holds(until);
                 return Vec::new();
             }
-            Order::Fleet(out, reply) => {
+            CoreCommand::SetFleetSuspensions(out, reply) => {
                 let told = self.overlay.fleet(out, now);
                 let _ = reply.send(());
                 return self.operator(told);
             }
-            Order::Adopt(hands, reply) => {
+            CoreCommand::ReplaceSuspensions(hands, reply) => {
                 let told = self.overlay.adopt(hands);
                 let _ = reply.send(());
                 return self.operator(told);
             }
-            Order::Export(reply) => {
+            CoreCommand::ExportLearned(reply) => {
                 let _ = reply.send(self.export(now));
                 return Vec::new();
             }
-            Order::Peer(peer_commits, reply) => {
+            CoreCommand::SetPeer(peer_commits, reply) => {
                 // What the one that has gone said last still counts.
                 self.catch_up();
                 self.peer_commits = peer_commits;
                 let _ = reply.send(());
                 return Vec::new();
             }
-            Order::Learn(known, reply) => {
+            CoreCommand::ImportLearned(known, reply) => {
                 let _ = reply.send(());
                 let known = with_times(known, |told| self.member_clock.local(told));
                 return self.learn(&known);
--- a/src/handover/handover_tests.rs
+++ b/src/handover/handover_tests.rs
@@ -9,12 +9,12 @@
 }
 
 /// A core that does whatever it is asked and knows of nobody out.
-async fn agrees(mut orders: mpsc::Receiver<Order>) {
+async fn agrees(mut orders: mpsc::Receiver<CoreCommand>) {
     while let Some(order) = orders.recv().await {
         match order {
-            Order::Suspend(_, reply) => drop(reply.send(Ok(()))),
-            Order::Hands(reply) => drop(reply.send(Suspensions::default())),
-            Order::Adopt(_, reply) => drop(reply.send(())),
+            CoreCommand::Suspend(_, reply) => drop(reply.send(Ok(()))),
+            CoreCommand::QuerySuspensions(reply) => drop(reply.send(Suspensions::default())),
+            CoreCommand::ReplaceSuspensions(_, reply) => drop(reply.send(())),
             _ => panic!("not asked here"),
         }
     }
@@ -32,7 +32,7 @@
         let (orders, ordered) = mpsc::channel(4);
         tokio::spawn(agrees(ordered));
         let control = ControlHandle::new(orders, SharedFolder::joined(folder.clone()));
-        let change = || control.change("a", |reply| Order::Suspend("a".into(), reply));
+        let change = || control.change("a", |reply| CoreCommand::Suspend("a".into(), reply));
         let refused = change().await.expect_err("it cannot be recorded");
         assert!(refused.starts_with("the call cannot be recorded"), "{refused}");
         assert!(std::fs::symlink_metadata(&hands).expect("there").is_symlink(), "it was written over");
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::repeat_ids::RepeatIds;
-use crate::core::{CommitExchange, Order, Taken};
+use crate::core::{CommitExchange, CoreCommand, SuspensionResult};
 use crate::knowledge::format;
 use crate::net::budget::Budget;
 use crate::effective_list::{Suspensions, SuspensionError};
@@ -77,7 +77,7 @@
 /// Where the operators' word on members is taken: recorded for both processes, and done in this one.
 #[derive(Clone)]
 pub struct ControlHandle {
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<CoreCommand>,
     folder: SharedFolder,
     /// Where the operators' word is written down for later starts.
     scribe: Option<Scribe>,
@@ -85,7 +85,7 @@
 
 impl ControlHandle {
     /// One that hands orders to the core, and records them where the proxy has a folder.
-    pub fn new(orders: mpsc::Sender<Order>, folder: SharedFolder) -> Self {
+    pub fn new(orders: mpsc::Sender<CoreCommand>, folder: SharedFolder) -> Self {
         ControlHandle { orders, folder, scribe: None }
     }
 
@@ -95,14 +95,14 @@
     }
 
     /// Asks the core; none once it has ended.
-    pub async fn request<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Order) -> Option<T> {
+    pub async fn request<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> CoreCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.orders.send(order(reply)).await.ok()?;
         answer.await.ok()
     }
 
     /// Tells the core something that needs no answer; none once it has ended.
-    pub async fn send(&self, order: Order) -> Option<()> {
+    pub async fn send(&self, order: CoreCommand) -> Option<()> {
         self.orders.send(order).await.ok()
     }
 
@@ -113,18 +113,18 @@
     pub async fn change(
         &self,
         member: &str,
-        order: impl FnOnce(oneshot::Sender<Taken>) -> Order,
+        order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
     ) -> Result<(), String> {
         self.record(order).await?;
         let Some(scribe) = &self.scribe else { return Ok(()) };
-        let hands = self.request(Order::Hands).await.ok_or_else(|| "the process ends".to_string())?;
+        let hands = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(|| "the process ends".to_string())?;
         let Some((name, hand)) = hands.get_key_value(member) else { return Ok(()) };
         let written = scribe.word(name.clone(), *hand).await;
         written.map_err(|e| format!("done, but not written down for later starts: {e}"))
     }
 
     /// Has it done, and recorded for the other process.
-    async fn record(&self, order: impl FnOnce(oneshot::Sender<Taken>) -> Order) -> Result<(), String> {
+    async fn record(&self, order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand) -> Result<(), String> {
         let ending = || "the process ends".to_string();
         let fault = |e: io::Error| format!("the call cannot be recorded: {e}");
         if self.folder.is_missing() {
@@ -141,10 +141,10 @@
             read => read,
         };
         if let Some(hands) = usable(HANDS, read, format::read_hands) {
-            self.request(|reply| Order::Adopt(hands, reply)).await.ok_or_else(ending)?;
+            self.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await.ok_or_else(ending)?;
         }
         self.request(order).await.ok_or_else(ending)?.map_err(said)?;
-        let hands = self.request(Order::Hands).await.ok_or_else(ending)?;
+        let hands = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(ending)?;
         folder.write(HANDS, &format::write_hands(&hands)).map_err(fault)
     }
 
@@ -207,7 +207,7 @@
         ids: Option<RepeatIds>,
     ) {
         let unseen: Option<Box<dyn CommitExchange>> = Some(Box::new(UnseenPeer));
-        control.request(|reply| Order::Peer(unseen, reply)).await;
+        control.request(|reply| CoreCommand::SetPeer(unseen, reply)).await;
         let folder = loop {
             tokio::time::sleep(JOIN_INTERVAL).await;
             let place = place.clone();
@@ -220,7 +220,7 @@
         let mut handover = Handover::new(folder, control.clone(), budget, clock, ids);
         handover.begin().await;
         if handover.lent.is_none() {
-            control.request(|reply| Order::Peer(None, reply)).await;
+            control.request(|reply| CoreCommand::SetPeer(None, reply)).await;
         }
         handover.run().await;
     }
@@ -271,7 +271,7 @@
                 } else {
                     log::info!("the other process of this proxy has ended");
                     self.lent.take().inspect(AbortHandle::abort);
-                    self.control.request(|reply| Order::Peer(None, reply)).await;
+                    self.control.request(|reply| CoreCommand::SetPeer(None, reply)).await;
                 }
             }
             self.id_exchange.look(peer_alive).await;
@@ -302,7 +302,7 @@
         match CommitLog::open(&place(self.folder.slot), place(self.folder.other())) {
             Ok(log) => {
                 let commits: Option<Box<dyn CommitExchange>> = Some(Box::new(log));
-                self.control.request(|reply| Order::Peer(commits, reply)).await;
+                self.control.request(|reply| CoreCommand::SetPeer(commits, reply)).await;
             }
             Err(e) => log::warn!("the folder of the handover cannot be used: {e}"),
         }
@@ -313,12 +313,12 @@
         let mark = self.folder.mark(HANDS);
         let Some(news) = self.hands.news(mark, || self.folder.read(HANDS)) else { return Some(()) };
         let hands: Suspensions = usable(HANDS, news, format::read_hands)?;
-        self.control.request(|reply| Order::Adopt(hands, reply)).await
+        self.control.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await
     }
 
     /// Writes down what was learned here; none once the core has ended.
     async fn tell(&mut self) -> Option<()> {
-        let known = self.control.request(Order::Export).await?;
+        let known = self.control.request(CoreCommand::ExportLearned).await?;
         let name = known_of(self.folder.slot);
         if let Err(e) = self.folder.write(&name, &format::write_known(&known, self.clock.now())) {
             log::warn!("what was learned cannot be written down: {e}");
@@ -332,7 +332,7 @@
         let mark = self.folder.mark(&name);
         let news = self.known.news(mark, || self.folder.read(&name))?;
         let (known, _) = usable(&name, news, format::read_known)?;
-        self.control.request(|reply| Order::Learn(known, reply)).await
+        self.control.request(|reply| CoreCommand::ImportLearned(known, reply)).await
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,7 +13,7 @@
 use linentrail::core::counters::{self, Count};
 use linentrail::core::repeat_ids::RepeatIds;
 use linentrail::core::repeat_ledger::Load;
-use linentrail::core::{Handle, Input, Order};
+use linentrail::core::{CoreCommand, Handle, Input};
 use linentrail::dnssd::browse::Browser;
 use linentrail::dnssd::records;
 use linentrail::handover::files::Folder;
@@ -222,8 +222,8 @@
     if file.agreement.enabled {
         if file.agreement.on_lapse == OnLapse::Refuse {
             // Before the first client comes: without a word of the voters nothing is sent.
-            control.send(Order::Lease(0)).await;
-            control.request(|reply| Order::Settings(Box::new(first), times, reply)).await;
+            control.send(CoreCommand::ExtendLease(0)).await;
+            control.request(|reply| CoreCommand::ApplySettings(Box::new(first), times, reply)).await;
         }
         let keys = file.agreement.read_keys()?;
         let (rules, ruled) = mpsc::channel(1);
@@ -284,7 +284,7 @@
         (None, None) => {}
     }
     let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
-    control.request(|reply| Order::Serves(began, reply)).await;
+    control.request(|reply| CoreCommand::StartServing(began, reply)).await;
     let (core, pace) = (Handle::new(mailbox.clone()), Pace::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
--- a/src/parley/mod.rs
+++ b/src/parley/mod.rs
@@ -15,7 +15,7 @@
 use crate::agreement::{Hash, Holds, Kind, Number, Standing, Version, KINDS};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::{Input, Order};
+use crate::core::{Input, CoreCommand};
 use crate::handover::ControlHandle;
 use crate::interface::{ListKind, Time};
 use crate::net::discovery::{self, Lists};
@@ -433,7 +433,7 @@
         match want {
             Want::Document(hash) => self.documents.get(&hash).map(|kept| kept.bytes.clone()),
             Want::List => {
-                let listed = self.with.control.request(Order::Listed).await?;
+                let listed = self.with.control.request(CoreCommand::QueryMembers).await?;
                 let version = self.with.version.load(Ordering::Relaxed);
                 Some(discovery::write(&listed, version, &self.with.zones).to_string().into())
             }
@@ -537,7 +537,7 @@
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
         if until > self.until && self.with.file.on_lapse == OnLapse::Refuse {
-            self.with.control.send(Order::Lease(until)).await?;
+            self.with.control.send(CoreCommand::ExtendLease(until)).await?;
         }
         self.until = until;
         Some(())
@@ -572,7 +572,7 @@
         }
         let [own, all] = KINDS.map(|kind| self.acts.map(|acts| acts[kind.at()].holds));
         if all != Some(hands) {
-            self.with.control.request(|reply| Order::Fleet(out, reply)).await?;
+            self.with.control.request(|reply| CoreCommand::SetFleetSuspensions(out, reply)).await?;
         }
         if own != Some(settings) {
             let (reply, done) = oneshot::channel();
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
-use crate::core::Order;
+use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
 use crate::interface::Time;
 use crate::knowledge::{Held, Knowledge};
@@ -119,7 +119,7 @@
             file.confirm
         );
     }
-    control.request(|reply| Order::Recall(Box::new(found.all), until, reply)).await;
+    control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.all), until, reply)).await;
 }
 
 /// Gathers what is known, from where it is known.
@@ -151,9 +151,9 @@
 
     /// Writes all down now; none once the core has ended.
     pub async fn write(&self) -> Option<()> {
-        let known = self.control.request(Order::Export).await?;
-        let hands = self.control.request(Order::Hands).await?;
-        let listed = self.control.request(Order::Listed).await?;
+        let known = self.control.request(CoreCommand::ExportLearned).await?;
+        let hands = self.control.request(CoreCommand::QuerySuspensions).await?;
+        let listed = self.control.request(CoreCommand::QueryMembers).await?;
         let now = self.clock.now();
         let list = (!listed.is_empty()).then(|| {
             let version = self.version.load(Ordering::Relaxed);
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
-use crate::core::Order;
+use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
 use crate::interface::Settings;
 use crate::knowledge::Held;
@@ -105,7 +105,7 @@
         let class_table = self.slots.replace(names, std::mem::take(&mut settings.classes));
         settings.classes = class_table.classes.clone();
         // The module first: no request may come under terms that it does not know.
-        self.control.request(|reply| Order::Settings(Box::new(settings), times, reply)).await;
+        self.control.request(|reply| CoreCommand::ApplySettings(Box::new(settings), times, reply)).await;
         let _ = self.class_table.send(class_table);
     }
 
