--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -6,8 +6,8 @@
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
 use super::{
-    violated, Answer, Attempt, CommitExchange, Ending, Input, ListedMember, Members, CoreCommand, Request, SuspensionResult, Value,
-    Work, REQUEST,
+    report_violation, Answer, Attempt, CommitExchange, AttemptEnd, Input, ListedMember, Members, CoreCommand, Request, SuspensionResult, Value,
+    Work, REQUEST_LOG_TARGET,
 };
 use crate::clock::Clock;
 use crate::interface::*;
@@ -191,7 +191,7 @@
 
     /// Members and module are told of the list alike.
     pub(super) fn told(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
-        self.members.list(kind, &entries);
+        self.members.update_list(kind, &entries);
         Event::List { kind, members: entries.into_iter().map(|e| e.member).collect() }
     }
 
@@ -287,7 +287,7 @@
             repeat: request.repeat,
         };
         log::debug!(
-            target: REQUEST, id = id.0, name:? = request.name, class = request.class_table.class_name(request.class),
+            target: REQUEST_LOG_TARGET, id = id.0, name:? = request.name, class = request.class_table.class_name(request.class),
             group = request.group, wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
             "taken"
         );
@@ -296,16 +296,16 @@
         Some(event)
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ending: Ending, now: Time) -> Option<Event> {
+    fn ended(&mut self, id: RequestId, attempt: u32, ending: AttemptEnd, now: Time) -> Option<Event> {
         count(ended_count(ending.outcome));
         let member = self.live.get(&id).and_then(|live| live.member(attempt)).map_or(0, |member| member.0);
         log::debug!(
-            target: REQUEST, id = id.0, attempt, member, outcome:? = ending.outcome, us = ending.spent;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, outcome:? = ending.outcome, us = ending.spent;
             "attempt ended"
         );
         let live = self.live.get_mut(&id)?;
         live.end_attempt(attempt, ending.outcome);
-        let Ending { outcome, value, note, report, spent } = ending;
+        let AttemptEnd { outcome, value, note, report, spent } = ending;
         let note = note.map(|note| self.heard_note(note, spent, now));
         let report = report.and_then(|report| self.heard_report(report, spent, now));
         let outcome = self.usable(id, attempt, outcome, note);
@@ -334,11 +334,11 @@
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
         if counted(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
-            log::warn!(target: REQUEST, id = id.0, member; "an answer is not used: it may be older than its session");
+            log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "an answer is not used: it may be older than its session");
         }
         count(Count::stale_caught);
         log::debug!(
-            target: REQUEST, id = id.0, attempt, member, note:?, unseen = live.unseen;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, note:?, unseen = live.unseen;
             "answer not used, as it does not prove to be recent enough"
         );
         Outcome::Stale
@@ -361,16 +361,16 @@
         // Remembered before the answer leaves: whoever has the answer may read at once.
         if let (true, Some(commit)) = (write, position) {
             for session in sessions(&live.request) {
-                self.sessions.wrote(session, commit);
+                self.sessions.record_commit(session, commit);
                 let told = self.member_clock.told(commit);
-                self.peer_commits.iter_mut().for_each(|other| other.wrote(session, told));
+                self.peer_commits.iter_mut().for_each(|other| other.record_commit(session, told));
             }
         }
         let in_time = now <= live.came + live.class().aim;
         if let (Some(value), Some(reply)) = (value, live.reply.take()) {
             count(Count::served);
             let member = live.member(attempt).map_or(0, |member| member.0);
-            log::debug!(target: REQUEST, id = id.0, attempt, member; "served");
+            log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt, member; "served");
             let commit = position.map(|local| self.member_clock.told(local));
             let _ = reply.send(Answer::Served(value, commit));
             self.returning.ended(live.came, in_time);
@@ -389,7 +389,7 @@
         let Some(live) = self.live.get_mut(&id) else { return };
         let Some(reply) = live.reply.take() else { return };
         log::debug!(
-            target: REQUEST, id = id.0, answer:? = answer, attempts = live.attempts(), out = live.out(),
+            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempts(), out = live.out(),
             may_have_run = live.may_have_run();
             "answered without a value"
         );
@@ -433,14 +433,14 @@
             Action::Refuse { id, retry_after } => {
                 let kept = self.live.get(&id).map_or(Ok(()), |live| live.progress().may_refuse());
                 if let Err(violation) = kept {
-                    violated(id, None, violation);
+                    report_violation(id, None, violation);
                     return self.answer(id, Answer::Failed);
                 }
                 self.answer(id, Answer::Refused(retry_after));
             }
             Action::Explain { id, why } => {
                 count(given_up(why));
-                log::debug!(target: REQUEST, id = id.0, why:? = why; "given up");
+                log::debug!(target: REQUEST_LOG_TARGET, id = id.0, why:? = why; "given up");
             }
             Action::Fail { id } => self.fail(id, now),
             Action::Probe { member } => {
@@ -450,7 +450,7 @@
             }
             Action::CloseIdle { member } => self.members.close_idle(member),
             Action::Follow => {
-                if !self.members.follow() {
+                if !self.members.subscribe() {
                     self.local.push_back(Event::List { kind: ListKind::Failed, members: Vec::new() });
                 }
             }
@@ -472,28 +472,28 @@
         let number = live.begin_attempt(member, now, self.router.position(member));
         let stop_at = stop_at.unwrap_or(Time::MAX).min(live.request.deadline);
         let safe = live.class().repeat == Repeat::Safe;
-        let whole = !safe && live.class().need == Need::Write;
-        let by = self.lease.as_ref().map_or(Time::MAX, Lease::until);
+        let buffer_answer = !safe && live.class().need == Need::Write;
+        let rules_until = self.lease.as_ref().map_or(Time::MAX, Lease::until);
         let attempt = Attempt {
             id,
             number,
             work: live.request.work.clone(),
             stop_at,
             safe,
-            whole,
-            by,
-            known_until: progress.known_until(),
-            recent_until: self.router.recent_until(live.request.group, member, live.class().need),
+            buffer_answer,
+            rules_until,
+            dedup_until: progress.known_until(),
+            fresh_until: self.router.recent_until(live.request.group, member, live.class().need),
             client: live.request.client.clone().filter(|_| !live.abandoned),
             client_seen: live.came,
         };
         let may = live.reply.is_some() && now < stop_at && live.attempts() <= self.max_attempts;
         if let Err(violation) = kept {
-            violated(id, Some(member), violation);
+            report_violation(id, Some(member), violation);
         }
-        if may && kept.is_ok() && self.members.attempt(member, attempt) {
+        if may && kept.is_ok() && self.members.start_attempt(member, attempt) {
             count(Count::attempts);
-            log::debug!(target: REQUEST, id = id.0, attempt = number, member = member.0; "sent");
+            log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt = number, member = member.0; "sent");
             return;
         }
         live.end_attempt(number, Outcome::Superseded);
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -13,7 +13,7 @@
 }
 
 impl Members for Still {
-    fn attempt(&mut self, _: MemberId, attempt: Attempt) -> bool {
+    fn start_attempt(&mut self, _: MemberId, attempt: Attempt) -> bool {
         self.attempts.push(attempt);
         true
     }
@@ -23,9 +23,9 @@
         true
     }
     fn close_idle(&mut self, _: MemberId) {}
-    fn list(&mut self, _: ListKind, _: &[ListedMember]) {}
-    fn times(&mut self, _: crate::settings::SocketTimes) {}
-    fn follow(&mut self) -> bool {
+    fn update_list(&mut self, _: ListKind, _: &[ListedMember]) {}
+    fn set_socket_times(&mut self, _: crate::settings::SocketTimes) {}
+    fn subscribe(&mut self) -> bool {
         true
     }
 }
@@ -188,7 +188,7 @@
     actor.take(submit, came).expect("it is taken");
     for listed in members {
         actor.act(came, Action::Send { id, member: listed.member.id, stop_at: None });
-        let ended = Ending { outcome: Outcome::Reset, value: None, note: None, report: None, spent: 1 };
+        let ended = AttemptEnd { outcome: Outcome::Reset, value: None, note: None, report: None, spent: 1 };
         actor.take(Input::Ended(id, 0, ended), came).expect("the module hears of it");
     }
     (actor, came)
@@ -198,7 +198,7 @@
 fn a_keyed_repeat_that_waits_for_its_connection_begins_behind_its_window() {
     in_runtime(|| {
         let (actor, came) = sent_by_turns("all", &[listed(1, None), listed(2, None)]);
-        let known_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.known_until).collect();
+        let known_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.dedup_until).collect();
         assert_eq!(known_until, [Time::MAX, came + WINDOW]);
     });
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -36,14 +36,14 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// The log's target for all that becomes of single requests; `RUST_LOG=info,request=debug` shows it.
-pub const REQUEST: &str = "request";
+pub const REQUEST_LOG_TARGET: &str = "request";
 
 /// A decision would have broken a rule, and is not carried out.
-pub fn violated(id: RequestId, member: Option<MemberId>, violation: Violation) {
+pub fn report_violation(id: RequestId, member: Option<MemberId>, violation: Violation) {
     counters::count(counters::Count::violations);
     let member = member.map(|member| member.0);
     log::error!(
-        target: REQUEST, id = id.0, member:? = member, violation:? = violation;
+        target: REQUEST_LOG_TARGET, id = id.0, member:? = member, violation:? = violation;
         "a decision breaks a rule"
     );
 }
@@ -79,14 +79,14 @@
     pub after: Option<Position>,
     /// The client has tried before.
     pub repeat: bool,
-    /// The record's key, a [`plain_key`].
+    /// The record's key, a [`is_valid_key`].
     pub key: String,
     /// The value of a record to create; none to read it.
     pub value: Option<Bytes>,
 }
 
 /// A key as members know it: 1 to 128 visible ASCII characters, no quote and no backslash.
-pub fn plain_key(key: &str) -> bool {
+pub fn is_valid_key(key: &str) -> bool {
     (1..=128).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic() && b != b'\'' && b != b'\\')
 }
 
@@ -116,13 +116,13 @@
     /// What to do.
     pub work: Work,
     /// Whether its client is still there; none where it runs on without one.
-    pub client: Option<Weak<dyn Presence>>,
+    pub client: Option<Weak<dyn ClientConnection>>,
 }
 
 /// The other side of a client's connection.
-pub trait Presence: Send + Sync + Debug {
+pub trait ClientConnection: Send + Sync + Debug {
     /// Whether it has closed the connection, by a look that costs a call to the kernel.
-    fn gone(&self) -> bool;
+    fn is_closed(&self) -> bool;
 }
 
 /// The one column that a member answers with.
@@ -169,15 +169,15 @@
     /// What may have run may be sent again.
     pub safe: bool,
     /// Whoever asks again gets the same answer, so that it must be had whole before it is passed on.
-    pub whole: bool,
+    pub buffer_answer: bool,
     /// Nothing may be written to a member from then on: the rules that it was decided by no longer hold here.
-    pub by: Time,
+    pub rules_until: Time,
     /// Nothing may be written to a member from then on: it may not know the request for a repeat.
-    pub known_until: Time,
+    pub dedup_until: Time,
     /// Nothing may be written to a member from then on: what is known of its data is too old for a bounded read.
-    pub recent_until: Time,
+    pub fresh_until: Time,
     /// The request's client, where it has one that may leave.
-    pub client: Option<Weak<dyn Presence>>,
+    pub client: Option<Weak<dyn ClientConnection>>,
     /// When that was surely there.
     pub client_seen: Time,
 }
@@ -190,13 +190,13 @@
 
     /// Whether its client has closed its connection, or this process has.
     pub fn client_gone(&self) -> bool {
-        self.client.as_ref().is_some_and(|client| client.upgrade().is_none_or(|client| client.gone()))
+        self.client.as_ref().is_some_and(|client| client.upgrade().is_none_or(|client| client.is_closed()))
     }
 }
 
 /// How an attempt ended, with all that the member told.
 #[derive(Debug)]
-pub struct Ending {
+pub struct AttemptEnd {
     /// How.
     pub outcome: Outcome,
     /// Value, where served.
@@ -221,7 +221,7 @@
     /// Nobody waits for a request any more that is to run on all the same once it may have begun.
     Abandoned(RequestId),
     /// An attempt has ended.
-    Ended(RequestId, u32, Ending),
+    Ended(RequestId, u32, AttemptEnd),
     /// A probe has ended, so long after it was asked for; none: it was not answered.
     Probed(MemberId, Option<Report>, Time),
     /// Word from the member list.
@@ -235,9 +235,9 @@
 /// Neither call may take longer than a look at memory.
 pub trait CommitExchange: Send {
     /// A session's write went through here.
-    fn wrote(&mut self, session: &str, at: Position);
+    fn record_commit(&mut self, session: &str, at: Position);
     /// Those that went through there since the last call.
-    fn news(&mut self) -> PeerCommits;
+    fn take_received(&mut self) -> PeerCommits;
 }
 
 /// What another process of this proxy has committed.
@@ -300,7 +300,7 @@
 /// other side does wait for.
 pub trait Members {
     /// Starts an attempt; false if it cannot even be queued.
-    fn attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
+    fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
     /// Stops waiting for an attempt.
     fn cancel(&mut self, member: MemberId, id: RequestId, number: u32);
     /// Drops an attempt of which nothing has been written yet.
@@ -310,11 +310,11 @@
     /// Closes idle connections.
     fn close_idle(&mut self, member: MemberId);
     /// Takes in addresses.
-    fn list(&mut self, kind: ListKind, entries: &[ListedMember]);
+    fn update_list(&mut self, kind: ListKind, entries: &[ListedMember]);
     /// Takes new times for connections.
-    fn times(&mut self, times: SocketTimes);
+    fn set_socket_times(&mut self, times: SocketTimes);
     /// Asks for the list and its changes; false if that cannot even be queued.
-    fn follow(&mut self) -> bool;
+    fn subscribe(&mut self) -> bool;
 }
 
 /// The fronts' way into the core.
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -64,7 +64,7 @@
             CoreCommand::ApplySettings(settings, times, reply) => {
                 let _ = reply.send(());
                 self.max_attempts = settings.max_attempts as usize;
-                self.members.times(times);
+                self.members.set_socket_times(times);
                 let settings = match &mut self.lease {
                     Some(lease) => lease.settings(settings, now),
                     None => settings,
@@ -146,7 +146,7 @@
     /// Takes in what sessions have written by another process of this proxy.
     pub(super) fn catch_up(&mut self) {
         let Some(other) = &mut self.peer_commits else { return };
-        let PeerCommits { commits, complete } = other.news();
+        let PeerCommits { commits, complete } = other.take_received();
         let news = commits.into_iter().map(|(name, told)| (name, self.member_clock.local(told)));
         let (all, named): (Vec<_>, Vec<_>) = news.partition(|(name, _)| name.is_empty());
         let now = self.clock.now();
--- a/src/core/session_ledger.rs
+++ b/src/core/session_ledger.rs
@@ -19,7 +19,7 @@
     }
 
     /// Takes in a write that went through.
-    pub fn wrote(&mut self, session: &Arc<str>, commit: Position) {
+    pub fn record_commit(&mut self, session: &Arc<str>, commit: Position) {
         if self.commits.len() >= self.most && !self.commits.contains_key(session) {
             let mut all: Vec<Position> = self.commits.values().copied().collect();
             let middle = all.len() / 2;
@@ -47,7 +47,7 @@
         floor: Position,
     ) {
         self.floor = self.floor.max(floor);
-        sessions.for_each(|(name, at)| self.wrote(name, *at));
+        sessions.for_each(|(name, at)| self.record_commit(name, *at));
     }
 
     /// What a read of this session must see, by all that this process knows; 0: nothing.
--- a/src/handover/commits.rs
+++ b/src/handover/commits.rs
@@ -164,11 +164,11 @@
 }
 
 impl CommitExchange for CommitLog {
-    fn wrote(&mut self, session: &str, at: Position) {
+    fn record_commit(&mut self, session: &str, at: Position) {
         self.own.append(session, at);
     }
 
-    fn news(&mut self) -> PeerCommits {
+    fn take_received(&mut self) -> PeerCommits {
         if let Err(e) = self.read() {
             // Where there never was such a file the other process does not write one.
             let never = e.kind() == io::ErrorKind::NotFound && self.file.is_none() && !self.lost;
@@ -185,9 +185,9 @@
 pub struct UnseenPeer;
 
 impl CommitExchange for UnseenPeer {
-    fn wrote(&mut self, _: &str, _: Position) {}
+    fn record_commit(&mut self, _: &str, _: Position) {}
 
-    fn news(&mut self) -> PeerCommits {
+    fn take_received(&mut self) -> PeerCommits {
         PeerCommits { commits: Vec::new(), complete: false }
     }
 }
@@ -216,17 +216,17 @@
         std::fs::create_dir_all(&dir).expect("a folder");
         let (a, b) = (dir.join("a"), dir.join("b"));
         let mut here = CommitLog::open(&a, b.clone()).expect("fine");
-        assert!(here.news().commits.is_empty(), "there is no other yet");
+        assert!(here.take_received().commits.is_empty(), "there is no other yet");
         let mut there = CommitLog::open(&b, a.clone()).expect("fine");
-        there.wrote("k", 5);
-        assert_eq!(here.news().commits, [("k".into(), 5)]);
-        assert!(here.news().commits.is_empty() && there.news().commits.is_empty());
+        there.record_commit("k", 5);
+        assert_eq!(here.take_received().commits, [("k".into(), 5)]);
+        assert!(here.take_received().commits.is_empty() && there.take_received().commits.is_empty());
         // Another process takes the other's place.
         std::fs::write(dir.join("new"), b"").expect("fine");
         std::fs::rename(dir.join("new"), &b).expect("fine");
         let mut there = CommitLog::open(&b, a).expect("fine");
-        there.wrote("k", 9);
-        assert_eq!(here.news().commits, [("k".into(), 9)]);
+        there.record_commit("k", 9);
+        assert_eq!(here.take_received().commits, [("k".into(), 9)]);
         let _ = std::fs::remove_dir_all(dir);
     }
 
@@ -238,10 +238,10 @@
         let whole = record("k", 3).repeat(MAX_FILE_LEN as usize / record("k", 3).len() + 1);
         std::fs::write(&a, whole).expect("fine");
         let mut there = CommitLog::open(&b, a.clone()).expect("fine");
-        assert!(!there.news().commits.is_empty());
+        assert!(!there.take_received().commits.is_empty());
         let mut here = CommitLog::open(&a, b).expect("fine");
-        here.wrote("k", 5);
-        let news = there.news().commits;
+        here.record_commit("k", 5);
+        let news = there.take_received().commits;
         assert!(news.iter().any(|(name, at)| &**name == "k" && *at == 5), "{news:?}");
         let _ = std::fs::remove_dir_all(dir);
     }
@@ -253,20 +253,20 @@
         let (a, b) = (dir.join("sub/a"), dir.join("b"));
         let mut here = CommitLog::open(&a, b.clone()).expect("fine");
         let mut there = CommitLog::open(&b, a.clone()).expect("fine");
-        here.wrote("k", 5);
-        assert_eq!(there.news(), PeerCommits { commits: vec![("k".into(), 5)], complete: true });
+        here.record_commit("k", 5);
+        assert_eq!(there.take_received(), PeerCommits { commits: vec![("k".into(), 5)], complete: true });
         // Its file ends with a part of a record, and neither it nor another can be written.
         here.own.file = Some(File::open(&a).expect("for reading alone"));
         std::fs::write(&a, [7, 1, 2]).expect("fine");
         std::fs::create_dir(a.with_extension("new")).expect("in the way");
-        here.wrote("k", 6);
-        here.wrote("j", 7);
-        assert_eq!(there.news(), PeerCommits { commits: vec![], complete: false });
-        assert!(!there.news().complete, "nor later");
+        here.record_commit("k", 6);
+        here.record_commit("j", 7);
+        assert_eq!(there.take_received(), PeerCommits { commits: vec![], complete: false });
+        assert!(!there.take_received().complete, "nor later");
         std::fs::remove_dir(a.with_extension("new")).expect("it was there");
-        here.wrote("k", 8);
+        here.record_commit("k", 8);
         let all = vec![("".into(), 5), ("k".into(), 6), ("j".into(), 7), ("k".into(), 8)];
-        assert_eq!(there.news(), PeerCommits { commits: all, complete: true });
+        assert_eq!(there.take_received(), PeerCommits { commits: all, complete: true });
         let _ = std::fs::remove_dir_all(dir);
     }
 
@@ -278,11 +278,11 @@
         // A link to itself cannot be opened, and is no file that is not there.
         std::os::unix::fs::symlink(&b, &b).expect("a link");
         let mut here = CommitLog::open(&a, b.clone()).expect("fine");
-        assert!(!here.news().complete, "it may have committed");
+        assert!(!here.take_received().complete, "it may have committed");
         std::fs::remove_file(&b).expect("it was there");
-        assert!(!here.news().complete, "nor is it known what stood there");
-        CommitLog::open(&b, a).expect("fine").wrote("k", 5);
-        assert_eq!(here.news(), PeerCommits { commits: vec![("k".into(), 5)], complete: true });
+        assert!(!here.take_received().complete, "nor is it known what stood there");
+        CommitLog::open(&b, a).expect("fine").record_commit("k", 5);
+        assert_eq!(here.take_received(), PeerCommits { commits: vec![("k".into(), 5)], complete: true });
         let _ = std::fs::remove_dir_all(dir);
     }
 
@@ -293,13 +293,13 @@
         let (a, b) = (dir.join("a"), dir.join("b"));
         let mut here = CommitLog::open(&a, b.clone()).expect("fine");
         let mut there = CommitLog::open(&b, a.clone()).expect("fine");
-        here.wrote("k", 5);
-        assert!(there.news().complete);
+        here.record_commit("k", 5);
+        assert!(there.take_received().complete);
         // Its answer is out, and the other has not looked since, when the file takes no more.
-        here.wrote("k", 6);
+        here.record_commit("k", 6);
         here.own.file = Some(File::open(&a).expect("for reading alone"));
-        here.wrote("j", 7);
-        let news = there.news();
+        here.record_commit("j", 7);
+        let news = there.take_received();
         let told =
             |name: &str, at| news.commits.iter().any(|(n, p)| (&**n == name || n.is_empty()) && *p >= at);
         assert!(news.complete && told("k", 6) && told("j", 7), "{news:?}");
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -60,7 +60,7 @@
         let record = log::Record::builder()
             .args(format_args!("taken\nin"))
             .level(log::Level::Debug)
-            .target(crate::core::REQUEST)
+            .target(crate::core::REQUEST_LOG_TARGET)
             .key_values(&pairs)
             .build();
         let line = json(&record, "2026-12-01T16:30:00.000250Z");
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -9,7 +9,7 @@
 use super::peer::{self, Order};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::{violated, Attempt, Input, ListedMember, Members};
+use crate::core::{report_violation, Attempt, Input, ListedMember, Members};
 use crate::interface::*;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
@@ -91,11 +91,11 @@
 }
 
 impl<W: Wire> Members for Fleet<W> {
-    fn attempt(&mut self, member: MemberId, attempt: Attempt) -> bool {
+    fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool {
         let Some(peer) = self.peers.get(&member) else { return false };
         let key = attempt.key();
         if peer.leaves {
-            violated(attempt.id, Some(member), Violation::SentToLeaving);
+            report_violation(attempt.id, Some(member), Violation::SentToLeaving);
             return false;
         }
         peer.state.lock().gate.issue(key);
@@ -128,7 +128,7 @@
         self.peers.get(&member).into_iter().for_each(Peer::close_idle);
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[ListedMember]) {
+    fn update_list(&mut self, kind: ListKind, entries: &[ListedMember]) {
         if kind == ListKind::Failed {
             return;
         }
@@ -167,7 +167,7 @@
         self.peers.retain(|_, p| p.gone.is_none_or(|t| now < t + KEPT));
     }
 
-    fn times(&mut self, times: SocketTimes) {
+    fn set_socket_times(&mut self, times: SocketTimes) {
         self.times = times;
         for peer in self.peers.values() {
             peer.state.lock().times = times;
@@ -175,7 +175,7 @@
         }
     }
 
-    fn follow(&mut self) -> bool {
+    fn subscribe(&mut self) -> bool {
         // One that waits already will do.
         !matches!(self.discovery.try_send(discovery::Follow), Err(mpsc::error::TrySendError::Closed(_)))
     }
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -79,10 +79,10 @@
         work: Work::Verbatim { text: Bytes::from_static(b"x"), wait: 0..0 },
         stop_at: clock.now() + 60_000_000,
         safe: true,
-        whole: false,
-        by: Time::MAX,
-        known_until: Time::MAX,
-        recent_until: Time::MAX,
+        buffer_answer: false,
+        rules_until: Time::MAX,
+        dedup_until: Time::MAX,
+        fresh_until: Time::MAX,
         client: None,
         client_seen: clock.now(),
     }
@@ -99,9 +99,9 @@
         let (clock, times) = (Clock::start(), SocketTimes { connect: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
         let mut fleet = Fleet::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
-        fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
-        let sent = (0..ATTEMPTS).filter(|n| fleet.attempt(MEMBER, attempt(*n, &clock))).count();
-        assert!(!fleet.attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
+        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        let sent = (0..ATTEMPTS).filter(|n| fleet.start_attempt(MEMBER, attempt(*n, &clock))).count();
+        assert!(!fleet.start_attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
         then(&mut fleet);
         let mut outcomes = Vec::new();
         let mut opened = false;
@@ -122,7 +122,7 @@
 #[test]
 fn a_member_that_leaves_while_its_mailbox_is_full_gets_nothing_new() {
     for condition in [Condition::Draining, Condition::Out] {
-        let (outcomes, written, _) = play(|fleet| fleet.list(ListKind::Changes, &[listed(condition, 9)]));
+        let (outcomes, written, _) = play(|fleet| fleet.update_list(ListKind::Changes, &[listed(condition, 9)]));
         assert_eq!(written, 0, "{condition:?}");
         assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{condition:?}");
     }
@@ -131,7 +131,7 @@
 #[test]
 fn a_member_that_moves_while_its_mailbox_is_full_gets_nothing_at_its_former_address() {
     let (outcomes, written, led) = play(|fleet| {
-        fleet.list(ListKind::Changes, &[listed(Condition::In, 10)]);
+        fleet.update_list(ListKind::Changes, &[listed(Condition::In, 10)]);
     });
     assert!(led.iter().all(|address| address.port() == 10), "{led:?}");
     assert_eq!(written, 0);
@@ -158,9 +158,9 @@
         let (clock, times) = (Clock::start(), SocketTimes { connect: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
         let mut fleet = Fleet::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
-        fleet.list(ListKind::Full, &[listed(Condition::Draining, 9)]);
-        assert!(!fleet.attempt(MEMBER, attempt(1, &clock)));
-        fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
-        assert!(fleet.attempt(MEMBER, attempt(2, &clock)));
+        fleet.update_list(ListKind::Full, &[listed(Condition::Draining, 9)]);
+        assert!(!fleet.start_attempt(MEMBER, attempt(1, &clock)));
+        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        assert!(fleet.start_attempt(MEMBER, attempt(2, &clock)));
     });
 }
--- a/src/net/member_state.rs
+++ b/src/net/member_state.rs
@@ -60,9 +60,9 @@
         let now = clock.now();
         let moment = Moment {
             now,
-            rules_until: attempt.by,
-            known_until: attempt.known_until,
-            recent_until: attempt.recent_until,
+            rules_until: attempt.rules_until,
+            known_until: attempt.dedup_until,
+            recent_until: attempt.fresh_until,
             stop_at: attempt.stop_at,
             client_gone: client_look_due(now, attempt.client_seen) && attempt.client_gone(),
         };
@@ -70,7 +70,7 @@
         if let Err(why) = begun {
             count(withheld(why));
             log::debug!(
-                target: crate::core::REQUEST, id = attempt.id.0, attempt = attempt.number, why:? = why;
+                target: crate::core::REQUEST_LOG_TARGET, id = attempt.id.0, attempt = attempt.number, why:? = why;
                 "withheld"
             );
         }
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::flow::ChunkSender;
-use crate::core::{Attempt, Ending, Input};
+use crate::core::{Attempt, AttemptEnd, Input};
 use crate::interface::*;
 use crate::policy::begin::AttemptKey;
 use crate::settings::SocketTimes;
@@ -227,7 +227,7 @@
         if outcome == Outcome::Superseded {
             count(Count::withdrawn);
         }
-        let ending = Ending { outcome, value: None, note: None, report: None, spent };
+        let ending = AttemptEnd { outcome, value: None, note: None, report: None, spent };
         let core = self.core.clone();
         tokio::spawn(async move { core.send(Input::Ended(key.0, key.1, ending)).await });
     }
@@ -301,12 +301,12 @@
             };
             let Exchange { mut outcome, mut value, note, report, mut begun, .. } = exchange;
             // The rest still comes on the connection.
-            if begun.is_some() && attempt.whole {
+            if begun.is_some() && attempt.buffer_answer {
                 (outcome, value, begun, link) = (Outcome::Errored, None, None, None);
             }
             let spent = clock.now().saturating_sub(since);
             let note = note.filter(|_| outcome.answered());
-            let ending = Ending { outcome, value, note, report, spent };
+            let ending = AttemptEnd { outcome, value, note, report, spent };
             let _ = core.send(Input::Ended(key.0, key.1, ending)).await;
             let link = match begun {
                 // The value is the client's now: neither the attempt's time nor the request's ends it, nor a cancel.
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -8,7 +8,7 @@
 
 use super::held_up;
 use super::momentary::{no_memory, MemoryRetry};
-use crate::core::Presence;
+use crate::core::ClientConnection;
 use crate::meter::{self, Cost};
 use futures_util::FutureExt;
 use socket2::SockRef;
@@ -64,8 +64,8 @@
     }
 
     /// Tells whether the other side is still there, for as long as this connection lives.
-    pub fn presence(&self) -> Weak<dyn Presence> {
-        let stream: Arc<dyn Presence> = self.stream.clone();
+    pub fn presence(&self) -> Weak<dyn ClientConnection> {
+        let stream: Arc<dyn ClientConnection> = self.stream.clone();
         Arc::downgrade(&stream)
     }
 
@@ -87,7 +87,7 @@
     pub async fn ended(&mut self) {
         loop {
             let ready = self.stream.ready(Interest::READABLE).await;
-            if ready.is_err() || self.stream.gone() {
+            if ready.is_err() || self.stream.is_closed() {
                 return;
             }
             // The next edge, of more bytes or of the end, wakes this again.
@@ -168,8 +168,8 @@
     }
 }
 
-impl Presence for TcpStream {
-    fn gone(&self) -> bool {
+impl ClientConnection for TcpStream {
+    fn is_closed(&self) -> bool {
         // The end behind unread bytes shows in what the kernel told last; with none there it is what a look brings.
         let told = self.ready(Interest::READABLE).now_or_never().and_then(Result::ok);
         let unread = unread_by(|| peek(self));
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -7,7 +7,7 @@
 use crate::core::bookings::{Booked, Bookings, Try};
 use crate::core::counters::{count, Count};
 use crate::core::repeat_ledger::Candidate;
-use crate::core::{Answer, Handle, Operation, Presence, Request, Work};
+use crate::core::{Answer, Handle, Operation, ClientConnection, Request, Work};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
@@ -98,7 +98,7 @@
     pub(super) async fn answer(
         &self,
         http: &HttpRequest,
-        client: Weak<dyn Presence>,
+        client: Weak<dyn ClientConnection>,
         waited: Time,
     ) -> HttpResponse {
         let form = match request::form(http) {
--- a/src/odata/request.rs
+++ b/src/odata/request.rs
@@ -1,7 +1,7 @@
 //! From an HTTP request to a typed call.
 
 use super::reply::Fault;
-use crate::core::plain_key;
+use crate::core::is_valid_key;
 use crate::http::{Headers, HttpRequest};
 use crate::interface::*;
 use crate::class_table::ClassTable;
@@ -231,7 +231,7 @@
 }
 
 fn checked_key(key: &str) -> Result<String, Fault> {
-    let fine = plain_key(key).then(|| key.to_string());
+    let fine = is_valid_key(key).then(|| key.to_string());
     fine.ok_or_else(|| {
         Fault::new(400, "BadKey", "a key has 1 to 128 visible ASCII characters, no quote and no backslash")
             .at("k")
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,6 +1,6 @@
 //! The two statements that clients send, with the names in their comment.
 
-use crate::core::{plain_key, Operation, Request, Work};
+use crate::core::{is_valid_key, Operation, Request, Work};
 use crate::interface::*;
 use crate::class_table::ClassTable;
 use bytes::Bytes;
@@ -45,7 +45,7 @@
         _ => return fault("42601", "only reads and creates on records are taken here"),
     };
     let Some((key, rest)) = cut(rest, b'\'') else { return fault("42601", "the key does not end") };
-    if !plain_key(key) {
+    if !is_valid_key(key) {
         return fault("22023", "a key has 1 to 128 visible ASCII characters, no quote and no backslash");
     }
     let comment = if write {
