--- a/src/core/bookings.rs
+++ b/src/core/bookings.rs
@@ -6,7 +6,7 @@
 
 use super::counters::{count, Count};
 use super::repeat_ids::RepeatIds;
-use super::repeat_ledger::{Candidate, Claim};
+use super::repeat_ledger::{ClaimRequest, Claim};
 use super::{Answer, Handle, Request};
 use crate::clock::Clock;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,26 +15,26 @@
 
 /// A try of a booking.
 #[derive(Debug)]
-pub struct Try {
+pub struct BookingTry {
     /// The id that all tries of the booking share.
     pub id: String,
     /// What the ledger needs to know of it.
-    pub candidate: Candidate,
+    pub candidate: ClaimRequest,
 }
 
 /// What a try comes to.
 #[derive(Debug, PartialEq)]
-pub enum Booked {
+pub enum BookingOutcome {
     /// The booking's one answer.
     Answer(Answer),
     /// The id stands for another booking.
-    Differs,
+    IdConflict,
     /// It cannot be proved that it has not run already.
     Unprovable,
     /// Another process of this proxy has taken the id, and its answer is not known here.
-    Elsewhere,
+    ClaimedByPeer,
     /// No room for new ids.
-    Full,
+    NoRoom,
 }
 
 /// What tries of one booking share.
@@ -85,14 +85,14 @@
     }
 
     /// Runs a booking, or joins the run of its id.
-    pub async fn book(&self, attempt: Try, request: Request) -> Booked {
+    pub async fn book(&self, attempt: BookingTry, request: Request) -> BookingOutcome {
         let deadline = self.clock.instant(request.deadline);
         let (tell, answer) = watch::channel(None);
         let ticket = Ticket { answer, waiters: Arc::default() };
-        let id = RepeatIds::name(&attempt.id);
+        let id = RepeatIds::digest(&attempt.id);
         if !self.ids.heard(deadline).await {
             count(Count::repeat_ids_unshared);
-            return Booked::Unprovable;
+            return BookingOutcome::Unprovable;
         }
         let claim = self.ids.claim(&id, attempt.candidate, ticket.clone());
         let mut ticket = match claim {
@@ -108,17 +108,17 @@
                 });
                 known
             }
-            Claim::Differs => return Booked::Differs,
-            Claim::Unprovable => return Booked::Unprovable,
-            Claim::Elsewhere => return Booked::Elsewhere,
-            Claim::Full => return Booked::Full,
+            Claim::Differs => return BookingOutcome::IdConflict,
+            Claim::Unprovable => return BookingOutcome::Unprovable,
+            Claim::Elsewhere => return BookingOutcome::ClaimedByPeer,
+            Claim::Full => return BookingOutcome::NoRoom,
         };
         let _waits = ticket.waiters.come();
         let told = async { ticket.answer.wait_for(Option::is_some).await.ok().and_then(|a| a.clone()) };
         match tokio::time::timeout_at(deadline, told).await {
-            Ok(answer) => Booked::Answer(answer.unwrap_or(Answer::Failed)),
+            Ok(answer) => BookingOutcome::Answer(answer.unwrap_or(Answer::Failed)),
             // This try's time is up; the run goes on and a later try may still learn of it.
-            Err(_) => Booked::Answer(Answer::Late),
+            Err(_) => BookingOutcome::Answer(Answer::Late),
         }
     }
 
--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -8,7 +8,7 @@
 
 use super::bookings::Ticket;
 use super::counters::{count, Count};
-use super::repeat_ledger::{Candidate, Claim, Load, RepeatLedger, SharedEntry};
+use super::repeat_ledger::{ClaimRequest, Claim, LedgerSize, RepeatLedger, SharedEntry};
 use crate::clock::Clock;
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
     /// How far the clock of the process that this one took over from was ahead: ids are judged by the later one, so that
     /// a step of the wall clock between two starts makes no old id new.
     clock_ahead: Time,
-    limits: Load,
+    limits: LedgerSize,
     span: Time,
     /// How long ids are remembered while the other process may forget them sooner.
     shared_span: Time,
@@ -95,11 +95,11 @@
     }
 
     /// Half of what is left beside `held` is the other process's.
-    fn halve_capacity(&mut self, held: Load) {
+    fn halve_capacity(&mut self, held: LedgerSize) {
         self.ledger.set_capacity(self.ledger.held().plus(self.limits.minus(held).half()));
     }
 
-    fn claim(&mut self, id: &str, request: Candidate, ticket: Ticket) -> Claim<Ticket> {
+    fn claim(&mut self, id: &str, request: ClaimRequest, ticket: Ticket) -> Claim<Ticket> {
         let now = self.now();
         let mut claim = self.ledger.claim(id, request, now, ticket.clone());
         if matches!(claim, Claim::Full) {
@@ -165,7 +165,7 @@
 
 impl RepeatIds {
     /// None so far. Holds up to `limits`, each id for `span` us.
-    pub fn new(limits: Load, span: Time, clock: Clock) -> Self {
+    pub fn new(limits: LedgerSize, span: Time, clock: Clock) -> Self {
         let ledger = RepeatLedger::new(limits, span, clock.now());
         let inner =
             Inner { ledger, state: State::Alone, clock, clock_ahead: 0, limits, span, shared_span: span };
@@ -177,7 +177,7 @@
     }
 
     /// The name under which an id, of any length and bytes, is entered and claimed.
-    pub fn name(id: &str) -> String {
+    pub fn digest(id: &str) -> String {
         let digest = Sha256::digest(id);
         let mut name = String::with_capacity(2 * digest.len());
         for byte in digest {
@@ -201,7 +201,7 @@
     }
 
     /// Claims an id for a request. A new one is entered as running, here and where the other process sees it.
-    pub(super) fn claim(&self, id: &str, request: Candidate, ticket: Ticket) -> Claim<Ticket> {
+    pub(super) fn claim(&self, id: &str, request: ClaimRequest, ticket: Ticket) -> Claim<Ticket> {
         self.inner().claim(id, request, ticket)
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Whether another process's ids have still to be heard.
-    pub fn is_unheard(&self) -> bool {
+    pub fn is_awaiting_peer(&self) -> bool {
         matches!(self.inner().state, State::Unheard)
     }
 
@@ -243,7 +243,7 @@
 
     /// What the other process, which remembers ids for `peer_span` us, has to know beside the ids. From then on each may take
     /// half of what is left, and the shorter span holds for both.
-    pub fn tell_peer(&self, peer_span: Time) -> LedgerSummary {
+    pub fn summarize_for_peer(&self, peer_span: Time) -> LedgerSummary {
         let mut inner = self.inner();
         let now = inner.now();
         if matches!(inner.state, State::Unheard) {
@@ -255,12 +255,12 @@
         let shared_span = inner.shared_span;
         inner.ledger.set_span(shared_span);
         inner.halve_capacity(held);
-        let Load { ids, bytes } = held;
+        let LedgerSize { ids, bytes } = held;
         LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span }
     }
 
     /// The other process has told its ledger, and every id in it is claimed in the store.
-    pub fn hear(&self, told: LedgerSummary, store: impl ClaimStore + 'static) {
+    pub fn accept_summary(&self, told: LedgerSummary, store: impl ClaimStore + 'static) {
         let mut inner = self.inner();
         inner.clock_ahead = told.now.saturating_sub(inner.clock.now());
         let now = inner.now();
@@ -269,13 +269,13 @@
         let shared_span = inner.shared_span;
         inner.ledger.set_complete_since(now.saturating_sub(known_for));
         inner.ledger.set_span(shared_span);
-        inner.halve_capacity(Load { ids: told.ids, bytes: told.bytes });
+        inner.halve_capacity(LedgerSize { ids: told.ids, bytes: told.bytes });
         inner.state = State::Shared(Box::new(store));
         self.heard.send_replace(true);
     }
 
     /// The other process has ended, and all that the store holds has been admitted: no id need be claimed there.
-    pub fn go_on_alone(&self) {
+    pub fn stop_sharing(&self) {
         let mut inner = self.inner();
         let now = inner.now();
         // What it had not told by then may be lost; what it had told it may have forgotten after the shorter span.
@@ -293,21 +293,21 @@
     }
 
     /// Enters an id that was claimed by another process; one whose claim cannot be read stays for a whole span.
-    pub fn admit(&self, id: String, entry: Option<SharedEntry>) {
+    pub fn insert_foreign(&self, id: String, entry: Option<SharedEntry>) {
         let mut inner = self.inner();
         let (now, span) = (inner.now(), inner.span);
         let unreadable = SharedEntry { fingerprint: None, first_sent: 0, remaining: span };
-        inner.ledger.admit(id, entry.unwrap_or(unreadable), now);
+        inner.ledger.insert_foreign(id, entry.unwrap_or(unreadable), now);
     }
 
     /// How much more it may hold.
-    pub fn spare(&self) -> Load {
+    pub fn free_capacity(&self) -> LedgerSize {
         let inner = self.inner();
         inner.ledger.capacity().minus(inner.ledger.held())
     }
 
     /// All ids, by their names.
-    pub fn names(&self) -> Vec<String> {
+    pub fn digests(&self) -> Vec<String> {
         self.inner().ledger.ids()
     }
 
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -25,37 +25,37 @@
 
 /// How much a ledger may hold, and how much it holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct LedgerSize {
     /// Ids.
     pub ids: usize,
     /// Bytes of all remembered answers together, and those that are spoken for.
     pub bytes: usize,
 }
 
-impl Load {
+impl LedgerSize {
     /// What is left of this beside what is held.
-    pub fn minus(self, held: Load) -> Load {
-        Load { ids: self.ids.saturating_sub(held.ids), bytes: self.bytes.saturating_sub(held.bytes) }
+    pub fn minus(self, held: LedgerSize) -> LedgerSize {
+        LedgerSize { ids: self.ids.saturating_sub(held.ids), bytes: self.bytes.saturating_sub(held.bytes) }
     }
 
     /// Both together.
-    pub fn plus(self, more: Load) -> Load {
-        Load { ids: self.ids + more.ids, bytes: self.bytes + more.bytes }
+    pub fn plus(self, more: LedgerSize) -> LedgerSize {
+        LedgerSize { ids: self.ids + more.ids, bytes: self.bytes + more.bytes }
     }
 
     /// One of two equal shares.
-    pub fn half(self) -> Load {
-        Load { ids: self.ids / 2, bytes: self.bytes / 2 }
+    pub fn half(self) -> LedgerSize {
+        LedgerSize { ids: self.ids / 2, bytes: self.bytes / 2 }
     }
 }
 
 /// A request that names a repeat id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Candidate {
+pub struct ClaimRequest {
     /// Fingerprint of what it asks for.
     pub fingerprint: u64,
     /// Bytes that its answer may take.
-    pub weight: usize,
+    pub answer_bytes: usize,
     /// When its client first sent it, by the client's clock.
     pub first_sent: Time,
 }
@@ -74,7 +74,7 @@
 struct Kept<T> {
     fingerprint: Option<u64>,
     first_sent: Time,
-    weight: usize,
+    answer_bytes: usize,
     until: Time,
     running: bool,
     /// None for one that another process entered.
@@ -84,8 +84,8 @@
 /// Ids of charging bookings and what became of them. An id is entered before the first send and kept for `span`
 /// after it was entered; what is still within its span is never evicted.
 pub struct RepeatLedger<T> {
-    capacity: Load,
-    held: Load,
+    capacity: LedgerSize,
+    held: LedgerSize,
     span: Time,
     /// All ids that were first sent since then, by the clock of this ledger, are known.
     complete_since: Time,
@@ -94,13 +94,13 @@
 
 impl<T: Clone> RepeatLedger<T> {
     /// A ledger that began at `began` and keeps each id for `span`.
-    pub fn new(capacity: Load, span: Time, began: Time) -> Self {
-        RepeatLedger { capacity, held: Load::default(), span, complete_since: began, kept: HashMap::new() }
+    pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
+        RepeatLedger { capacity, held: LedgerSize::default(), span, complete_since: began, kept: HashMap::new() }
     }
 
     /// Claims an id for a request. A new one is entered as running, with `ticket`.
-    pub fn claim(&mut self, id: &str, request: Candidate, now: Time, ticket: T) -> Claim<T> {
-        let Candidate { fingerprint, weight, first_sent } = request;
+    pub fn claim(&mut self, id: &str, request: ClaimRequest, now: Time, ticket: T) -> Claim<T> {
+        let ClaimRequest { fingerprint, answer_bytes, first_sent } = request;
         if let Some(kept) = self.kept.get(id) {
             return match (&kept.ticket, kept.fingerprint) {
                 (_, Some(other)) if other != fingerprint => Claim::Differs,
@@ -113,24 +113,24 @@
         if first_sent < self.complete_since || now > first_sent.saturating_add(self.span) {
             return Claim::Unprovable;
         }
-        if self.is_full(weight) {
+        if self.is_full(answer_bytes) {
             return Claim::Full;
         }
         let until = now.max(first_sent).saturating_add(self.span);
         let fingerprint = Some(fingerprint);
-        let kept = Kept { fingerprint, first_sent, weight, until, running: true, ticket: Some(ticket) };
+        let kept = Kept { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
         self.enter(id.to_string(), kept);
         Claim::New
     }
 
     fn enter(&mut self, id: String, kept: Kept<T>) {
-        self.held = self.held.plus(Load { ids: 1, bytes: kept.weight });
+        self.held = self.held.plus(LedgerSize { ids: 1, bytes: kept.answer_bytes });
         self.kept.insert(id, kept);
     }
 
-    /// Whether there is no room for one more answer of `weight` bytes.
-    pub fn is_full(&self, weight: usize) -> bool {
-        self.held.ids >= self.capacity.ids || self.held.bytes.saturating_add(weight) > self.capacity.bytes
+    /// Whether there is no room for one more answer of `answer_bytes` bytes.
+    pub fn is_full(&self, answer_bytes: usize) -> bool {
+        self.held.ids >= self.capacity.ids || self.held.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
     /// Removes some of the entries whose span is over, and returns their ids.
@@ -151,18 +151,18 @@
     /// Takes an id back whose request provably never ran, so that a retry may run it.
     pub fn forget(&mut self, id: &str) {
         if let Some(kept) = self.kept.remove(id) {
-            self.held = self.held.minus(Load { ids: 1, bytes: kept.weight });
+            self.held = self.held.minus(LedgerSize { ids: 1, bytes: kept.answer_bytes });
         }
     }
 
     /// Enters an id that another process has entered; one that is known stays as it is.
-    pub fn admit(&mut self, id: String, entry: SharedEntry, now: Time) {
+    pub fn insert_foreign(&mut self, id: String, entry: SharedEntry, now: Time) {
         if self.kept.contains_key(&id) {
             return;
         }
         let SharedEntry { fingerprint, first_sent, remaining } = entry;
         let until = now.saturating_add(remaining).max(first_sent.saturating_add(self.span));
-        let kept = Kept { fingerprint, first_sent, weight: 0, until, running: false, ticket: None };
+        let kept = Kept { fingerprint, first_sent, answer_bytes: 0, until, running: false, ticket: None };
         self.enter(id, kept);
     }
 
@@ -179,17 +179,17 @@
     }
 
     /// How much it holds.
-    pub fn held(&self) -> Load {
+    pub fn held(&self) -> LedgerSize {
         self.held
     }
 
     /// How much it may hold.
-    pub fn capacity(&self) -> Load {
+    pub fn capacity(&self) -> LedgerSize {
         self.capacity
     }
 
     /// How much it may hold from now on; what it holds beyond that stays until its span is over.
-    pub fn set_capacity(&mut self, capacity: Load) {
+    pub fn set_capacity(&mut self, capacity: LedgerSize) {
         self.capacity = capacity;
     }
 
--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -4,14 +4,14 @@
 
 const SPAN: Time = 600_000_000;
 const BEGAN: Time = 1_000_000_000;
-const ROOM: Load = Load { ids: 4, bytes: 1_000 };
+const ROOM: LedgerSize = LedgerSize { ids: 4, bytes: 1_000 };
 
 fn ledger() -> RepeatLedger<u32> {
     RepeatLedger::new(ROOM, SPAN, BEGAN)
 }
 
-fn request(fingerprint: u64, first_sent: Time) -> Candidate {
-    Candidate { fingerprint, weight: 100, first_sent }
+fn request(fingerprint: u64, first_sent: Time) -> ClaimRequest {
+    ClaimRequest { fingerprint, answer_bytes: 100, first_sent }
 }
 
 #[test]
@@ -23,7 +23,7 @@
     assert_eq!(ledger.claim("a", request(2, now), now, 8), Claim::Differs);
     ledger.forget("a");
     assert_eq!(ledger.claim("a", request(2, now), now, 9), Claim::New);
-    assert_eq!(ledger.held(), Load { ids: 1, bytes: 100 });
+    assert_eq!(ledger.held(), LedgerSize { ids: 1, bytes: 100 });
 }
 
 #[test]
@@ -31,14 +31,14 @@
     let mut ledger = ledger();
     let now = BEGAN + 5;
     let entry = SharedEntry { fingerprint: Some(1), first_sent: now, remaining: SPAN };
-    ledger.admit("a".into(), entry, now);
-    ledger.admit("b".into(), SharedEntry { fingerprint: None, ..entry }, now);
+    ledger.insert_foreign("a".into(), entry, now);
+    ledger.insert_foreign("b".into(), SharedEntry { fingerprint: None, ..entry }, now);
     assert_eq!(ledger.claim("a", request(1, now), now, 7), Claim::Elsewhere);
     assert_eq!(ledger.claim("a", request(2, now), now, 7), Claim::Differs);
     assert_eq!(ledger.claim("b", request(2, now), now, 7), Claim::Elsewhere);
     // One that this process has entered itself keeps its answer.
     assert_eq!(ledger.claim("c", request(3, now), now, 7), Claim::New);
-    ledger.admit("c".into(), entry, now);
+    ledger.insert_foreign("c".into(), entry, now);
     assert_eq!(ledger.claim("c", request(3, now), now, 8), Claim::Known(7));
 }
 
@@ -61,7 +61,7 @@
     }
     // Its client's clock runs ahead: it is kept for a span behind its first send.
     let ahead = BEGAN + 50;
-    ledger.admit("d".into(), SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN }, BEGAN);
+    ledger.insert_foreign("d".into(), SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN }, BEGAN);
     ledger.ended("a");
     ledger.ended("b");
     assert!(ledger.remove_expired(BEGAN + SPAN).is_empty());
@@ -70,16 +70,16 @@
     removed.sort_unstable();
     assert_eq!(removed, ["a", "b"], "c runs, d came later by its client's clock");
     assert_eq!(ledger.remove_expired(ahead + SPAN + 1), ["d"]);
-    assert_eq!(ledger.held(), Load { ids: 1, bytes: 100 });
+    assert_eq!(ledger.held(), LedgerSize { ids: 1, bytes: 100 });
 }
 
 #[test]
 fn bytes_of_answers_are_bounded_as_ids_are() {
     let mut ledger = ledger();
-    let large = Candidate { weight: 900, ..request(1, BEGAN) };
+    let large = ClaimRequest { answer_bytes: 900, ..request(1, BEGAN) };
     assert_eq!(ledger.claim("a", large, BEGAN, 7), Claim::New);
     assert_eq!(ledger.claim("b", request(1, BEGAN), BEGAN, 7), Claim::New);
     assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::Full);
-    ledger.set_capacity(Load { ids: 2, bytes: 10_000 });
+    ledger.set_capacity(LedgerSize { ids: 2, bytes: 10_000 });
     assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::Full);
 }
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -102,7 +102,7 @@
 
     /// Whether the ids of another process have still to be heard.
     pub fn is_waiting(&self) -> bool {
-        self.ids.as_ref().is_some_and(RepeatIds::is_unheard)
+        self.ids.as_ref().is_some_and(RepeatIds::is_awaiting_peer)
     }
 
     /// One look at what the other process asks and tells, or at what it has left.
@@ -151,7 +151,7 @@
         if done.is_err() && was_alone {
             // The other process was told nothing, and takes nothing for new.
             self.to_clear = true;
-            ids.go_on_alone();
+            ids.stop_sharing();
         }
         done
     }
@@ -166,7 +166,7 @@
         }
         ids.share(self.directory.clone());
         self.claim_all(ids).await?;
-        self.tell(question, ids.tell_peer(question.span))
+        self.tell(question, ids.summarize_for_peer(question.span))
     }
 
     fn tell(&self, question: &Question, ledger: LedgerSummary) -> io::Result<()> {
@@ -176,10 +176,10 @@
 
     /// Takes up the answer to this process's question.
     fn hear(&mut self) {
-        let Some(ids) = self.ids.as_ref().filter(|ids| ids.is_unheard()) else { return };
+        let Some(ids) = self.ids.as_ref().filter(|ids| ids.is_awaiting_peer()) else { return };
         let told: Option<Told> = news(&self.folder, &mut self.told, &told_of(self.folder.other()));
         if let Some(told) = told.filter(|told| told.token == self.token) {
-            ids.hear(told.ledger, self.directory.clone());
+            ids.accept_summary(told.ledger, self.directory.clone());
         }
     }
 
@@ -189,7 +189,7 @@
         let Some(ids) = self.ids.clone() else { return Ok(()) };
         if !ids.is_alone() {
             self.admit_all(&ids).await?;
-            ids.go_on_alone();
+            ids.stop_sharing();
             self.to_clear = true;
         }
         self.clear().await
@@ -201,14 +201,14 @@
             if entry.is_none() {
                 passed_over(&name, &"it is no claim that can be read");
             }
-            ids.admit(name, entry);
+            ids.insert_foreign(name, entry);
             turn(n).await;
         }
         Ok(())
     }
 
     async fn claim_all(&self, ids: &RepeatIds) -> io::Result<()> {
-        for (n, name) in ids.names().into_iter().enumerate() {
+        for (n, name) in ids.digests().into_iter().enumerate() {
             let claimed = ids.entry(&name).map_or(Ok(()), |entry| self.directory.claim(&name, entry));
             match claimed {
                 Ok(()) | Err(ClaimError::Taken(_)) => {}
--- a/src/handover/id_exchange_tests.rs
+++ b/src/handover/id_exchange_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::clock::Clock;
-use crate::core::repeat_ledger::{Load, SharedEntry};
+use crate::core::repeat_ledger::{LedgerSize, SharedEntry};
 
 const SPAN: Time = 600_000_000;
 
@@ -19,7 +19,7 @@
 
 async fn begin(path: &std::path::Path, peer_lives: bool, span: Time) -> Side {
     let folder = Arc::new(Folder::join(path.to_path_buf(), 3).expect("fine").expect("a slot"));
-    let ids = RepeatIds::new(Load { ids: 100, bytes: 1_000 }, span, Clock::start());
+    let ids = RepeatIds::new(LedgerSize { ids: 100, bytes: 1_000 }, span, Clock::start());
     let mut exchange = IdExchange::new(folder, Some(ids.clone()));
     exchange.begin(peer_lives).await;
     Side { exchange, ids }
@@ -30,7 +30,7 @@
 }
 
 fn name(n: usize) -> String {
-    RepeatIds::name(&n.to_string())
+    RepeatIds::digest(&n.to_string())
 }
 
 fn claims(path: &std::path::Path) -> usize {
@@ -42,7 +42,7 @@
     let path = folder("hears");
     let mut former = begin(&path, false, SPAN).await;
     assert!(former.ids.is_alone() && !path.join(DIRECTORY).exists(), "alone nothing is claimed");
-    (0..200).for_each(|n| former.ids.admit(name(n), Some(entry())));
+    (0..200).for_each(|n| former.ids.insert_foreign(name(n), Some(entry())));
     let mut next = begin(&path, true, SPAN).await;
     assert!(next.exchange.is_waiting());
     next.exchange.look(true).await;
@@ -51,11 +51,11 @@
     assert!(!former.ids.is_alone());
     next.exchange.look(true).await;
     assert!(!next.exchange.is_waiting());
-    assert_eq!((claims(&path), next.ids.names().len()), (200, 0));
+    assert_eq!((claims(&path), next.ids.digests().len()), (200, 0));
     drop(former);
     next.exchange.look(false).await;
     assert!(next.ids.is_alone());
-    assert_eq!((claims(&path), next.ids.names().len()), (0, 200));
+    assert_eq!((claims(&path), next.ids.digests().len()), (0, 200));
     let _ = std::fs::remove_dir_all(path);
 }
 
@@ -87,7 +87,7 @@
     let ended = Clock::start().now();
     next.exchange.look(false).await;
     assert!(next.ids.is_alone());
-    let told = next.ids.tell_peer(SPAN);
+    let told = next.ids.summarize_for_peer(SPAN);
     assert!(told.complete_since >= ended && told.complete_since <= told.now, "{told:?}");
     let _ = std::fs::remove_dir_all(path);
 }
@@ -96,14 +96,14 @@
 async fn both_together_hold_no_more_than_one_may_and_the_shorter_span_binds_both() {
     let path = folder("bounds");
     let mut former = begin(&path, false, SPAN).await;
-    (0..40).for_each(|n| former.ids.admit(name(n), Some(entry())));
-    let before = former.ids.tell_peer(SPAN);
+    (0..40).for_each(|n| former.ids.insert_foreign(name(n), Some(entry())));
+    let before = former.ids.summarize_for_peer(SPAN);
     let mut next = begin(&path, true, 5 * SPAN).await;
     former.exchange.look(true).await;
     next.exchange.look(true).await;
-    assert_eq!((former.ids.spare().ids, next.ids.spare().ids), (30, 30));
+    assert_eq!((former.ids.free_capacity().ids, next.ids.free_capacity().ids), (30, 30));
     // It knows no more than the other remembers, and no more than the other knew.
-    let told = next.ids.tell_peer(SPAN);
+    let told = next.ids.summarize_for_peer(SPAN);
     let known_for = before.now - before.complete_since;
     assert!(told.now - told.complete_since <= known_for.min(SPAN) + 5_000_000, "{told:?}");
     let _ = std::fs::remove_dir_all(path);
@@ -113,7 +113,7 @@
 async fn a_folder_that_takes_no_claims_leaves_the_one_alone_and_the_other_waiting() {
     let path = folder("broken");
     let mut former = begin(&path, false, SPAN).await;
-    former.ids.admit(name(1), Some(entry()));
+    former.ids.insert_foreign(name(1), Some(entry()));
     std::fs::write(path.join(DIRECTORY), b"in the way").expect("a file");
     let mut next = begin(&path, true, SPAN).await;
     former.exchange.look(true).await;
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,7 +12,7 @@
 use linentrail::core::bookings::Bookings;
 use linentrail::core::counters::{self, Count};
 use linentrail::core::repeat_ids::RepeatIds;
-use linentrail::core::repeat_ledger::Load;
+use linentrail::core::repeat_ledger::LedgerSize;
 use linentrail::core::{CoreCommand, Handle, Input};
 use linentrail::dnssd::browse::Browser;
 use linentrail::dnssd::records;
@@ -108,7 +108,7 @@
 
 /// No ids of bookings yet. Answers that are remembered share the memory with all else.
 fn repeat_ids(odata: &Odata, memory: usize, clock: Clock) -> RepeatIds {
-    let limits = Load { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
+    let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_span, clock)
 }
 
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -4,9 +4,9 @@
 use super::request::{self, Call, Facts, Form, Repeatable};
 use super::session::{last_refusal, Conn, Session};
 use crate::clock::Clock;
-use crate::core::bookings::{Booked, Bookings, Try};
+use crate::core::bookings::{BookingOutcome, Bookings, BookingTry};
 use crate::core::counters::{count, Count};
-use crate::core::repeat_ledger::Candidate;
+use crate::core::repeat_ledger::ClaimRequest;
 use crate::core::{Answer, Handle, Operation, ClientConnection, Request, Work};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
@@ -124,7 +124,7 @@
             Ok(Call::Create { facts, key, value, repeatable, minimal }) => {
                 let asked = Asked::Create { key: &key, minimal, repeatable: repeatable.is_some() };
                 let fingerprint = fingerprint(&class_table, &facts, &key, &value);
-                let weight = value.len() + 512;
+                let answer_bytes = value.len() + 512;
                 let mut request = self.request(&class_table, facts, &key, Some(value));
                 let deadline = request.deadline;
                 let Some(Repeatable { id, first_sent }) = repeatable else {
@@ -132,25 +132,25 @@
                     let answer = self.core.submit(request).await.await;
                     return reply::answer(form, asked, answer, self.late(deadline));
                 };
-                let candidate = Candidate { fingerprint, weight, first_sent };
-                match self.bookings.book(Try { id, candidate }, request).await {
-                    Booked::Answer(answer) => reply::answer(form, asked, answer, self.late(deadline)),
-                    Booked::Differs => {
+                let candidate = ClaimRequest { fingerprint, answer_bytes, first_sent };
+                match self.bookings.book(BookingTry { id, candidate }, request).await {
+                    BookingOutcome::Answer(answer) => reply::answer(form, asked, answer, self.late(deadline)),
+                    BookingOutcome::IdConflict => {
                         count(Count::odata_conflicts);
                         let text = "this Repeatability-Request-ID stands for another request";
                         refused(Fault::new(412, "RepeatabilityConflict", text).rejected(), form)
                     }
-                    Booked::Unprovable => {
+                    BookingOutcome::Unprovable => {
                         count(Count::odata_unprovable);
                         let text = "it cannot be proved that it has not run: first sent too long ago, or its id cannot be looked up";
                         refused(Fault::new(412, "RepeatabilityExpired", text).rejected(), form)
                     }
-                    Booked::Elsewhere => {
+                    BookingOutcome::ClaimedByPeer => {
                         count(Count::odata_elsewhere);
                         let text = "another process of this proxy has taken this id: it may have run there";
                         refused(Fault::new(412, "RepeatabilityExpired", text).rejected(), form)
                     }
-                    Booked::Full => {
+                    BookingOutcome::NoRoom => {
                         let text = "no room to remember one more booking; nothing has run";
                         refused(Fault::come_back(None, text).rejected(), form)
                     }
