--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,7 +1,7 @@
 //! The module's actor. It alone owns the [`Router`]: it drains its mailbox, makes one step of what came, and carries
 //! out the actions. It never waits for anyone but its mailbox and its wake-up, so that all may wait for it.
 
-use super::counters::{count, counted, Count};
+use super::counters::{count, counter_value, Count};
 use super::lease::Lease;
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
@@ -333,7 +333,7 @@
             return outcome;
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
-        if counted(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
+        if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
             log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "an answer is not used: it may be older than its session");
         }
         count(Count::stale_caught);
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -135,12 +135,12 @@
 }
 
 /// How many so far.
-pub fn counted(what: Count) -> u64 {
+pub fn counter_value(what: Count) -> u64 {
     COUNTS[what as usize].load(Ordering::Relaxed)
 }
 
 /// All that are not zero, on one line.
-pub fn line() -> String {
+pub fn nonzero_line() -> String {
     let all = NAMES.iter().zip(&COUNTS).map(|(n, c)| (n, c.load(Ordering::Relaxed)));
     let some: Vec<String> = all.filter(|(_, c)| *c > 0).map(|(n, c)| format!("{n}={c}")).collect();
     some.join(" ")
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -13,7 +13,7 @@
 use super::claims::ClaimDirectory;
 use super::files::{Folder, FollowedFile};
 use super::{passed_over, usable};
-use crate::core::counters::{count, counted, Count};
+use crate::core::counters::{count, counter_value, Count};
 use crate::core::repeat_ids::{ClaimError, ClaimStore, LedgerSummary, RepeatIds};
 use crate::interface::Time;
 use serde::de::DeserializeOwned;
@@ -109,7 +109,7 @@
     pub async fn look(&mut self, peer_lives: bool) {
         let done = if peer_lives { self.look_at_peer().await } else { self.look_at_rest().await };
         if let Err(e) = done {
-            if counted(Count::repeat_ids_unshared) == 0 {
+            if counter_value(Count::repeat_ids_unshared) == 0 {
                 log::error!("repeat ids cannot be shared with another process of this proxy: {e}");
             }
             count(Count::repeat_ids_unshared);
--- a/src/main.rs
+++ b/src/main.rs
@@ -318,7 +318,7 @@
     let _ = phase.send(Phase::Serving);
     loop {
         tokio::select! {
-            _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::line(), meter::line())),
+            _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line())),
             _ = term.recv() => break,
             _ = int.recv() => break,
         }
@@ -333,7 +333,7 @@
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
     shutdown.run(peer_alive, file.still_coming, longest_deadline, last_writing).await;
-    cli::say(format_args!("counters: {}{}", counters::line(), meter::line()));
+    cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line()));
     Ok(())
 }
 
--- a/src/net/client_end_tests.rs
+++ b/src/net/client_end_tests.rs
@@ -153,10 +153,10 @@
 
 #[test]
 fn an_end_without_a_word_is_told_as_one() {
-    use crate::core::counters::counted;
-    let before = counted(Count::closed_dropped);
+    use crate::core::counters::counter_value;
+    let before = counter_value(Count::closed_dropped);
     drop(EndReport::new(1));
-    assert_eq!(counted(Count::closed_dropped), before + 1);
+    assert_eq!(counter_value(Count::closed_dropped), before + 1);
     EndReport::new(2).tell::<std::io::Error>(&Ok(Ended(EndReason::Idle)));
-    assert_eq!(counted(Count::closed_dropped), before + 1);
+    assert_eq!(counter_value(Count::closed_dropped), before + 1);
 }
--- a/src/net/client_queue.rs
+++ b/src/net/client_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of a listening socket: its clients are taken one by one, and a failure of accept(2) passes over none of them.
 
 use super::listen::{reached, Closing, Phase};
-use crate::core::counters::{count, counted, Count};
+use crate::core::counters::{count, counter_value, Count};
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
@@ -92,7 +92,7 @@
 }
 
 async fn accept_failed(error: &Error) {
-    if counted(Count::accept_failures).is_multiple_of(ACCEPT_FAILURES_PER_LOG_LINE) {
+    if counter_value(Count::accept_failures).is_multiple_of(ACCEPT_FAILURES_PER_LOG_LINE) {
         log::warn!("a client could not be accepted: {error}");
     }
     count(Count::accept_failures);
