--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -7,7 +7,7 @@
 //! another way, which [`Clash`] names.
 
 use crate::interface::*;
-use crate::settings::{Names, Pairs, SocketTimes};
+use crate::settings::{Names, FlatSettings, SocketTimes};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -62,11 +62,11 @@
     /// # Errors
     /// With what is wrong with it.
     pub fn read(json: &Value) -> Result<Self, String> {
-        let pairs = Pairs::from_json(json);
+        let pairs = FlatSettings::from_json(json);
         let shared =
             Shared { names: pairs.names()?, settings: pairs.settings(0)?, times: pairs.socket_times()? };
         shared.settings.check().map_err(|e| e.to_string())?;
-        let fault = shared.names.faults().next();
+        let fault = shared.names.duplicates().next();
         if let Some(fault) = fault {
             return Err(format!("settings: {fault}"));
         }
@@ -145,7 +145,7 @@
         };
         let times = SocketTimes {
             keepalive: self.times.keepalive.min(other.times.keepalive),
-            connect: self.times.connect.min(other.times.connect),
+            connect_timeout: self.times.connect_timeout.min(other.times.connect_timeout),
         };
         let names = Names { classes: names, tenants, zones: self.names.zones.clone() };
         Ok(Shared { names, settings, times })
--- a/src/agreement/rules_tests.rs
+++ b/src/agreement/rules_tests.rs
@@ -125,7 +125,7 @@
                 },
                 ..Settings::default()
             },
-            times: SocketTimes { keepalive: 1, connect: 1 },
+            times: SocketTimes { keepalive: 1, connect_timeout: 1 },
         }
     })
 }
--- a/src/bin/linentrail-benchlink/wire.rs
+++ b/src/bin/linentrail-benchlink/wire.rs
@@ -69,9 +69,9 @@
 
 /// The settings of an instance, and how its notes and reports count positions.
 fn settings(line: &Line) -> Res<(Settings, Time)> {
-    let pairs: settings::Pairs =
+    let pairs: settings::FlatSettings =
         line.fields.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
-    let read = || Ok((pairs.settings(pairs.entropy()?)?, pairs.counted_from()?));
+    let read = || Ok((pairs.settings(pairs.entropy()?)?, pairs.position_origin()?));
     read().map_err(|e: String| format!("CONFIGURE: {e}"))
 }
 
--- a/src/check.rs
+++ b/src/check.rs
@@ -58,7 +58,7 @@
         }
     };
     if let Ok(names) = &names {
-        faults.extend(names.faults());
+        faults.extend(names.duplicates());
     }
     let known = told.known.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
     let limits = (told.sockets, told.memory >> 20);
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a proxy: the file that `BALANCER_CONFIG` names, and the variables beside it.
 
 use crate::interface::Settings;
-use crate::settings::{Names, Pairs, SocketTimes};
+use crate::settings::{Names, FlatSettings, SocketTimes};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -25,9 +25,9 @@
     /// The member list as this proxy last held it.
     pub known: Value,
     /// The settings, flat.
-    pub settings: Pairs,
+    pub settings: FlatSettings,
     /// Everything but the list, flat.
-    pub all: Pairs,
+    pub all: FlatSettings,
 }
 
 /// Missing names that are told one by one.
@@ -53,7 +53,7 @@
         let names = self.settings.names()?;
         let settings = self.settings.settings(self.seed)?;
         settings.check().map_err(|e| e.to_string())?;
-        if let Some(fault) = names.faults().next() {
+        if let Some(fault) = names.duplicates().next() {
             return Err(format!("settings: {fault}"));
         }
         Ok(Sound { names, settings, times: self.settings.socket_times()? })
@@ -86,7 +86,7 @@
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<(Config, Sound), String> {
     let new = read(text, variable)?;
-    let lacks = new.all.lacking(&running.all);
+    let lacks = new.all.missing_keys(&running.all);
     if !lacks.is_empty() {
         let (first, more) = (lacks[..lacks.len().min(SHOWN)].join(", "), lacks.len().saturating_sub(SHOWN));
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
@@ -126,8 +126,8 @@
         sockets: limit("/limits/sockets", 1024),
         memory: limit("/limits/memory_mb", 192).saturating_mul(1024 * 1024),
         known,
-        settings: Pairs::from_json(json.get("settings").unwrap_or(&Value::Null)),
-        all: Pairs::from_json(&json),
+        settings: FlatSettings::from_json(json.get("settings").unwrap_or(&Value::Null)),
+        all: FlatSettings::from_json(&json),
     })
 }
 
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -31,7 +31,7 @@
 }
 
 fn settings() -> Settings {
-    let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+    let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
     pairs.settings(1).expect("sound settings")
 }
 
@@ -179,7 +179,7 @@
     json["services"][SESSION_READ]["idempotency"] = "idempotency_key".into();
     json["services"][SESSION_READ]["group"] = scope.into();
     json["services"][SESSION_READ]["window_us"] = WINDOW.into();
-    let pairs = crate::settings::Pairs::from_json(&json);
+    let pairs = crate::settings::FlatSettings::from_json(&json);
     let settings = pairs.settings(1).expect("sound settings");
     let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, members.to_vec());
@@ -222,7 +222,7 @@
 fn a_session_read_goes_by_the_position_it_carries_also_where_this_clock_is_behind() {
     in_runtime(|| {
         const MS: Time = 1_000;
-        let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+        let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
         let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
         let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
         let mut actor = actor_with(settings, vec![listed(2, None)]);
@@ -249,7 +249,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_bounded_read_does_not_begin_once_the_position_it_was_chosen_by_is_too_old() {
     const MS: Time = 1_000;
-    let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+    let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
     let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
     let Need::Bounded(age) = settings.classes[BOUNDED_READ].need else { panic!("another class") };
     let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
@@ -267,7 +267,7 @@
     actor.step(now, &[asked]);
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
-        let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect: Time::MAX };
+        let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect_timeout: Time::MAX };
         let state = SharedState::new(SocketAddr::from(([127, 0, 0, 1], 9)), times);
         state.lock().gate.issue(attempt.key());
         state.begin(attempt, &actor.clock).is_ok()
--- a/src/core/live_tests.rs
+++ b/src/core/live_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::Work;
 use crate::policy::invariants::Violation;
-use crate::settings::Pairs;
+use crate::settings::FlatSettings;
 use crate::class_table::{ClassSlots, ClassTable};
 use bytes::Bytes;
 use linentrail_standins::proxy;
@@ -17,7 +17,7 @@
 fn class_table(repeat: &str) -> Arc<ClassTable> {
     let mut settings = proxy::settings();
     settings["services"][SESSION_READ]["idempotency"] = repeat.into();
-    let pairs = Pairs::from_json(&settings);
+    let pairs = FlatSettings::from_json(&settings);
     let classes = pairs.settings(1).expect("sound settings").classes;
     ClassSlots::default().replace(pairs.names().expect("names"), classes)
 }
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -96,7 +96,7 @@
         let (open, opens) = watch::channel(false);
         let wire = Held { opens, written: Arc::default(), led: Arc::default() };
         let (core, mut inputs) = mpsc::channel(8);
-        let (clock, times) = (Clock::start(), SocketTimes { connect: 30_000_000, keepalive: 30_000_000 });
+        let (clock, times) = (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
         let mut fleet = Fleet::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
         fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
@@ -155,7 +155,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let wire = Held { opens: watch::channel(true).1, written: Arc::default(), led: Arc::default() };
-        let (clock, times) = (Clock::start(), SocketTimes { connect: 1_000_000, keepalive: 1_000_000 });
+        let (clock, times) = (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
         let mut fleet = Fleet::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
         fleet.update_list(ListKind::Full, &[listed(Condition::Draining, 9)]);
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -244,7 +244,7 @@
         let (ready, waits) = ready.unzip();
         let (address, connect) = {
             let state = self.state.lock();
-            (state.address, state.times.connect)
+            (state.address, state.times.connect_timeout)
         };
         let timeout = Duration::from_micros(connect);
         let (wire, budget) = (self.wire.clone(), self.budget.clone());
--- a/src/net/peer_tests.rs
+++ b/src/net/peer_tests.rs
@@ -37,7 +37,7 @@
     async fn attempt(address: SocketAddr, statement: usize, patience: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
-        let state = SharedState::new(address, SocketTimes { connect: PATIENCE, keepalive: PATIENCE });
+        let state = SharedState::new(address, SocketTimes { connect_timeout: PATIENCE, keepalive: PATIENCE });
         let (core, told) = mpsc::channel(8);
         let (orders, mailbox) = mpsc::channel(8);
         let wire = Pg::new(budget.bytes.clone());
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// Flat settings: `services.0.aim_us` = `200000`. A list of plain values is joined by commas.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Pairs(HashMap<String, String>);
+pub struct FlatSettings(HashMap<String, String>);
 
 /// Names that the wires use for what the module numbers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 impl Names {
     /// What is wrong with them: of classes and of tenants, no two may have one name.
-    pub fn faults(&self) -> impl Iterator<Item = String> + '_ {
+    pub fn duplicates(&self) -> impl Iterator<Item = String> + '_ {
         [("class", &self.classes), ("tenant", &self.tenants)].into_iter().filter_map(|(what, list)| {
             let twice = list.iter().enumerate().find(|(n, name)| list[..*n].contains(name));
             twice.map(|(_, name)| format!("two of {what} are named '{name}'"))
@@ -37,19 +37,19 @@
     /// Idle connections are closed by the members' machines after this, in us.
     pub keepalive: Time,
     /// Patience with a new connection, in us.
-    pub connect: Time,
+    pub connect_timeout: Time,
 }
 
-impl FromIterator<(String, String)> for Pairs {
+impl FromIterator<(String, String)> for FlatSettings {
     fn from_iter<I: IntoIterator<Item = (String, String)>>(pairs: I) -> Self {
-        Pairs(pairs.into_iter().collect())
+        FlatSettings(pairs.into_iter().collect())
     }
 }
 
-impl Pairs {
+impl FlatSettings {
     /// Flattens nested JSON into pairs.
     pub fn from_json(json: &serde_json::Value) -> Self {
-        let mut pairs = Pairs::default();
+        let mut pairs = FlatSettings::default();
         pairs.flatten(String::new(), json);
         pairs
     }
@@ -76,14 +76,14 @@
 
     /// Names that `running` has and these lack, those of lists of things aside: where all of the running list's have a
     /// field, all of this one's must.
-    pub fn lacking(&self, running: &Pairs) -> Vec<String> {
+    pub fn missing_keys(&self, running: &FlatSettings) -> Vec<String> {
         let within = |name: &str, list: &str| name.contains(&format!("{list}."));
         let listed = |name: &str| within(name, "services") || within(name, "tenants");
         let mut lacks: Vec<String> =
             running.0.keys().filter(|n| !listed(n) && !self.0.contains_key(*n)).cloned().collect();
         for list in ["settings.services", "settings.tenants"] {
             let count =
-                |p: &Pairs| p.0.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0);
+                |p: &FlatSettings| p.0.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0);
             let first = format!("{list}.0.");
             let fields = running.0.keys().filter_map(|n| n.strip_prefix(&first));
             let all = |field: &&str| {
@@ -160,7 +160,7 @@
     pub fn socket_times(&self) -> Result<SocketTimes, String> {
         Ok(SocketTimes {
             keepalive: self.may("limits.keepalive_us")?.unwrap_or(30_000_000),
-            connect: self.may("limits.connect_timeout_us")?.unwrap_or(250_000),
+            connect_timeout: self.may("limits.connect_timeout_us")?.unwrap_or(250_000),
         })
     }
 
@@ -268,7 +268,7 @@
     ///
     /// # Errors
     /// When it is missing or malformed.
-    pub fn counted_from(&self) -> Result<Time, String> {
+    pub fn position_origin(&self) -> Result<Time, String> {
         self.must("family_info.counted_from_us")
     }
 
