--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -110,7 +110,7 @@
             let position = actor.router.position(MemberId(1));
             assert_eq!(position, if counts { 5_000_000 } else { 0 }, "{listed_start:?} {kind:?}");
             // A stored role is never more than whom a write tries first: nobody is taken for the primary by it.
-            assert!(actor.router.learned().all(|m| m.facts.primary != Some(true)));
+            assert!(actor.router.learned_members().all(|m| m.facts.primary != Some(true)));
         }
     });
 }
@@ -125,7 +125,7 @@
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
             let event = actor.take(Input::List(kind, vec![listed(1, None)]), now).expect("an event");
             actor.step(now, &[event]);
-            let cold = actor.router.learned().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
+            let cold = actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
             assert_eq!(cold, began, "{kind:?}");
         }
     });
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -163,7 +163,7 @@
     fn export(&self, now: Time) -> Known {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.overlay.listed().map(|e| (e.member.id, &e.name)).collect();
-        let members = self.router.learned().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
+        let members = self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(RECENT));
         let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
         with_times(known, |local| self.member_clock.told(local))
--- a/src/known.rs
+++ b/src/router_export.rs
@@ -8,7 +8,7 @@
 
 /// What a router knows of a member, by its number.
 #[derive(Debug, Clone)]
-pub struct Learned {
+pub struct LearnedMember {
     /// The member.
     pub id: MemberId,
     /// What it has shown.
@@ -17,7 +17,7 @@
 
 impl Router {
     /// How many things it remembers, all kinds together.
-    pub fn remembered(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.members.len() + self.groups.len() + self.open.len() + self.held.len()
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// What is known of each member.
-    pub fn learned(&self) -> impl Iterator<Item = Learned> + '_ {
+    pub fn learned_members(&self) -> impl Iterator<Item = LearnedMember> + '_ {
         self.members.iter().map(|(id, m)| {
             let head = self.groups.get(&m.group).filter(|g| g.primary == Some(*id));
             let replica = m.replica_at > 0;
@@ -44,7 +44,7 @@
                 role_at: head.map_or(m.replica_at, |g| g.as_of),
                 cold_from: m.started.filter(|_| self.cold(m)),
             };
-            Learned { id: *id, facts }
+            LearnedMember { id: *id, facts }
         })
     }
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1036,7 +1036,7 @@
     let mut d = Driver::new(Settings { instances: 100, ..settings() });
     let of = |id: u32| Member { group: u64::from(id % 10), ..member(id, id < 10) };
     d.list(ListKind::Full, (0..60).map(of).collect());
-    let before = d.router.remembered();
+    let before = d.router.entry_count();
     let mut open = Vec::new();
     for id in 0..36 {
         d.list(ListKind::Changes, vec![Member { up_since: Some(d.now), ..of(100 + id) }]);
@@ -1050,7 +1050,7 @@
         d.step(&[Event::Disconnected { id }]);
     }
     d.list(ListKind::Changes, vec![]);
-    assert_eq!(d.router.remembered(), before, "60 members, 10 groups, no request");
+    assert_eq!(d.router.entry_count(), before, "60 members, 10 groups, no request");
 }
 
 #[test]
@@ -1084,7 +1084,7 @@
 #[test]
 fn what_comes_and_goes_leaves_nothing_behind() {
     let mut d = Driver::new(settings());
-    let before = d.router.remembered();
+    let before = d.router.entry_count();
     for i in 100..200 {
         d.list(ListKind::Changes, vec![member(i, false)]);
         let gone = Member { condition: Condition::Out, ..member(i, false) };
@@ -1104,7 +1104,7 @@
         }]);
         assert!(refused(&d.after(100 * MS), id));
     }
-    assert_eq!(d.router.remembered(), before);
+    assert_eq!(d.router.entry_count(), before);
 }
 
 #[test]
