--- a/benches/append.rs
+++ b/benches/append.rs
@@ -1,8 +1,8 @@
 //! What an appended word costs, forced onto the disk each time: this program's log against an embedded database.
 //! `cargo bench --bench append [WORDS] [FOLDER]`; never in CI, as it measures the disk.
 
-use linentrail::knowledge::Knowledge;
 use linentrail::effective_list::Suspension;
+use linentrail::knowledge::Knowledge;
 use linentrail::store::disk::Folder;
 use linentrail::store::state::Store;
 use redb::{Database, ReadableDatabase, TableDefinition};
--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -7,7 +7,7 @@
 //! another way, which [`Clash`] names.
 
 use crate::interface::*;
-use crate::settings::{Names, FlatSettings, SocketTimes};
+use crate::settings::{FlatSettings, Names, SocketTimes};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -54,8 +54,10 @@
     pub fn replace(&mut self, names: Names, classes: Vec<Class>) -> Arc<ClassTable> {
         let old = std::mem::take(&mut self.current);
         self.former.push(Arc::downgrade(&old));
-        let mut next =
-            ClassTable { names: Names { classes: old.names.classes.clone(), ..names }, ..ClassTable::default() };
+        let mut next = ClassTable {
+            names: Names { classes: old.names.classes.clone(), ..names },
+            ..ClassTable::default()
+        };
         (next.classes, next.open) = (old.classes.clone(), vec![false; old.classes.len()]);
         // Nothing but requests holds former terms.
         drop(old);
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a proxy: the file that `BALANCER_CONFIG` names, and the variables beside it.
 
 use crate::interface::Settings;
-use crate::settings::{Names, FlatSettings, SocketTimes};
+use crate::settings::{FlatSettings, Names, SocketTimes};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -148,12 +148,14 @@
             Call::Fleet(call) => {
                 return self.fleet(call).await.map_or_else(Reply::No, |yes| Reply::Yes(yes.into()))
             }
-            Call::Suspend(id) => {
-                (self.control.change(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply)).await, "out")
-            }
-            Call::Restore(id) => {
-                (self.control.change(id, |reply| CoreCommand::Restore(id.as_str().into(), reply)).await, "back")
-            }
+            Call::Suspend(id) => (
+                self.control.change(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply)).await,
+                "out",
+            ),
+            Call::Restore(id) => (
+                self.control.change(id, |reply| CoreCommand::Restore(id.as_str().into(), reply)).await,
+                "back",
+            ),
         };
         told.map_or_else(Reply::No, |()| Reply::Yes(done.into()))
     }
@@ -188,7 +190,9 @@
                 Reply::Yes("serving, by the last configuration that held".into())
             }
             Some(Readiness::Ready) => Reply::Yes("serving".into()),
-            Some(Readiness::NoUsableMember) => Reply::No("no member is listed that requests could go to".to_string()),
+            Some(Readiness::NoUsableMember) => {
+                Reply::No("no member is listed that requests could go to".to_string())
+            }
             Some(Readiness::SuspensionsUnconfirmed) => {
                 let why = "what was said by hand may be lost; say it again, then CONFIRM";
                 Reply::No(why.to_string())
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -6,13 +6,13 @@
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
 use super::{
-    report_violation, Answer, Attempt, CommitExchange, AttemptEnd, Input, ListedMember, Members, CoreCommand, Request, SuspensionResult, Value,
-    Work, REQUEST_LOG_TARGET,
+    report_violation, Answer, Attempt, AttemptEnd, CommitExchange, CoreCommand, Input, ListedMember, Members,
+    Request, SuspensionResult, Value, Work, REQUEST_LOG_TARGET,
 };
 use crate::clock::Clock;
+use crate::effective_list::EffectiveList;
 use crate::interface::*;
 use crate::knowledge::evidence::Recalled;
-use crate::effective_list::EffectiveList;
 use crate::phases::Returning;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -1,9 +1,9 @@
 //! What the actor makes of what others have learned.
 
 use super::*;
+use crate::class_table::{ClassSlots, ClassTable};
 use crate::knowledge::{Knowledge, Known, MemberFacts};
 use crate::net::member_state::SharedState;
-use crate::class_table::{ClassSlots, ClassTable};
 use std::net::SocketAddr;
 
 /// Members that only stand there, and what they were given.
@@ -125,7 +125,8 @@
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
             let event = actor.take(Input::List(kind, vec![listed(1, None)]), now).expect("an event");
             actor.step(now, &[event]);
-            let cold = actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
+            let cold =
+                actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
             assert_eq!(cold, began, "{kind:?}");
         }
     });
@@ -136,7 +137,8 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = recalled(&[]);
-        all.hands.insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
+        all.hands
+            .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.recall(all);
         let now = actor.clock.now();
         let event = actor.take(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
@@ -224,7 +226,8 @@
         const MS: Time = 1_000;
         let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
         let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
-        let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
+        let class_table =
+            ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
         let mut actor = actor_with(settings, vec![listed(2, None)]);
         // Late enough that nothing waits for its turn.
         let now = actor.clock.now() + 4_000 * MS;
--- a/src/core/bookings.rs
+++ b/src/core/bookings.rs
@@ -6,7 +6,7 @@
 
 use super::counters::{count, Count};
 use super::repeat_ids::RepeatIds;
-use super::repeat_ledger::{ClaimRequest, Claim};
+use super::repeat_ledger::{Claim, ClaimRequest};
 use super::{Answer, Handle, Request};
 use crate::clock::Clock;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/core/live_tests.rs
+++ b/src/core/live_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
+use crate::class_table::{ClassSlots, ClassTable};
 use crate::core::Work;
 use crate::policy::invariants::Violation;
 use crate::settings::FlatSettings;
-use crate::class_table::{ClassSlots, ClassTable};
 use bytes::Bytes;
 use linentrail_standins::proxy;
 use std::sync::Arc;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -15,15 +15,15 @@
 pub mod repeat_ledger;
 pub mod session_ledger;
 
+use crate::class_table::ClassTable;
+pub use crate::effective_list::ListedMember;
+use crate::effective_list::{SuspensionError, Suspensions};
 use crate::interface::*;
 use crate::knowledge::{Knowledge, Known};
-pub use crate::effective_list::ListedMember;
-use crate::effective_list::{Suspensions, SuspensionError};
 use crate::phases::Progress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
-use crate::class_table::ClassTable;
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -4,7 +4,7 @@
 use super::actor::Actor;
 use super::counters::{add, count, Count};
 use super::member_times::with_times;
-use super::{ListedMember, Members, CoreCommand, PeerCommits, Readiness};
+use super::{CoreCommand, ListedMember, Members, PeerCommits, Readiness};
 use crate::interface::*;
 use crate::knowledge::evidence::{Listed as Life, Recalled, Usable};
 use crate::knowledge::{merge_hands, Knowledge, Known};
@@ -163,7 +163,8 @@
     fn export(&self, now: Time) -> Known {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.overlay.listed().map(|e| (e.member.id, &e.name)).collect();
-        let members = self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
+        let members =
+            self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(RECENT));
         let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
         with_times(known, |local| self.member_clock.told(local))
--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -8,7 +8,7 @@
 
 use super::bookings::Ticket;
 use super::counters::{count, Count};
-use super::repeat_ledger::{ClaimRequest, Claim, LedgerSize, RepeatLedger, SharedEntry};
+use super::repeat_ledger::{Claim, ClaimRequest, LedgerSize, RepeatLedger, SharedEntry};
 use crate::clock::Clock;
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -95,7 +95,13 @@
 impl<T: Clone> RepeatLedger<T> {
     /// A ledger that began at `began` and keeps each id for `span`.
     pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
-        RepeatLedger { capacity, held: LedgerSize::default(), span, complete_since: began, kept: HashMap::new() }
+        RepeatLedger {
+            capacity,
+            held: LedgerSize::default(),
+            span,
+            complete_since: began,
+            kept: HashMap::new(),
+        }
     }
 
     /// Claims an id for a request. A new one is entered as running, with `ticket`.
@@ -130,7 +136,8 @@
 
     /// Whether there is no room for one more answer of `answer_bytes` bytes.
     pub fn is_full(&self, answer_bytes: usize) -> bool {
-        self.held.ids >= self.capacity.ids || self.held.bytes.saturating_add(answer_bytes) > self.capacity.bytes
+        self.held.ids >= self.capacity.ids
+            || self.held.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
     /// Removes some of the entries whose span is over, and returns their ids.
--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -61,7 +61,11 @@
     }
     // Its client's clock runs ahead: it is kept for a span behind its first send.
     let ahead = BEGAN + 50;
-    ledger.insert_foreign("d".into(), SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN }, BEGAN);
+    ledger.insert_foreign(
+        "d".into(),
+        SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN },
+        BEGAN,
+    );
     ledger.ended("a");
     ledger.ended("b");
     assert!(ledger.remove_expired(BEGAN + SPAN).is_empty());
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspensionError {
     /// No list has named it.
-    Unknown,
+    UnknownMember,
     /// As many are out as may be.
-    Full,
+    TooManySuspended,
 }
 
 /// What the operators said of a member.
@@ -188,7 +188,10 @@
             return Err(SuspensionError::TooManySuspended);
         }
         // Later than all that was said before, also by a process whose clock was ahead of this one's.
-        let before = self.hands.get(name).map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
+        let before = self
+            .hands
+            .get(name)
+            .map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
         self.hands.insert(name.into(), Suspension { suspended_at: now.max(before), restored_at: None });
         Ok(self.again(name))
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The commands that ask a fleet that agrees, through the console of any of its proxies.
 
-use crate::console_client::{call, configured_address};
 use crate::cli::{self, Fleet};
+use crate::console_client::{call, configured_address};
 use serde_json::Value;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -167,8 +167,9 @@
 
 /// Runs one of the commands: 0 where it is so or done, 1 where not, 2 where nobody answers.
 pub fn run(asks: &Fleet, console: Option<&str>, json: bool) -> ExitCode {
-    let told =
-        console.map_or_else(configured_address, |c| Ok(c.to_string())).map(|console| done(asks, &console, json));
+    let told = console
+        .map_or_else(configured_address, |c| Ok(c.to_string()))
+        .map(|console| done(asks, &console, json));
     match told {
         Ok(Ok((lines, well))) => {
             lines.iter().for_each(|line| cli::say(format_args!("{line}")));
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -14,9 +14,9 @@
 use crate::core::counters::{count, Count};
 use crate::core::repeat_ids::RepeatIds;
 use crate::core::{CommitExchange, CoreCommand, SuspensionResult};
+use crate::effective_list::{SuspensionError, Suspensions};
 use crate::knowledge::format;
 use crate::net::budget::Budget;
-use crate::effective_list::{Suspensions, SuspensionError};
 use crate::store::actor::Scribe;
 use commits::{CommitLog, UnseenPeer};
 use files::{Folder, FollowedFile};
@@ -117,14 +117,20 @@
     ) -> Result<(), String> {
         self.record(order).await?;
         let Some(scribe) = &self.scribe else { return Ok(()) };
-        let hands = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(|| "the process ends".to_string())?;
+        let hands = self
+            .request(CoreCommand::QuerySuspensions)
+            .await
+            .ok_or_else(|| "the process ends".to_string())?;
         let Some((name, hand)) = hands.get_key_value(member) else { return Ok(()) };
         let written = scribe.word(name.clone(), *hand).await;
         written.map_err(|e| format!("done, but not written down for later starts: {e}"))
     }
 
     /// Has it done, and recorded for the other process.
-    async fn record(&self, order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand) -> Result<(), String> {
+    async fn record(
+        &self,
+        order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
+    ) -> Result<(), String> {
         let ending = || "the process ends".to_string();
         let fault = |e: io::Error| format!("the call cannot be recorded: {e}");
         if self.folder.is_missing() {
--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -4,8 +4,8 @@
 //! does not agree with that line is not used, not even in part: a torn file, another program's, or a newer version's.
 
 use super::{Held, Knowledge, Known, MemberFacts, MOST};
-use crate::interface::Time;
 use crate::effective_list::{Suspension, Suspensions, MAX_SUSPENDED};
+use crate::interface::Time;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
@@ -89,10 +89,13 @@
     let mut hands = BTreeMap::new();
     for (name, value) in all {
         let hand = match value.as_array().map(Vec::as_slice) {
-            Some([out, Value::Null]) => Suspension { suspended_at: out.as_u64().ok_or(bad.clone())?, restored_at: None },
-            Some([out, back]) => {
-                Suspension { suspended_at: out.as_u64().ok_or(bad.clone())?, restored_at: Some(back.as_u64().ok_or(bad.clone())?) }
+            Some([out, Value::Null]) => {
+                Suspension { suspended_at: out.as_u64().ok_or(bad.clone())?, restored_at: None }
             }
+            Some([out, back]) => Suspension {
+                suspended_at: out.as_u64().ok_or(bad.clone())?,
+                restored_at: Some(back.as_u64().ok_or(bad.clone())?),
+            },
             _ => return Err(bad),
         };
         hands.insert(name.as_str().into(), hand);
--- a/src/knowledge/mod.rs
+++ b/src/knowledge/mod.rs
@@ -7,8 +7,8 @@
 pub mod evidence;
 pub mod format;
 
-use crate::interface::{Position, Time};
 use crate::effective_list::{Suspension, Suspensions};
+use crate::interface::{Position, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/src/knowledge/tests.rs
+++ b/src/knowledge/tests.rs
@@ -32,7 +32,8 @@
 }
 
 fn knowledge() -> impl Strategy<Value = Knowledge> {
-    let hand = (0..3u64, prop::option::of(0..3u64)).prop_map(|(suspended_at, restored_at)| Suspension { suspended_at, restored_at });
+    let hand = (0..3u64, prop::option::of(0..3u64))
+        .prop_map(|(suspended_at, restored_at)| Suspension { suspended_at, restored_at });
     (
         prop::collection::btree_map(name(), facts(), 0..3),
         prop::collection::btree_map(name(), 0..4u64, 0..3),
@@ -105,7 +106,9 @@
 
 #[test]
 fn the_operators_last_word_wins_whoever_heard_it() {
-    let hands = |suspended_at, restored_at| -> Suspensions { [("m".into(), Suspension { suspended_at, restored_at })].into() };
+    let hands = |suspended_at, restored_at| -> Suspensions {
+        [("m".into(), Suspension { suspended_at, restored_at })].into()
+    };
     for (a, b, last) in [
         (hands(5, None), hands(5, Some(8)), hands(5, Some(8))),
         (hands(5, Some(8)), hands(9, None), hands(9, None)),
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,6 +4,7 @@
 
 use clap::Parser;
 use linentrail::check::{self, Finding};
+use linentrail::class_table::ClassSlots;
 use linentrail::cli::{self, Arguments, Command};
 use linentrail::clock::Clock;
 use linentrail::config::Sound;
@@ -36,7 +37,6 @@
 use linentrail::recovery::{self, Gatherer, Start};
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
-use linentrail::class_table::ClassSlots;
 use linentrail::{config, console_client, fleet, logs, meter, odata, pg};
 use linentrail::{ListKind, Time};
 use std::path::{Path, PathBuf};
@@ -164,7 +164,7 @@
     let zones = names.zones.clone();
     let mut slots = ClassSlots::default();
     let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
-    tell_classes(&slots.now());
+    tell_classes(&slots.current());
     let (memory, idle) = (told.memory >> 20, times.keepalive / 1000);
     log::info!(
         "limits: {} descriptors, {memory} MiB; members close what is idle for {idle} ms",
@@ -308,7 +308,8 @@
     if let Some(repeat_ids) = repeat_ids {
         let bookings = Bookings::new(core.clone(), clock, repeat_ids);
         let (class_table, limit) = (read_under.clone(), answer_limit.clone());
-        let front = odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
+        let front =
+            odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_waits.take() {
             odata_address = accepting.take(listener, ODATA, &budget, odata_gate);
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -96,7 +96,8 @@
         let (open, opens) = watch::channel(false);
         let wire = Held { opens, written: Arc::default(), led: Arc::default() };
         let (core, mut inputs) = mpsc::channel(8);
-        let (clock, times) = (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
+        let (clock, times) =
+            (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
         let mut fleet = Fleet::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
         fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
@@ -122,7 +123,8 @@
 #[test]
 fn a_member_that_leaves_while_its_mailbox_is_full_gets_nothing_new() {
     for condition in [Condition::Draining, Condition::Out] {
-        let (outcomes, written, _) = play(|fleet| fleet.update_list(ListKind::Changes, &[listed(condition, 9)]));
+        let (outcomes, written, _) =
+            play(|fleet| fleet.update_list(ListKind::Changes, &[listed(condition, 9)]));
         assert_eq!(written, 0, "{condition:?}");
         assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{condition:?}");
     }
@@ -155,7 +157,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let wire = Held { opens: watch::channel(true).1, written: Arc::default(), led: Arc::default() };
-        let (clock, times) = (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
+        let (clock, times) =
+            (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
         let mut fleet = Fleet::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
         fleet.update_list(ListKind::Full, &[listed(Condition::Draining, 9)]);
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -3,11 +3,12 @@
 use super::reply::{self, Asked, Fault};
 use super::request::{self, Call, Facts, Form, Repeatable};
 use super::session::{last_refusal, Conn, Session};
+use crate::class_table::ClassTable;
 use crate::clock::Clock;
-use crate::core::bookings::{BookingOutcome, Bookings, BookingTry};
+use crate::core::bookings::{BookingOutcome, BookingTry, Bookings};
 use crate::core::counters::{count, Count};
 use crate::core::repeat_ledger::ClaimRequest;
-use crate::core::{Answer, Handle, Operation, ClientConnection, Request, Work};
+use crate::core::{Answer, ClientConnection, Handle, Operation, Request, Work};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
@@ -17,7 +18,6 @@
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::class_table::ClassTable;
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use std::future::Future;
@@ -183,12 +183,27 @@
         self.clock.now() + LEAD >= deadline
     }
 
-    fn request(&self, class_table: &Arc<ClassTable>, facts: Facts, key: &str, value: Option<Bytes>) -> Request {
+    fn request(
+        &self,
+        class_table: &Arc<ClassTable>,
+        facts: Facts,
+        key: &str,
+        value: Option<Bytes>,
+    ) -> Request {
         let Facts { class, tenant, group, session, after, wait, repeat } = facts;
         let id = self.random.hash_one(self.sent.fetch_add(1, Ordering::Relaxed));
         let key_text = key.to_string();
-        let operation =
-            Operation { class_table: class_table.clone(), id, class, tenant, group, after, repeat, key: key_text, value };
+        let operation = Operation {
+            class_table: class_table.clone(),
+            id,
+            class,
+            tenant,
+            group,
+            after,
+            repeat,
+            key: key_text,
+            value,
+        };
         let work = Work::Operation(Arc::new(operation));
         let deadline = self.answer_limit.cap(self.clock.now().saturating_add(wait));
         let session: Option<Arc<str>> = session.map(Arc::from);
--- a/src/odata/request.rs
+++ b/src/odata/request.rs
@@ -1,10 +1,10 @@
 //! From an HTTP request to a typed call.
 
 use super::reply::Fault;
+use crate::class_table::ClassTable;
 use crate::core::is_valid_key;
 use crate::http::{Headers, HttpRequest};
 use crate::interface::*;
-use crate::class_table::ClassTable;
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig, URL_SAFE_NO_PAD};
 use base64::engine::DecodePaddingMode;
 use base64::{alphabet, Engine};
@@ -309,8 +309,11 @@
         find(given).ok_or_else(|| bad(name, format!("{name} names none that is known: {given}")))
     };
     let class = listed("Skip-Class", &|given| class_table.class(given))?;
-    let tenant =
-        if class_table.names.tenants.is_empty() { 0 } else { listed("Skip-Tenant", &|given| class_table.tenant(given))? };
+    let tenant = if class_table.names.tenants.is_empty() {
+        0
+    } else {
+        listed("Skip-Tenant", &|given| class_table.tenant(given))?
+    };
     let wait = match headers.get("Skip-Wait") {
         Some(text) => number("Skip-Wait", text)?.min(3_600_000) * 1000,
         None => class_table.classes[class].deadline,
--- a/src/parley/mod.rs
+++ b/src/parley/mod.rs
@@ -15,7 +15,7 @@
 use crate::agreement::{Hash, Holds, Kind, Number, Standing, Version, KINDS};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::{Input, CoreCommand};
+use crate::core::{CoreCommand, Input};
 use crate::handover::ControlHandle;
 use crate::interface::{ListKind, Time};
 use crate::net::discovery::{self, Lists};
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -2,6 +2,7 @@
 
 use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
 use super::session::{Conn, Session};
+use crate::class_table::ClassTable;
 use crate::clock::Clock;
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
@@ -11,7 +12,6 @@
 use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::class_table::ClassTable;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::future::Future;
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -8,7 +8,7 @@
 use super::statement::{is_write, render};
 use super::told::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use crate::core::counters::{count, Count};
-use crate::core::flow::{Chunk, ValueStream, ChunkSender};
+use crate::core::flow::{Chunk, ChunkSender, ValueStream};
 use crate::core::{Value, Work};
 use crate::interface::*;
 use crate::meter::{self, Cost};
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,8 +1,8 @@
 //! The two statements that clients send, with the names in their comment.
 
+use crate::class_table::ClassTable;
 use crate::core::{is_valid_key, Operation, Request, Work};
 use crate::interface::*;
-use crate::class_table::ClassTable;
 use bytes::Bytes;
 use std::ops::Range;
 use std::sync::Arc;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,6 +1,7 @@
 //! Settings at SIGHUP: the file is read and checked whole, then taken up whole or not at all.
 
 use crate::agreement::rules::Shared;
+use crate::class_table::{ClassSlots, ClassTable};
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
@@ -12,7 +13,6 @@
 use crate::net::discovery::Service;
 use crate::parley::Rules;
 use crate::settings::{Names, SocketTimes};
-use crate::class_table::{ClassSlots, ClassTable};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -82,8 +82,9 @@
         let mut lacks: Vec<String> =
             running.0.keys().filter(|n| !listed(n) && !self.0.contains_key(*n)).cloned().collect();
         for list in ["settings.services", "settings.tenants"] {
-            let count =
-                |p: &FlatSettings| p.0.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0);
+            let count = |p: &FlatSettings| {
+                p.0.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0)
+            };
             let first = format!("{list}.0.");
             let fields = running.0.keys().filter_map(|n| n.strip_prefix(&first));
             let all = |field: &&str| {
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -4,9 +4,9 @@
 use super::disk::Folder;
 use super::state::Store;
 use crate::core::counters::{count, Count};
+use crate::effective_list::Suspension;
 use crate::interface::Time;
 use crate::knowledge::Knowledge;
-use crate::effective_list::Suspension;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -1,8 +1,8 @@
 //! A disk that stops at any byte of any write, loses what was not forced, or says no; and what a start believes after.
 
 use super::*;
-use crate::knowledge::Held;
 use crate::effective_list::Suspensions;
+use crate::knowledge::Held;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -213,7 +213,10 @@
                 for (name, hand) in &yes {
                     let known =
                         back.all.hands.get(name).unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
-                    assert!(known.suspended_at >= hand.suspended_at, "{left} {keep}: {name} {known:?} {hand:?}");
+                    assert!(
+                        known.suspended_at >= hand.suspended_at,
+                        "{left} {keep}: {name} {known:?} {hand:?}"
+                    );
                 }
                 assert!(boot.is_none_or(|b| back.boot > b), "{left} {keep}");
                 assert!(snapshot.is_none_or(|at| back.at >= at), "{left} {keep}: {} {snapshot:?}", back.at);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -27,7 +27,8 @@
             ("it is an OLDER COPY; its configuration is not used", Some(Count::store_rolled_back))
         }
     };
-    let (members, out) = (all.known.members.len(), all.hands.values().filter(|h| h.restored_at.is_none()).count());
+    let (members, out) =
+        (all.known.members.len(), all.hands.values().filter(|h| h.restored_at.is_none()).count());
     let line =
         format!("store: start {boot}: {what}; {members} members known, {out} out by hand, written at {at}");
     match counter {
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -7,10 +7,10 @@
 
 use super::disk::Disk;
 use super::record::{self, End};
+use crate::effective_list::Suspension;
 use crate::interface::Time;
 use crate::knowledge::format::{self, Unusable};
 use crate::knowledge::{merge_hands, Knowledge};
-use crate::effective_list::Suspension;
 use std::io;
 
 const SNAPSHOT: &str = "snapshot";
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -2,7 +2,7 @@
 //! show.
 #![allow(missing_docs)]
 
-use linentrail::effective_list::{ListedMember, SuspensionError, EffectiveList};
+use linentrail::effective_list::{EffectiveList, ListedMember, SuspensionError};
 use linentrail::{Condition, GroupId, ListKind, Member, MemberId, Time};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -161,8 +161,12 @@
     const LENGTH: u32 = 6;
     let mut history = Vec::new();
     for mut number in 0..STEPS.len().pow(LENGTH) {
-        let mut run =
-            Run { overlay: EffectiveList::default(), seen: BTreeMap::new(), model: Model::default(), now: 100 };
+        let mut run = Run {
+            overlay: EffectiveList::default(),
+            seen: BTreeMap::new(),
+            model: Model::default(),
+            now: 100,
+        };
         history.clear();
         for _ in 0..LENGTH {
             history.push(STEPS[number % STEPS.len()]);
