--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,18 +1,18 @@
 //! The module's actor. It alone owns the [`Router`]: it drains its mailbox, makes one step of what came, and carries
 //! out the actions. It never waits for anyone but its mailbox and its wake-up, so that all may wait for it.
 
-use super::counters::{count, counted, Count};
+use super::counters::{count, counter_value, Count};
 use super::lease::Lease;
 use super::live::LiveRequest;
 use super::session_ledger::SessionLedger;
 use super::{
-    violated, Answer, Attempt, CommitExchange, Ending, Input, Listed, Members, Order, Request, Taken, Value,
-    Work, REQUEST,
+    report_violation, Answer, Attempt, AttemptEnd, CommitExchange, CoreCommand, Input, ListedMember, Members,
+    Request, SuspensionResult, Value, Work, REQUEST_LOG_TARGET,
 };
 use crate::clock::Clock;
+use crate::effective_list::EffectiveList;
 use crate::interface::*;
 use crate::knowledge::evidence::Recalled;
-use crate::overlay::Overlay;
 use crate::phases::Returning;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
@@ -67,10 +67,10 @@
     pub(super) clock: Clock,
     mailbox: mpsc::Receiver<Input>,
     /// What the operators ask, read first: a full mailbox must not hold it up.
-    pub(super) orders: mpsc::Receiver<Order>,
+    pub(super) orders: mpsc::Receiver<CoreCommand>,
     /// Answers to that, which wait until the module has taken it in.
-    pub(super) taken: Vec<(oneshot::Sender<Taken>, Taken)>,
-    pub(super) overlay: Overlay,
+    pub(super) taken: Vec<(oneshot::Sender<SuspensionResult>, SuspensionResult)>,
+    pub(super) overlay: EffectiveList,
     /// Another process of this proxy, while one lives.
     pub(super) peer_commits: Option<Box<dyn CommitExchange>>,
     live: FxHashMap<RequestId, LiveRequest>,
@@ -106,7 +106,7 @@
         settings: Settings,
         members: M,
         clock: Clock,
-        (mailbox, orders): (mpsc::Receiver<Input>, mpsc::Receiver<Order>),
+        (mailbox, orders): (mpsc::Receiver<Input>, mpsc::Receiver<CoreCommand>),
     ) -> Result<Self, SettingsError> {
         let max_attempts = settings.max_attempts as usize;
         Ok(Actor {
@@ -117,7 +117,7 @@
             mailbox,
             orders,
             taken: Vec::new(),
-            overlay: Overlay::default(),
+            overlay: EffectiveList::default(),
             peer_commits: None,
             live: FxHashMap::default(),
             names: HashSet::new(),
@@ -190,8 +190,8 @@
     }
 
     /// Members and module are told of the list alike.
-    pub(super) fn told(&mut self, kind: ListKind, entries: Vec<Listed>) -> Event {
-        self.members.list(kind, &entries);
+    pub(super) fn told(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
+        self.members.update_list(kind, &entries);
         Event::List { kind, members: entries.into_iter().map(|e| e.member).collect() }
     }
 
@@ -254,7 +254,7 @@
         reply: oneshot::Sender<Answer>,
         now: Time,
     ) -> Option<Event> {
-        let Some(need) = request.terms.classes.get(request.class).map(|c| c.need) else {
+        let Some(need) = request.class_table.classes.get(request.class).map(|c| c.need) else {
             let _ = reply.send(Answer::Failed);
             return None;
         };
@@ -287,7 +287,7 @@
             repeat: request.repeat,
         };
         log::debug!(
-            target: REQUEST, id = id.0, name:? = request.name, class = request.terms.class_name(request.class),
+            target: REQUEST_LOG_TARGET, id = id.0, name:? = request.name, class = request.class_table.class_name(request.class),
             group = request.group, wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
             "taken"
         );
@@ -296,16 +296,16 @@
         Some(event)
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ending: Ending, now: Time) -> Option<Event> {
+    fn ended(&mut self, id: RequestId, attempt: u32, ending: AttemptEnd, now: Time) -> Option<Event> {
         count(ended_count(ending.outcome));
         let member = self.live.get(&id).and_then(|live| live.member(attempt)).map_or(0, |member| member.0);
         log::debug!(
-            target: REQUEST, id = id.0, attempt, member, outcome:? = ending.outcome, us = ending.spent;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, outcome:? = ending.outcome, us = ending.spent;
             "attempt ended"
         );
         let live = self.live.get_mut(&id)?;
         live.end_attempt(attempt, ending.outcome);
-        let Ending { outcome, value, note, report, spent } = ending;
+        let AttemptEnd { outcome, value, note, report, spent } = ending;
         let note = note.map(|note| self.heard_note(note, spent, now));
         let report = report.and_then(|report| self.heard_report(report, spent, now));
         let outcome = self.usable(id, attempt, outcome, note);
@@ -333,12 +333,12 @@
             return outcome;
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
-        if counted(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
-            log::warn!(target: REQUEST, id = id.0, member; "an answer is not used: it may be older than its session");
+        if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
+            log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "an answer is not used: it may be older than its session");
         }
         count(Count::stale_caught);
         log::debug!(
-            target: REQUEST, id = id.0, attempt, member, note:?, unseen = live.unseen;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, note:?, unseen = live.unseen;
             "answer not used, as it does not prove to be recent enough"
         );
         Outcome::Stale
@@ -361,16 +361,16 @@
         // Remembered before the answer leaves: whoever has the answer may read at once.
         if let (true, Some(commit)) = (write, position) {
             for session in sessions(&live.request) {
-                self.sessions.wrote(session, commit);
+                self.sessions.record_commit(session, commit);
                 let told = self.member_clock.told(commit);
-                self.peer_commits.iter_mut().for_each(|other| other.wrote(session, told));
+                self.peer_commits.iter_mut().for_each(|other| other.record_commit(session, told));
             }
         }
         let in_time = now <= live.came + live.class().aim;
         if let (Some(value), Some(reply)) = (value, live.reply.take()) {
             count(Count::served);
             let member = live.member(attempt).map_or(0, |member| member.0);
-            log::debug!(target: REQUEST, id = id.0, attempt, member; "served");
+            log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt, member; "served");
             let commit = position.map(|local| self.member_clock.told(local));
             let _ = reply.send(Answer::Served(value, commit));
             self.returning.ended(live.came, in_time);
@@ -389,7 +389,7 @@
         let Some(live) = self.live.get_mut(&id) else { return };
         let Some(reply) = live.reply.take() else { return };
         log::debug!(
-            target: REQUEST, id = id.0, answer:? = answer, attempts = live.attempts(), out = live.out(),
+            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempts(), out = live.out(),
             may_have_run = live.may_have_run();
             "answered without a value"
         );
@@ -433,14 +433,14 @@
             Action::Refuse { id, retry_after } => {
                 let kept = self.live.get(&id).map_or(Ok(()), |live| live.progress().may_refuse());
                 if let Err(violation) = kept {
-                    violated(id, None, violation);
+                    report_violation(id, None, violation);
                     return self.answer(id, Answer::Failed);
                 }
                 self.answer(id, Answer::Refused(retry_after));
             }
             Action::Explain { id, why } => {
                 count(given_up(why));
-                log::debug!(target: REQUEST, id = id.0, why:? = why; "given up");
+                log::debug!(target: REQUEST_LOG_TARGET, id = id.0, why:? = why; "given up");
             }
             Action::Fail { id } => self.fail(id, now),
             Action::Probe { member } => {
@@ -450,7 +450,7 @@
             }
             Action::CloseIdle { member } => self.members.close_idle(member),
             Action::Follow => {
-                if !self.members.follow() {
+                if !self.members.subscribe() {
                     self.local.push_back(Event::List { kind: ListKind::Failed, members: Vec::new() });
                 }
             }
@@ -472,28 +472,28 @@
         let number = live.begin_attempt(member, now, self.router.position(member));
         let stop_at = stop_at.unwrap_or(Time::MAX).min(live.request.deadline);
         let safe = live.class().repeat == Repeat::Safe;
-        let whole = !safe && live.class().need == Need::Write;
-        let by = self.lease.as_ref().map_or(Time::MAX, Lease::until);
+        let buffer_answer = !safe && live.class().need == Need::Write;
+        let rules_until = self.lease.as_ref().map_or(Time::MAX, Lease::until);
         let attempt = Attempt {
             id,
             number,
             work: live.request.work.clone(),
             stop_at,
             safe,
-            whole,
-            by,
-            known_until: progress.known_until(),
-            recent_until: self.router.recent_until(live.request.group, member, live.class().need),
+            buffer_answer,
+            rules_until,
+            dedup_until: progress.known_until(),
+            fresh_until: self.router.recent_until(live.request.group, member, live.class().need),
             client: live.request.client.clone().filter(|_| !live.abandoned),
             client_seen: live.came,
         };
         let may = live.reply.is_some() && now < stop_at && live.attempts() <= self.max_attempts;
         if let Err(violation) = kept {
-            violated(id, Some(member), violation);
+            report_violation(id, Some(member), violation);
         }
-        if may && kept.is_ok() && self.members.attempt(member, attempt) {
+        if may && kept.is_ok() && self.members.start_attempt(member, attempt) {
             count(Count::attempts);
-            log::debug!(target: REQUEST, id = id.0, attempt = number, member = member.0; "sent");
+            log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt = number, member = member.0; "sent");
             return;
         }
         live.end_attempt(number, Outcome::Superseded);
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -1,9 +1,9 @@
 //! What the actor makes of what others have learned.
 
 use super::*;
+use crate::class_table::{ClassSlots, ClassTable};
 use crate::knowledge::{Knowledge, Known, MemberFacts};
 use crate::net::member_state::SharedMemberState;
-use crate::terms::{Slots, Terms};
 use std::net::SocketAddr;
 
 /// Members that only stand there, and what they were given.
@@ -13,7 +13,7 @@
 }
 
 impl Members for Still {
-    fn attempt(&mut self, _: MemberId, attempt: Attempt) -> bool {
+    fn start_attempt(&mut self, _: MemberId, attempt: Attempt) -> bool {
         self.attempts.push(attempt);
         true
     }
@@ -23,31 +23,31 @@
         true
     }
     fn close_idle(&mut self, _: MemberId) {}
-    fn list(&mut self, _: ListKind, _: &[Listed]) {}
-    fn times(&mut self, _: crate::settings::SocketTimes) {}
-    fn follow(&mut self) -> bool {
+    fn update_list(&mut self, _: ListKind, _: &[ListedMember]) {}
+    fn set_socket_times(&mut self, _: crate::settings::SocketTimes) {}
+    fn subscribe(&mut self) -> bool {
         true
     }
 }
 
 fn settings() -> Settings {
-    let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+    let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
     pairs.settings(1).expect("sound settings")
 }
 
-pub(super) fn listed(id: u32, start: Option<Time>) -> Listed {
+pub(super) fn listed(id: u32, start: Option<Time>) -> ListedMember {
     let (zone, group, condition) = (0, 1, Condition::In);
     let member = Member { id: MemberId(id), zone, group, condition, primary: false, up_since: start };
-    Listed { name: format!("m{id}").into(), address: SocketAddr::from(([127, 0, 0, 1], 9)), member }
+    ListedMember { name: format!("m{id}").into(), address: SocketAddr::from(([127, 0, 0, 1], 9)), member }
 }
 
 /// An actor that has heard a list of these.
-fn actor(members: Vec<Listed>) -> Actor<Still> {
+fn actor(members: Vec<ListedMember>) -> Actor<Still> {
     actor_with(settings(), members)
 }
 
 /// The same with settings of its own.
-fn actor_with(settings: Settings, members: Vec<Listed>) -> Actor<Still> {
+fn actor_with(settings: Settings, members: Vec<ListedMember>) -> Actor<Still> {
     let (clock, inbox, orders) = (Clock::start(), mpsc::channel(1).1, mpsc::channel(1).1);
     let mut actor = Actor::new(settings, Still::default(), clock, (inbox, orders)).expect("sound settings");
     let now = actor.clock.now();
@@ -110,7 +110,7 @@
             let position = actor.router.position(MemberId(1));
             assert_eq!(position, if counts { 5_000_000 } else { 0 }, "{listed_start:?} {kind:?}");
             // A stored role is never more than whom a write tries first: nobody is taken for the primary by it.
-            assert!(actor.router.learned().all(|m| m.facts.primary != Some(true)));
+            assert!(actor.router.learned_members().all(|m| m.facts.primary != Some(true)));
         }
     });
 }
@@ -125,7 +125,8 @@
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
             let event = actor.take(Input::List(kind, vec![listed(1, None)]), now).expect("an event");
             actor.step(now, &[event]);
-            let cold = actor.router.learned().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
+            let cold =
+                actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
             assert_eq!(cold, began, "{kind:?}");
         }
     });
@@ -136,7 +137,8 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = recalled(&[]);
-        all.hands.insert("m1".into(), crate::overlay::Hand { out: 1, back: None });
+        all.hands
+            .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.recall(all);
         let now = actor.clock.now();
         let event = actor.take(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
@@ -153,9 +155,9 @@
 const BOUNDED_READ: usize = 0;
 
 /// A read of the class of session reads, under these terms.
-fn session_read(terms: Arc<Terms>, deadline: Time) -> Request {
+fn session_read(class_table: Arc<ClassTable>, deadline: Time) -> Request {
     Request {
-        terms,
+        class_table,
         name: None,
         class: SESSION_READ,
         tenant: 0,
@@ -174,21 +176,21 @@
 const WINDOW: Time = 400_000;
 
 /// An actor that is to send a keyed session read to each of these, of which the first breaks the connection; and when.
-fn sent_by_turns(scope: &str, members: &[Listed]) -> (Actor<Still>, Time) {
+fn sent_by_turns(scope: &str, members: &[ListedMember]) -> (Actor<Still>, Time) {
     let mut json = linentrail_standins::proxy::settings();
     json["services"][SESSION_READ]["idempotency"] = "idempotency_key".into();
     json["services"][SESSION_READ]["group"] = scope.into();
     json["services"][SESSION_READ]["window_us"] = WINDOW.into();
-    let pairs = crate::settings::Pairs::from_json(&json);
+    let pairs = crate::settings::FlatSettings::from_json(&json);
     let settings = pairs.settings(1).expect("sound settings");
-    let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+    let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, members.to_vec());
     let (id, came) = (RequestId(1), actor.clock.now());
-    let submit = Input::Submit(id, session_read(terms, came + 1_000_000), oneshot::channel().0);
+    let submit = Input::Submit(id, session_read(class_table, came + 1_000_000), oneshot::channel().0);
     actor.take(submit, came).expect("it is taken");
     for listed in members {
         actor.act(came, Action::Send { id, member: listed.member.id, stop_at: None });
-        let ended = Ending { outcome: Outcome::Reset, value: None, note: None, report: None, spent: 1 };
+        let ended = AttemptEnd { outcome: Outcome::Reset, value: None, note: None, report: None, spent: 1 };
         actor.take(Input::Ended(id, 0, ended), came).expect("the module hears of it");
     }
     (actor, came)
@@ -198,7 +200,7 @@
 fn a_keyed_repeat_that_waits_for_its_connection_begins_behind_its_window() {
     in_runtime(|| {
         let (actor, came) = sent_by_turns("all", &[listed(1, None), listed(2, None)]);
-        let known_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.known_until).collect();
+        let known_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.dedup_until).collect();
         assert_eq!(known_until, [Time::MAX, came + WINDOW]);
     });
 }
@@ -208,7 +210,7 @@
     in_runtime(|| {
         let place = |id, zone, group| {
             let near = listed(id, None);
-            Listed { member: Member { zone, group, ..near.member.clone() }, ..near }
+            ListedMember { member: Member { zone, group, ..near.member.clone() }, ..near }
         };
         for (scope, allowed) in [("all", 3), ("zone", 2), ("cell", 2)] {
             let (other_zone, other_group) = (place(2, 1, 1), place(3, 0, 2));
@@ -222,9 +224,10 @@
 fn a_session_read_goes_by_the_position_it_carries_also_where_this_clock_is_behind() {
     in_runtime(|| {
         const MS: Time = 1_000;
-        let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+        let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
         let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
-        let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+        let class_table =
+            ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
         let mut actor = actor_with(settings, vec![listed(2, None)]);
         // Late enough that nothing waits for its turn.
         let now = actor.clock.now() + 4_000 * MS;
@@ -233,7 +236,7 @@
         actor.step(now, &[heard]);
         let (reply, mut answer) = oneshot::channel();
         let deadline = now + 1_000 * MS;
-        let read = Request { after: Some(now + 600 * MS), ..session_read(terms, deadline) };
+        let read = Request { after: Some(now + 600 * MS), ..session_read(class_table, deadline) };
         let asked = actor.take(Input::Submit(RequestId(1), read, reply), now).expect("it is taken");
         actor.step(now, &[asked]);
         for at in (now..=deadline).step_by(10 * MS as usize) {
@@ -249,10 +252,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_bounded_read_does_not_begin_once_the_position_it_was_chosen_by_is_too_old() {
     const MS: Time = 1_000;
-    let pairs = crate::settings::Pairs::from_json(&linentrail_standins::proxy::settings());
+    let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
     let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
     let Need::Bounded(age) = settings.classes[BOUNDED_READ].need else { panic!("another class") };
-    let terms = Slots::default().change(pairs.names().expect("names"), settings.classes.clone());
+    let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, vec![listed(2, None)]);
     // Late enough that nothing waits for its turn.
     tokio::time::advance(std::time::Duration::from_secs(4)).await;
@@ -261,13 +264,13 @@
     let report = Report { position: Some(position), primary: Some(false), busy: None };
     let heard = actor.take(Input::Probed(MemberId(2), Some(report), 0), now).expect("it is heard");
     actor.step(now, &[heard]);
-    let read = Request { class: BOUNDED_READ, session: None, ..session_read(terms, now + 1_000 * MS) };
+    let read = Request { class: BOUNDED_READ, session: None, ..session_read(class_table, now + 1_000 * MS) };
     let asked =
         actor.take(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("it is taken");
     actor.step(now, &[asked]);
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
-        let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect: Time::MAX };
+        let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect_timeout: Time::MAX };
         let state = SharedMemberState::new(SocketAddr::from(([127, 0, 0, 1], 9)), times);
         state.lock().gate.issue(attempt.key());
         state.begin(attempt, &actor.clock).is_ok()
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -15,15 +15,15 @@
 pub mod repeat_ledger;
 pub mod session_ledger;
 
+use crate::class_table::ClassTable;
+pub use crate::effective_list::ListedMember;
+use crate::effective_list::{SuspensionError, Suspensions};
 use crate::interface::*;
 use crate::knowledge::{Knowledge, Known};
-pub use crate::overlay::Listed;
-use crate::overlay::{Hands, No};
 use crate::phases::Progress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
-use crate::terms::Terms;
 use bytes::Bytes;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -36,14 +36,14 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// The log's target for all that becomes of single requests; `RUST_LOG=info,request=debug` shows it.
-pub const REQUEST: &str = "request";
+pub const REQUEST_LOG_TARGET: &str = "request";
 
 /// A decision would have broken a rule, and is not carried out.
-pub fn violated(id: RequestId, member: Option<MemberId>, violation: Violation) {
+pub fn report_violation(id: RequestId, member: Option<MemberId>, violation: Violation) {
     counters::count(counters::Count::violations);
     let member = member.map(|member| member.0);
     log::error!(
-        target: REQUEST, id = id.0, member:? = member, violation:? = violation;
+        target: REQUEST_LOG_TARGET, id = id.0, member:? = member, violation:? = violation;
         "a decision breaks a rule"
     );
 }
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operation {
     /// The terms that it was read under.
-    pub terms: Arc<Terms>,
+    pub class_table: Arc<ClassTable>,
     /// The request's id, as members are to know it.
     pub id: u64,
     /// Index of its class.
@@ -79,14 +79,14 @@
     pub after: Option<Position>,
     /// The client has tried before.
     pub repeat: bool,
-    /// The record's key, a [`plain_key`].
+    /// The record's key, a [`is_valid_key`].
     pub key: String,
     /// The value of a record to create; none to read it.
     pub value: Option<Bytes>,
 }
 
 /// A key as members know it: 1 to 128 visible ASCII characters, no quote and no backslash.
-pub fn plain_key(key: &str) -> bool {
+pub fn is_valid_key(key: &str) -> bool {
     (1..=128).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic() && b != b'\'' && b != b'\\')
 }
 
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The terms that it was read under, and keeps.
-    pub terms: Arc<Terms>,
+    pub class_table: Arc<ClassTable>,
     /// The name that its client gave it, where it did: no two open requests may share one.
     pub name: Option<Bytes>,
     /// Index of its class.
@@ -116,13 +116,13 @@
     /// What to do.
     pub work: Work,
     /// Whether its client is still there; none where it runs on without one.
-    pub client: Option<Weak<dyn Presence>>,
+    pub client: Option<Weak<dyn ClientConnection>>,
 }
 
 /// The other side of a client's connection.
-pub trait Presence: Send + Sync + Debug {
+pub trait ClientConnection: Send + Sync + Debug {
     /// Whether it has closed the connection, by a look that costs a call to the kernel.
-    fn gone(&self) -> bool;
+    fn is_closed(&self) -> bool;
 }
 
 /// The one column that a member answers with.
@@ -135,7 +135,7 @@
     /// The bytes; none stands for no value, or for one that flows.
     pub bytes: Option<Bytes>,
     /// A large value, whose bytes are still to come.
-    pub flow: Option<flow::Flow>,
+    pub stream: Option<flow::ValueStream>,
     /// Rows: 0 where the key is unknown.
     pub rows: u32,
 }
@@ -169,15 +169,15 @@
     /// What may have run may be sent again.
     pub safe: bool,
     /// Whoever asks again gets the same answer, so that it must be had whole before it is passed on.
-    pub whole: bool,
+    pub buffer_answer: bool,
     /// Nothing may be written to a member from then on: the rules that it was decided by no longer hold here.
-    pub by: Time,
+    pub rules_until: Time,
     /// Nothing may be written to a member from then on: it may not know the request for a repeat.
-    pub known_until: Time,
+    pub dedup_until: Time,
     /// Nothing may be written to a member from then on: what is known of its data is too old for a bounded read.
-    pub recent_until: Time,
+    pub fresh_until: Time,
     /// The request's client, where it has one that may leave.
-    pub client: Option<Weak<dyn Presence>>,
+    pub client: Option<Weak<dyn ClientConnection>>,
     /// When that was surely there.
     pub client_seen: Time,
 }
@@ -190,13 +190,13 @@
 
     /// Whether its client has closed its connection, or this process has.
     pub fn client_gone(&self) -> bool {
-        self.client.as_ref().is_some_and(|client| client.upgrade().is_none_or(|client| client.gone()))
+        self.client.as_ref().is_some_and(|client| client.upgrade().is_none_or(|client| client.is_closed()))
     }
 }
 
 /// How an attempt ended, with all that the member told.
 #[derive(Debug)]
-pub struct Ending {
+pub struct AttemptEnd {
     /// How.
     pub outcome: Outcome,
     /// Value, where served.
@@ -221,23 +221,23 @@
     /// Nobody waits for a request any more that is to run on all the same once it may have begun.
     Abandoned(RequestId),
     /// An attempt has ended.
-    Ended(RequestId, u32, Ending),
+    Ended(RequestId, u32, AttemptEnd),
     /// A probe has ended, so long after it was asked for; none: it was not answered.
     Probed(MemberId, Option<Report>, Time),
     /// Word from the member list.
-    List(ListKind, Vec<Listed>),
+    List(ListKind, Vec<ListedMember>),
 }
 
 /// What came of the operators' word on a member.
-pub type Taken = Result<(), No>;
+pub type SuspensionResult = Result<(), SuspensionError>;
 
 /// Another process of this proxy, as far as a session's commits must reach it before the client that wrote is answered.
 /// Neither call may take longer than a look at memory.
 pub trait CommitExchange: Send {
     /// A session's write went through here.
-    fn wrote(&mut self, session: &str, at: Position);
+    fn record_commit(&mut self, session: &str, at: Position);
     /// Those that went through there since the last call.
-    fn news(&mut self) -> PeerCommits;
+    fn take_received(&mut self) -> PeerCommits;
 }
 
 /// What another process of this proxy has committed.
@@ -255,52 +255,52 @@
     /// It is.
     Ready,
     /// No member is listed that requests could go to.
-    Nobody,
+    NoUsableMember,
     /// The operators' word may have been lost, and they have not said so.
-    Unconfirmed,
+    SuspensionsUnconfirmed,
 }
 
 /// What the operators ask of the core.
-pub enum Order {
+pub enum CoreCommand {
     /// Whether this process is ready to serve.
-    Ready(oneshot::Sender<Readiness>),
+    QueryReadiness(oneshot::Sender<Readiness>),
     /// What was written down before this process began; until then, without a word of the operators', it is not ready.
-    Recall(Box<Knowledge>, Time, oneshot::Sender<()>),
+    RestoreKnowledge(Box<Knowledge>, Time, oneshot::Sender<()>),
     /// The operators have said all that there is to say again; whether that was waited for.
-    Confirm(oneshot::Sender<bool>),
+    ConfirmSuspensions(oneshot::Sender<bool>),
     /// Clients are taken from now on, by a process that began at this time.
-    Serves(Time, oneshot::Sender<()>),
+    StartServing(Time, oneshot::Sender<()>),
     /// How far the way back to full service is.
-    Progress(oneshot::Sender<Progress>),
+    QueryStartup(oneshot::Sender<Progress>),
     /// The members as discovery has them.
-    Listed(oneshot::Sender<Vec<Listed>>),
+    QueryMembers(oneshot::Sender<Vec<ListedMember>>),
     /// Take a member out, by its id.
-    Suspend(Arc<str>, oneshot::Sender<Taken>),
+    Suspend(Arc<str>, oneshot::Sender<SuspensionResult>),
     /// Put it back.
-    Restore(Arc<str>, oneshot::Sender<Taken>),
+    Restore(Arc<str>, oneshot::Sender<SuspensionResult>),
     /// New settings, with the classes by slot, and times for connections.
-    Settings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
+    ApplySettings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
     /// All that the operators said so far.
-    Hands(oneshot::Sender<Hands>),
+    QuerySuspensions(oneshot::Sender<Suspensions>),
     /// That, as it was said to any process of this proxy.
-    Adopt(Hands, oneshot::Sender<()>),
+    ReplaceSuspensions(Suspensions, oneshot::Sender<()>),
     /// What was learned so far.
-    Export(oneshot::Sender<Known>),
+    ExportLearned(oneshot::Sender<Known>),
     /// Another process of this proxy lives beside this one, or no longer does.
-    Peer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
+    SetPeer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
     /// What another process of this proxy has learned.
-    Learn(Known, oneshot::Sender<()>),
+    ImportLearned(Known, oneshot::Sender<()>),
     /// The rules in force hold until then; nothing is sent after that unless told so again.
-    Lease(Time),
+    ExtendLease(Time),
     /// These members are out for the whole fleet.
-    Fleet(BTreeSet<Arc<str>>, oneshot::Sender<()>),
+    SetFleetSuspensions(BTreeSet<Arc<str>>, oneshot::Sender<()>),
 }
 
 /// The members, as the core sees them. No call may wait: the core must always get back to its mailbox, which the
 /// other side does wait for.
 pub trait Members {
     /// Starts an attempt; false if it cannot even be queued.
-    fn attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
+    fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
     /// Stops waiting for an attempt.
     fn cancel(&mut self, member: MemberId, id: RequestId, number: u32);
     /// Drops an attempt of which nothing has been written yet.
@@ -310,11 +310,11 @@
     /// Closes idle connections.
     fn close_idle(&mut self, member: MemberId);
     /// Takes in addresses.
-    fn list(&mut self, kind: ListKind, entries: &[Listed]);
+    fn update_list(&mut self, kind: ListKind, entries: &[ListedMember]);
     /// Takes new times for connections.
-    fn times(&mut self, times: SocketTimes);
+    fn set_socket_times(&mut self, times: SocketTimes);
     /// Asks for the list and its changes; false if that cannot even be queued.
-    fn follow(&mut self) -> bool;
+    fn subscribe(&mut self) -> bool;
 }
 
 /// The fronts' way into the core.
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,6 +4,7 @@
 
 use clap::Parser;
 use linentrail::check::{self, Finding};
+use linentrail::class_table::ClassSlots;
 use linentrail::cli::{self, Arguments, Command};
 use linentrail::clock::Clock;
 use linentrail::config::Sound;
@@ -12,8 +13,8 @@
 use linentrail::core::bookings::Bookings;
 use linentrail::core::counters::{self, Count};
 use linentrail::core::repeat_ids::RepeatIds;
-use linentrail::core::repeat_ledger::Load;
-use linentrail::core::{Handle, Input, Order};
+use linentrail::core::repeat_ledger::LedgerSize;
+use linentrail::core::{CoreCommand, Handle, Input};
 use linentrail::dnssd::browse::Browser;
 use linentrail::dnssd::records;
 use linentrail::handover::files::Folder;
@@ -36,8 +37,7 @@
 use linentrail::recovery::{self, Gatherer, Start};
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
-use linentrail::terms::Slots;
-use linentrail::{ask, config, fleet, logs, meter, odata, pg};
+use linentrail::{config, console_client, fleet, logs, meter, odata, pg};
 use linentrail::{ListKind, Time};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -108,7 +108,7 @@
 
 /// No ids of bookings yet. Answers that are remembered share the memory with all else.
 fn repeat_ids(odata: &Odata, memory: usize, clock: Clock) -> RepeatIds {
-    let limits = Load { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
+    let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_span, clock)
 }
 
@@ -162,9 +162,9 @@
     let Start { told, sound, stored, store, memory: votes, own } = start.await?;
     let Sound { names, settings, times } = sound;
     let zones = names.zones.clone();
-    let mut slots = Slots::default();
-    let (terms, read_under) = watch::channel(slots.change(names, settings.classes.clone()));
-    tell_classes(&slots.now());
+    let mut slots = ClassSlots::default();
+    let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
+    tell_classes(&slots.current());
     let (memory, idle) = (told.memory >> 20, times.keepalive / 1000);
     log::info!(
         "limits: {} descriptors, {memory} MiB; members close what is idle for {idle} ms",
@@ -223,8 +223,8 @@
     if file.agreement.enabled {
         if file.agreement.on_lapse == OnLapse::Refuse {
             // Before the first client comes: without a word of the voters nothing is sent.
-            control.send(Order::Lease(0)).await;
-            control.request(|reply| Order::Settings(Box::new(first), times, reply)).await;
+            control.send(CoreCommand::ExtendLease(0)).await;
+            control.request(|reply| CoreCommand::ApplySettings(Box::new(first), times, reply)).await;
         }
         let keys = file.agreement.read_keys()?;
         let (rules, ruled) = mpsc::channel(1);
@@ -252,7 +252,7 @@
         zone,
         agreed,
         slots,
-        terms,
+        class_table,
         discovery,
         control: control.clone(),
         held,
@@ -285,13 +285,13 @@
         (None, None) => {}
     }
     let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
-    control.request(|reply| Order::Serves(began, reply)).await;
+    control.request(|reply| CoreCommand::StartServing(began, reply)).await;
     let (core, pace) = (Handle::new(mailbox.clone()), ErrorPacer::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
         core: core.clone(),
-        terms: read_under.clone(),
+        class_table: read_under.clone(),
         clock,
         clients: clients.clone(),
         bytes: budget.bytes.clone(),
@@ -308,8 +308,9 @@
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
         let bookings = Bookings::new(core.clone(), clock, repeat_ids);
-        let (terms, limit) = (read_under.clone(), answer_limit.clone());
-        let front = odata::front::Front::new(core, bookings, terms, clock, (budget.clone(), pace), limit);
+        let (class_table, limit) = (read_under.clone(), answer_limit.clone());
+        let front =
+            odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_waits.take() {
             odata_address = accepting.add(listener, ODATA, &budget, odata_gate);
@@ -319,7 +320,7 @@
     let _ = phase.send(ProcessPhase::Serving);
     loop {
         tokio::select! {
-            _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::line(), meter::line())),
+            _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line())),
             _ = term.recv() => break,
             _ = int.recv() => break,
         }
@@ -334,7 +335,7 @@
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
     shutdown.run(peer_alive, file.still_coming, longest_deadline, last_writing).await;
-    cli::say(format_args!("counters: {}{}", counters::line(), meter::line()));
+    cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line()));
     Ok(())
 }
 
@@ -365,7 +366,7 @@
 }
 
 fn status(console: Option<&str>) -> ExitCode {
-    match ask::status(console) {
+    match console_client::status(console) {
         Ok(told) => {
             told.lines.iter().for_each(|line| cli::say(format_args!("{line}")));
             if told.ready {
--- a/src/net/member_actor.rs
+++ b/src/net/member_actor.rs
@@ -11,8 +11,8 @@
 use super::timeout::Timeout;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
-use crate::core::flow::Source;
-use crate::core::{Attempt, Ending, Input};
+use crate::core::flow::ChunkSender;
+use crate::core::{Attempt, AttemptEnd, Input};
 use crate::interface::*;
 use crate::policy::begin::AttemptKey;
 use crate::settings::SocketTimes;
@@ -227,7 +227,7 @@
         if outcome == Outcome::Superseded {
             count(Count::withdrawn);
         }
-        let ending = Ending { outcome, value: None, note: None, report: None, spent };
+        let ending = AttemptEnd { outcome, value: None, note: None, report: None, spent };
         let core = self.core.clone();
         tokio::spawn(async move { core.send(Input::Ended(key.0, key.1, ending)).await });
     }
@@ -244,7 +244,7 @@
         let (ready, waits) = ready.unzip();
         let (address, connect) = {
             let state = self.state.lock();
-            (state.address, state.times.connect)
+            (state.address, state.times.connect_timeout)
         };
         let timeout = Duration::from_micros(connect);
         let (wire, budget) = (self.wire.clone(), self.budget.clone());
@@ -301,12 +301,12 @@
             };
             let Exchange { mut outcome, mut value, note, report, mut value_rest, .. } = exchange;
             // The rest still comes on the connection.
-            if value_rest.is_some() && attempt.whole {
+            if value_rest.is_some() && attempt.buffer_answer {
                 (outcome, value, value_rest, link) = (Outcome::Errored, None, None, None);
             }
             let spent = clock.now().saturating_sub(since);
             let note = note.filter(|_| outcome.answered());
-            let ending = Ending { outcome, value, note, report, spent };
+            let ending = AttemptEnd { outcome, value, note, report, spent };
             let _ = core.send(Input::Ended(key.0, key.1, ending)).await;
             let link = match value_rest {
                 // The value is the client's now: neither the attempt's time nor the request's ends it, nor a cancel.
@@ -359,7 +359,7 @@
 }
 
 /// Passes a value's rest on.
-async fn pass_on<L: MemberConnection>(link: Option<L>, to: Source) -> Option<L> {
+async fn pass_on<L: MemberConnection>(link: Option<L>, to: ChunkSender) -> Option<L> {
     let mut link = link?;
     link.forward_rest(to).await.then_some(link)
 }
--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -40,7 +40,7 @@
     async fn attempt(address: SocketAddr, statement: usize, patience: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
-        let state = SharedMemberState::new(address, SocketTimes { connect: PATIENCE, keepalive: PATIENCE });
+        let state = SharedMemberState::new(address, SocketTimes { connect_timeout: PATIENCE, keepalive: PATIENCE });
         let (core, told) = mpsc::channel(8);
         let (orders, mailbox) = mpsc::channel(8);
         let wire = PgConnector::new(budget.bytes.clone());
@@ -58,10 +58,10 @@
             work: Work::Verbatim { text: Bytes::from(vec![b'x'; statement]), wait: 0..0 },
             stop_at: self.clock.now() + patience,
             safe,
-            whole: !safe,
-            by: Time::MAX,
-            known_until: Time::MAX,
-            recent_until: Time::MAX,
+            buffer_answer: !safe,
+            rules_until: Time::MAX,
+            dedup_until: Time::MAX,
+            fresh_until: Time::MAX,
             client: None,
             client_seen: self.clock.now(),
         };
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -1,7 +1,7 @@
 //! What becomes of attempts that wait at a member whose mailbox is full.
 
 use super::*;
-use crate::core::flow::Source;
+use crate::core::flow::ChunkSender;
 use crate::core::Work;
 use crate::net::member_protocol::{Confirmation, Exchange, MemberConnection, StaleInput};
 use bytes::Bytes;
@@ -54,7 +54,7 @@
         Confirmation::Reusable
     }
 
-    async fn forward_rest(&mut self, _: Source) -> bool {
+    async fn forward_rest(&mut self, _: ChunkSender) -> bool {
         false
     }
 
@@ -67,9 +67,9 @@
 /// Attempts that find room, so that the next order does not.
 const ATTEMPTS: usize = MAILBOX;
 
-fn listed(condition: Condition, port: u16) -> Listed {
+fn listed(condition: Condition, port: u16) -> ListedMember {
     let member = Member { id: MEMBER, zone: 0, group: 1, condition, primary: true, up_since: None };
-    Listed { name: "m".into(), member, address: ([127, 0, 0, 1], port).into() }
+    ListedMember { name: "m".into(), member, address: ([127, 0, 0, 1], port).into() }
 }
 
 fn attempt(n: usize, clock: &Clock) -> Attempt {
@@ -79,10 +79,10 @@
         work: Work::Verbatim { text: Bytes::from_static(b"x"), wait: 0..0 },
         stop_at: clock.now() + 60_000_000,
         safe: true,
-        whole: false,
-        by: Time::MAX,
-        known_until: Time::MAX,
-        recent_until: Time::MAX,
+        buffer_answer: false,
+        rules_until: Time::MAX,
+        dedup_until: Time::MAX,
+        fresh_until: Time::MAX,
         client: None,
         client_seen: clock.now(),
     }
@@ -96,12 +96,13 @@
         let (open, opens) = watch::channel(false);
         let wire = Held { opens, written: Arc::default(), led: Arc::default() };
         let (core, mut inputs) = mpsc::channel(8);
-        let (clock, times) = (Clock::start(), SocketTimes { connect: 30_000_000, keepalive: 30_000_000 });
+        let (clock, times) =
+            (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
         let mut fleet = MemberActors::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
-        fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
-        let sent = (0..ATTEMPTS).filter(|n| fleet.attempt(MEMBER, attempt(*n, &clock))).count();
-        assert!(!fleet.attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
+        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        let sent = (0..ATTEMPTS).filter(|n| fleet.start_attempt(MEMBER, attempt(*n, &clock))).count();
+        assert!(!fleet.start_attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
         then(&mut fleet);
         let mut outcomes = Vec::new();
         let mut opened = false;
@@ -122,7 +123,8 @@
 #[test]
 fn a_member_that_leaves_while_its_mailbox_is_full_gets_nothing_new() {
     for condition in [Condition::Draining, Condition::Out] {
-        let (outcomes, written, _) = play(|fleet| fleet.list(ListKind::Changes, &[listed(condition, 9)]));
+        let (outcomes, written, _) =
+            play(|fleet| fleet.update_list(ListKind::Changes, &[listed(condition, 9)]));
         assert_eq!(written, 0, "{condition:?}");
         assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{condition:?}");
     }
@@ -131,7 +133,7 @@
 #[test]
 fn a_member_that_moves_while_its_mailbox_is_full_gets_nothing_at_its_former_address() {
     let (outcomes, written, led) = play(|fleet| {
-        fleet.list(ListKind::Changes, &[listed(Condition::In, 10)]);
+        fleet.update_list(ListKind::Changes, &[listed(Condition::In, 10)]);
     });
     assert!(led.iter().all(|address| address.port() == 10), "{led:?}");
     assert_eq!(written, 0);
@@ -155,12 +157,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let wire = Held { opens: watch::channel(true).1, written: Arc::default(), led: Arc::default() };
-        let (clock, times) = (Clock::start(), SocketTimes { connect: 1_000_000, keepalive: 1_000_000 });
+        let (clock, times) =
+            (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
         let mut fleet = MemberActors::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
-        fleet.list(ListKind::Full, &[listed(Condition::Draining, 9)]);
-        assert!(!fleet.attempt(MEMBER, attempt(1, &clock)));
-        fleet.list(ListKind::Full, &[listed(Condition::In, 9)]);
-        assert!(fleet.attempt(MEMBER, attempt(2, &clock)));
+        fleet.update_list(ListKind::Full, &[listed(Condition::Draining, 9)]);
+        assert!(!fleet.start_attempt(MEMBER, attempt(1, &clock)));
+        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        assert!(fleet.start_attempt(MEMBER, attempt(2, &clock)));
     });
 }
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -2,6 +2,7 @@
 
 use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
 use super::session::{Conn, Session};
+use crate::class_table::ClassTable;
 use crate::clock::Clock;
 use crate::core::{Answer, Handle};
 use crate::net::answer_limit::AnswerLimit;
@@ -11,7 +12,6 @@
 use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::terms::Terms;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::future::Future;
@@ -31,7 +31,7 @@
     /// Way into the core.
     pub core: Handle,
     /// The terms under which requests are read.
-    pub terms: watch::Receiver<Arc<Terms>>,
+    pub class_table: watch::Receiver<Arc<ClassTable>>,
     /// The clock.
     pub clock: Clock,
     /// Permits for clients' connections.
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -8,7 +8,7 @@
 use super::member_codec::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use super::statement::{is_write, render};
 use crate::core::counters::{count, Count};
-use crate::core::flow::{Chunk, Flow, Source};
+use crate::core::flow::{Chunk, ChunkSender, ValueStream};
 use crate::core::{Value, Work};
 use crate::interface::*;
 use crate::meter::{self, Cost};
@@ -292,13 +292,13 @@
         }
         if let End::Begun(length) = end {
             count(Count::flows);
-            let (source, flow) = Flow::new(length);
+            let (source, flow) = ValueStream::new(length);
             let value = reply.column.as_ref().map(|c| Value {
                 binary: c.binary,
                 type_id: c.type_id,
                 rows: 1,
                 bytes: None,
-                flow: Some(flow),
+                stream: Some(flow),
             });
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
@@ -311,7 +311,7 @@
             type_id: c.type_id,
             rows: u32::from(row.is_some()),
             bytes: row.flatten(),
-            flow: None,
+            stream: None,
         });
         Exchange { outcome, value, note, report, reusable: whole && !more, value_rest: None }
     }
@@ -349,7 +349,7 @@
         }
     }
 
-    async fn forward_rest(&mut self, to: Source) -> bool {
+    async fn forward_rest(&mut self, to: ChunkSender) -> bool {
         let Some(mut reply) = self.begun.take() else { return false };
         let whole = loop {
             let read = tokio::time::timeout(FLOW_STALL, read_next(&mut self.framed, true)).await;
@@ -370,7 +370,7 @@
         release_large_buffers(&mut self.framed);
         self.framed.get_ref().assume_drained();
         if whole {
-            let _ = to.send(Chunk::Whole).await;
+            let _ = to.send(Chunk::End).await;
         } else {
             count(Count::flows_broken);
         }
