--- a/src/agreement/mod.rs
+++ b/src/agreement/mod.rs
@@ -1,5 +1,5 @@
 //! One set of rules: versions of settings and of the operators' word that all proxies of a fleet agree on, so that no two
-//! act on versions that contradict each other. None of this does I/O or holds a clock; `src/parley` carries it.
+//! act on versions that contradict each other. None of this does I/O or holds a clock; `src/agreement_io` carries it.
 //!
 //! A few proxies are voters. Each keeps, for each kind of document, the [`Standing`] that it last accepted, in ballots of
 //! the classic kind (Paxos, one register, no log and no leader): a standing is chosen when a majority of the voters has
--- a/src/parley/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -2,8 +2,8 @@
 //! way to the disk, and tells the core and the fronts what holds. It decides nothing; with no block `agreement` in the
 //! operators' file none of it is there.
 
-pub mod pull;
-pub mod told;
+pub mod fetch;
+pub mod status;
 
 use crate::agreement::document::{self, Content, Document};
 use crate::agreement::instance::{Fleet, Instance, Out};
@@ -24,7 +24,7 @@
 use crate::store::actor::Scribe;
 use crate::store::state::Finding;
 use bytes::Bytes;
-use pull::{Question, Want};
+use fetch::{Question, Want};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -93,7 +93,7 @@
 }
 
 /// What the actor is wired to.
-pub struct Wiring {
+pub struct Dependencies {
     /// The block of the operators' file.
     pub file: Agreement,
     /// Its keys.
@@ -169,8 +169,8 @@
 }
 
 /// The actor.
-pub struct Parley {
-    with: Wiring,
+pub struct AgreementActor {
+    with: Dependencies,
     instance: Instance,
     socket: Arc<UdpSocket>,
     sender: Sender,
@@ -193,13 +193,13 @@
     relearned: u64,
 }
 
-impl Parley {
+impl AgreementActor {
     /// One that speaks at the address that the file names for it; it serves other proxies from then on.
     ///
     /// # Errors
     /// When the address cannot be had.
     pub async fn start(
-        with: Wiring,
+        with: Dependencies,
         memory: Option<Memory>,
     ) -> Result<(Self, mpsc::Receiver<Question>), String> {
         let file = &with.file;
@@ -230,12 +230,12 @@
             }
         }
         let (questions, asked) = mpsc::channel(MAILBOX);
-        tokio::spawn(pull::serve(listener, with.keys.clone(), questions));
+        tokio::spawn(fetch::serve(listener, with.keys.clone(), questions));
         let (done, ends) = mpsc::channel(MAILBOX);
         let (sender, receiver) =
             (Sender::new(with.keys.clone(), file.me, now), Receiver::new(with.keys.clone(), file.me));
         log::info!("proxy {} of {} agrees with the others at {at}", file.me, file.proxies.len());
-        let parley = Parley {
+        let actor = AgreementActor {
             instance,
             socket,
             sender,
@@ -254,7 +254,7 @@
             relearned: 0,
             with,
         };
-        Ok((parley, asked))
+        Ok((actor, asked))
     }
 
     /// Runs until the core has ended.
@@ -486,7 +486,7 @@
             (self.with.keys.clone(), self.done.clone(), self.nonce, self.address(from));
         tokio::spawn(async move {
             let got = match at {
-                Some(at) => pull::get(at, &keys, want, nonce).await,
+                Some(at) => fetch::get(at, &keys, want, nonce).await,
                 None => None,
             };
             let _ = done.send(then(got)).await;
@@ -496,7 +496,7 @@
     fn ended(&mut self, kind: Kind, goal: Goal, end: End) {
         let told = match end {
             End::Chosen(accepted) => format!("{}: turn {} is chosen", kind.name(), accepted.standing.turn),
-            End::Moot(moot) => format!("{}: nothing was changed: {}", kind.name(), told::moot(&moot)),
+            End::Moot(moot) => format!("{}: nothing was changed: {}", kind.name(), status::moot(&moot)),
         };
         log::info!("{told}");
         if matches!(goal, Goal::Change { .. } | Goal::Abort(_)) {
@@ -612,7 +612,7 @@
             if self.acts.is_some_and(|acts| acts[kind.at()].holds == holds) {
                 continue;
             }
-            let shown = told::holds(&holds);
+            let shown = status::holds(&holds);
             log::info!(target: "rules", turn = turn, us = now; "{} {shown}", kind.name());
             let Holds::One(version) = holds else { continue };
             if let Some(Kept { document, .. }) = self.documents.get(&version.hash) {
@@ -707,7 +707,7 @@
         let mut out = None;
         let told = match ask {
             Ask::Status => Ok(self.status()),
-            Ask::History => Ok(told::history(&self.history)),
+            Ask::History => Ok(status::history(&self.history)),
             Ask::Propose(author, body) => self.settings(author, body),
             Ask::Hand(member, out) => self.hand(&member, out),
             Ask::Abort => self.abort(),
--- a/src/parley/told.rs
+++ b/src/agreement_io/status.rs
@@ -1,6 +1,6 @@
 //! How the fleet stands, in words and as JSON, for the console and the command line.
 
-use super::{Parley, Past};
+use super::{AgreementActor, Past};
 use crate::agreement::proposer::Moot;
 use crate::agreement::{Holds, Kind, KINDS};
 use crate::interface::Time;
@@ -46,7 +46,7 @@
     json!({"state": state, "versions": versions})
 }
 
-impl Parley {
+impl AgreementActor {
     /// How the fleet stands as seen from here, on one line.
     pub(super) fn status(&self) -> String {
         let (now, times) = (self.with.clock.now(), self.with.file.times);
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -7,12 +7,12 @@
 
 pub mod line;
 
+use crate::agreement_io::{self, Ask};
 use crate::core::counters::{count, Count};
 use crate::core::{Order, Readiness};
 use crate::handover::ControlHandle;
 use crate::net::listen::{Closing, Phase};
 use crate::net::socket::Socket;
-use crate::parley::{self, Ask};
 use crate::phases;
 use futures_util::{SinkExt, StreamExt};
 use line::{Call, Fleet, Line, Lines, Reply};
@@ -45,7 +45,7 @@
     /// The configuration was not to be read, and a stored one holds.
     stored: Arc<AtomicBool>,
     /// Where the proxies of a fleet agree.
-    fleet: Option<mpsc::Sender<parley::Call>>,
+    fleet: Option<mpsc::Sender<agreement_io::Call>>,
 }
 
 struct Caller {
@@ -60,7 +60,7 @@
         control: ControlHandle,
         phase: Closing,
         stored: Arc<AtomicBool>,
-        fleet: Option<mpsc::Sender<parley::Call>>,
+        fleet: Option<mpsc::Sender<agreement_io::Call>>,
     ) -> Self {
         Console { control, phase, stored, fleet }
     }
@@ -162,7 +162,9 @@
         let ask = match call {
             Fleet::Status => Ask::Status,
             Fleet::History => Ask::History,
-            Fleet::Propose(path, author) => Ask::Propose(author.clone(), parley::settings_of(path).await?),
+            Fleet::Propose(path, author) => {
+                Ask::Propose(author.clone(), agreement_io::settings_of(path).await?)
+            }
             Fleet::Hand(member, out) => Ask::Hand(member.clone(), *out),
             Fleet::Abort => Ask::Abort,
             Fleet::Epoch(number) => Ask::Epoch(*number),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
 #![doc = include_str!("../README.md")]
 
 pub mod agreement;
+pub mod agreement_io;
 pub mod ask;
 pub mod check;
 pub mod cli;
@@ -22,7 +23,6 @@
 pub mod odata;
 pub mod operators;
 pub mod overlay;
-pub mod parley;
 pub mod pg;
 pub mod phases;
 pub mod policy;
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,6 +3,7 @@
 #![deny(clippy::print_stdout, clippy::print_stderr)]
 
 use clap::Parser;
+use linentrail::agreement_io::{AgreementActor, Dependencies};
 use linentrail::check::{self, Finding};
 use linentrail::cli::{self, Arguments, Command};
 use linentrail::clock::Clock;
@@ -32,7 +33,6 @@
 use linentrail::net::startup::{self, ClientListener};
 use linentrail::operators::agreement::OnLapse;
 use linentrail::operators::{self, DnsSd, Odata};
-use linentrail::parley::{Parley, Wiring};
 use linentrail::recovery::{self, Gatherer, Start};
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
@@ -228,7 +228,7 @@
         let keys = file.agreement.read_keys()?;
         let (rules, ruled) = mpsc::channel(1);
         let (own, proposed) = watch::channel(own);
-        let wiring = Wiring {
+        let dependencies = Dependencies {
             file: file.agreement.clone(),
             keys,
             control: control.clone(),
@@ -241,9 +241,9 @@
             clock,
             seed,
         };
-        let (parley, asked) = Parley::start(wiring, votes).await?;
+        let (agreement, asked) = AgreementActor::start(dependencies, votes).await?;
         let (calls, called) = mpsc::channel(ORDERS);
-        tokio::spawn(parley.run(called, asked));
+        tokio::spawn(agreement.run(called, asked));
         (agreed, fleet) = (Some((ruled, own)), Some(calls));
     }
     let reload = Reload {
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,6 +1,7 @@
 //! A start that goes on from what was stored, and the gathering of what the next one goes on from: the wiring between the
 //! operators' file, the store, the configuration, the list and the core.
 
+use crate::agreement_io::Memory;
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
@@ -10,7 +11,6 @@
 use crate::knowledge::{Held, Knowledge};
 use crate::net::discovery;
 use crate::operators::{self, Broken, Fsync};
-use crate::parley::Memory;
 use crate::reload::own_settings;
 use crate::store::actor::Scribe;
 use crate::store::disk::Folder;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,6 +1,7 @@
 //! Settings at SIGHUP: the file is read and checked whole, then taken up whole or not at all.
 
 use crate::agreement::rules::Shared;
+use crate::agreement_io::Rules;
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
@@ -10,7 +11,6 @@
 use crate::knowledge::Held;
 use crate::listing::Delivery;
 use crate::net::discovery::Service;
-use crate::parley::Rules;
 use crate::settings::{Names, SocketTimes};
 use crate::terms::{Slots, Terms};
 use std::sync::atomic::{AtomicBool, Ordering};
