--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -50,7 +50,7 @@
 
 /// What the operators ask.
 #[derive(Debug)]
-pub enum Ask {
+pub enum OperatorCommand {
     /// How the fleet stands, as JSON.
     Status,
     /// The versions that were in force here, as JSON.
@@ -58,15 +58,15 @@
     /// Settings, as their JSON, by an author.
     Propose(String, String),
     /// A member out, or back, for the whole fleet.
-    Hand(String, bool),
+    SetSuspended(String, bool),
     /// Take back the change that is under way.
     Abort,
     /// Begin a new epoch, as most voters' disks are lost.
-    Epoch(u32),
+    BeginEpoch(u32),
 }
 
 /// That, and where the answer goes: what is so or was done, or why not.
-pub type Call = (Ask, oneshot::Sender<Result<String, String>>);
+pub type OperatorCall = (OperatorCommand, oneshot::Sender<Result<String, String>>);
 
 /// Settings to be taken up: what each shares, and the word once that is done.
 pub type Rules = (Box<Shared>, oneshot::Sender<()>);
@@ -258,7 +258,7 @@
     }
 
     /// Runs until the core has ended.
-    pub async fn run(mut self, mut calls: mpsc::Receiver<Call>, mut questions: mpsc::Receiver<Question>) {
+    pub async fn run(mut self, mut calls: mpsc::Receiver<OperatorCall>, mut questions: mpsc::Receiver<Question>) {
         let mut buffer = [0; 2048];
         loop {
             let now = self.with.clock.now();
@@ -703,15 +703,15 @@
         Err("no change is under way".into())
     }
 
-    fn call(&mut self, (ask, reply): Call) -> Vec<Out> {
+    fn call(&mut self, (ask, reply): OperatorCall) -> Vec<Out> {
         let mut out = None;
         let told = match ask {
-            Ask::Status => Ok(self.status()),
-            Ask::History => Ok(status::history(&self.history)),
-            Ask::Propose(author, body) => self.settings(author, body),
-            Ask::Hand(member, out) => self.hand(&member, out),
-            Ask::Abort => self.abort(),
-            Ask::Epoch(epoch) => {
+            OperatorCommand::Status => Ok(self.status()),
+            OperatorCommand::History => Ok(status::history(&self.history)),
+            OperatorCommand::Propose(author, body) => self.settings(author, body),
+            OperatorCommand::SetSuspended(member, out) => self.hand(&member, out),
+            OperatorCommand::Abort => self.abort(),
+            OperatorCommand::BeginEpoch(epoch) => {
                 out = self.instance.start_over(epoch);
                 let no = || "this proxy does not vote, or knows of that epoch or a later one".to_string();
                 out.as_ref().map(|_| format!("epoch {epoch} begins here")).ok_or_else(no)
@@ -726,7 +726,7 @@
 ///
 /// # Errors
 /// When there are none.
-pub async fn settings_of(path: &str) -> Result<String, String> {
+pub async fn read_settings_json(path: &str) -> Result<String, String> {
     let bad = |e: &dyn std::fmt::Display| format!("{path}: {e}");
     let (at, most) = (path.to_string(), document::LONGEST as u64);
     let read = move || {
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -7,7 +7,7 @@
 
 pub mod line;
 
-use crate::agreement_io::{self, Ask};
+use crate::agreement_io::{self, OperatorCommand};
 use crate::core::counters::{count, Count};
 use crate::core::{Order, Readiness};
 use crate::handover::ControlHandle;
@@ -45,7 +45,7 @@
     /// The configuration was not to be read, and a stored one holds.
     stored: Arc<AtomicBool>,
     /// Where the proxies of a fleet agree.
-    fleet: Option<mpsc::Sender<agreement_io::Call>>,
+    fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
 }
 
 struct Caller {
@@ -60,7 +60,7 @@
         control: ControlHandle,
         phase: Closing,
         stored: Arc<AtomicBool>,
-        fleet: Option<mpsc::Sender<agreement_io::Call>>,
+        fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
     ) -> Self {
         Console { control, phase, stored, fleet }
     }
@@ -160,14 +160,14 @@
 
     async fn fleet(&self, call: &Fleet) -> Result<String, String> {
         let ask = match call {
-            Fleet::Status => Ask::Status,
-            Fleet::History => Ask::History,
+            Fleet::Status => OperatorCommand::Status,
+            Fleet::History => OperatorCommand::History,
             Fleet::Propose(path, author) => {
-                Ask::Propose(author.clone(), agreement_io::settings_of(path).await?)
+                OperatorCommand::Propose(author.clone(), agreement_io::read_settings_json(path).await?)
             }
-            Fleet::Hand(member, out) => Ask::Hand(member.clone(), *out),
-            Fleet::Abort => Ask::Abort,
-            Fleet::Epoch(number) => Ask::Epoch(*number),
+            Fleet::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
+            Fleet::Abort => OperatorCommand::Abort,
+            Fleet::Epoch(number) => OperatorCommand::BeginEpoch(*number),
         };
         let fleet = self.fleet.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
         let ending = || "the process ends".to_string();
