--- a/src/agreement/document.rs
+++ b/src/agreement/document.rs
@@ -2,7 +2,7 @@
 //! names the version that it follows on and who proposed it, and is authenticated with the fleet's key: what no operator
 //! has proposed nobody acts on, whoever may have sent it.
 
-use super::rules::Shared;
+use super::rules::FleetSettings;
 use super::seal::{Bad, Keys};
 use super::{Hash, Kind, Version};
 use crate::interface::Time;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Content {
     /// Settings.
-    Settings(Box<Shared>),
+    Settings(Box<FleetSettings>),
     /// Members that are out.
     Hands(BTreeSet<Arc<str>>),
 }
@@ -93,7 +93,7 @@
         match self.kind {
             Kind::Settings => {
                 let json = serde_json::from_str(&self.body).map_err(|e| format!("settings: {e}"))?;
-                Ok(Content::Settings(Box::new(Shared::read(&json)?)))
+                Ok(Content::Settings(Box::new(FleetSettings::read(&json)?)))
             }
             Kind::Hands => {
                 let out: BTreeSet<Arc<str>> = self.body.lines().map(Arc::from).collect();
--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -14,7 +14,7 @@
 
 /// The settings that a whole fleet shares: those of a proxy but for its seed and zone.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Shared {
+pub struct FleetSettings {
     /// Names of classes, tenants and zones.
     pub names: Names,
     /// For the module, with the classes in the names' order.
@@ -56,7 +56,7 @@
     }
 }
 
-impl Shared {
+impl FleetSettings {
     /// Reads the settings' JSON.
     ///
     /// # Errors
@@ -64,13 +64,13 @@
     pub fn read(json: &Value) -> Result<Self, String> {
         let pairs = Pairs::from_json(json);
         let shared =
-            Shared { names: pairs.names()?, settings: pairs.settings(0)?, times: pairs.socket_times()? };
+            FleetSettings { names: pairs.names()?, settings: pairs.settings(0)?, times: pairs.socket_times()? };
         shared.settings.check().map_err(|e| e.to_string())?;
         let fault = shared.names.faults().next();
         if let Some(fault) = fault {
             return Err(format!("settings: {fault}"));
         }
-        Ok(Shared { settings: Settings { zone: 0, ..shared.settings }, ..shared })
+        Ok(FleetSettings { settings: Settings { zone: 0, ..shared.settings }, ..shared })
     }
 
     fn classes(&self) -> BTreeMap<&str, &Class> {
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// All fields for which there are none.
-    pub fn meet(&self, other: &Shared) -> Result<Shared, Vec<Clash>> {
+    pub fn meet(&self, other: &FleetSettings) -> Result<FleetSettings, Vec<Clash>> {
         let mut clashes = Vec::new();
         let (mine, theirs) = (self.classes(), other.classes());
         let (mut names, mut classes) = (Vec::new(), Vec::new());
@@ -148,11 +148,11 @@
             connect: self.times.connect.min(other.times.connect),
         };
         let names = Names { classes: names, tenants, zones: self.names.zones.clone() };
-        Ok(Shared { names, settings, times })
+        Ok(FleetSettings { names, settings, times })
     }
 
     /// What a change to `new` permits that was forbidden, and forbids that was permitted, field by field.
-    pub fn differences(&self, new: &Shared) -> Vec<Difference> {
+    pub fn differences(&self, new: &FleetSettings) -> Vec<Difference> {
         let mut all = Vec::new();
         let mut tell =
             |place: String, what: String, by_new: bool| all.push(Difference { place, what, by_new });
--- a/src/agreement/rules_tests.rs
+++ b/src/agreement/rules_tests.rs
@@ -31,7 +31,7 @@
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-fn permits(rules: &Shared, decision: Decision) -> bool {
+fn permits(rules: &FleetSettings, decision: Decision) -> bool {
     let class = |n: usize| rules.classes().get(NAMES[n]).copied().cloned();
     let set = &rules.settings;
     match decision {
@@ -92,7 +92,7 @@
     })
 }
 
-fn shared() -> impl Strategy<Value = Shared> {
+fn shared() -> impl Strategy<Value = FleetSettings> {
     let classes = (class(false), proptest::option::of(class(false)), proptest::option::of(class(true)));
     let behind = prop_oneof![
         Just(WhenBehind::Answers),
@@ -104,7 +104,7 @@
     (classes, limits, rules).prop_map(|((a, b, c), (attempts, instances, on, advice, when_behind), rules)| {
         let named = [Some(a), b, c].into_iter().zip(NAMES).filter_map(|(c, n)| Some((n.to_string(), c?)));
         let (names, classes): (Vec<String>, Vec<Class>) = named.unzip();
-        Shared {
+        FleetSettings {
             names: Names { classes: names, ..Names::default() },
             settings: Settings {
                 instances,
@@ -182,7 +182,7 @@
     #[test]
     fn the_differences_name_what_is_permitted_by_one_alone(a in shared(), b in shared()) {
         let told = a.differences(&b);
-        let alone = |x: &Shared, y: &Shared| decisions().into_iter().find(|d| permits(x, *d) && !permits(y, *d));
+        let alone = |x: &FleetSettings, y: &FleetSettings| decisions().into_iter().find(|d| permits(x, *d) && !permits(y, *d));
         for (by_new, found) in [(true, alone(&b, &a)), (false, alone(&a, &b))] {
             if let Some(decision) = found {
                 prop_assert!(told.iter().any(|d| d.by_new == by_new), "{:?} is not told: {:?}", decision, told);
@@ -192,7 +192,7 @@
     }
 }
 
-fn json(text: &str) -> Shared {
+fn json(text: &str) -> FleetSettings {
     let mut json = serde_json::json!({
         "discovery": "subscribe", "instances": 3, "my_zone": 1, "period_us": 5000, "zones": ["a", "b"],
         "family_info": {"needs_by_class": ["bounded", "write"], "when_behind": "refuse", "max_age_us": [3_000_000, 0],
@@ -209,7 +209,7 @@
         let (place, value) = change.split_once('=').expect("place=value");
         *json.pointer_mut(place).expect("a place") = serde_json::from_str(value).expect("a value");
     }
-    Shared::read(&json).expect("sound settings")
+    FleetSettings::read(&json).expect("sound settings")
 }
 
 #[test]
--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -9,7 +9,7 @@
 use crate::agreement::instance::{Fleet, Instance, Out};
 use crate::agreement::message::Message;
 use crate::agreement::proposer::{End, Goal};
-use crate::agreement::rules::Shared;
+use crate::agreement::rules::FleetSettings;
 use crate::agreement::seal::{Keys, Receiver, Sender};
 use crate::agreement::voter::{self, Voter, Votes};
 use crate::agreement::{Hash, Holds, Kind, Number, Standing, Version, KINDS};
@@ -69,7 +69,7 @@
 pub type OperatorCall = (OperatorCommand, oneshot::Sender<Result<String, String>>);
 
 /// Settings to be taken up: what each shares, and the word once that is done.
-pub type Rules = (Box<Shared>, oneshot::Sender<()>);
+pub type SettingsUpdate = (Box<FleetSettings>, oneshot::Sender<()>);
 
 /// Something that a task has done.
 enum Done {
@@ -103,7 +103,7 @@
     /// Lists go there.
     pub core: mpsc::Sender<Input>,
     /// Settings go there.
-    pub rules: mpsc::Sender<Rules>,
+    pub rules: mpsc::Sender<SettingsUpdate>,
     /// The way to the disk; none where this proxy does not vote.
     pub scribe: Option<Scribe>,
     /// Version of the list that is held.
@@ -550,7 +550,7 @@
             self.first(settings, hands);
             return Some(false);
         }
-        let mut shared: Option<Box<Shared>> = None;
+        let mut shared: Option<Box<FleetSettings>> = None;
         for version in settings.versions() {
             let Some(Content::Settings(one)) = self.content(version) else { return Some(false) };
             shared = Some(match shared {
@@ -668,7 +668,7 @@
     fn settings(&mut self, author: String, body: String) -> Result<String, String> {
         let (version, old) = self.base(Kind::Settings)?;
         let json = serde_json::from_str(&body).map_err(|e| e.to_string())?;
-        let new = Shared::read(&json)?;
+        let new = FleetSettings::read(&json)?;
         if let Content::Settings(old) = old {
             // Refused here, with place and reason, before anybody takes it.
             old.meet(&new)
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,7 +1,7 @@
 //! Settings at SIGHUP: the file is read and checked whole, then taken up whole or not at all.
 
-use crate::agreement::rules::Shared;
-use crate::agreement_io::Rules;
+use crate::agreement::rules::FleetSettings;
+use crate::agreement_io::SettingsUpdate;
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
@@ -46,7 +46,7 @@
     pub clock: Clock,
     /// Where the settings are agreed on with other proxies: those in force, and where what this proxy's own file says is
     /// told. Its settings are then a proposal and no more.
-    pub agreed: Option<(mpsc::Receiver<Rules>, watch::Sender<Arc<str>>)>,
+    pub agreed: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
 }
 
 impl Reload {
@@ -110,8 +110,8 @@
     }
 
     /// What all proxies act on: with this one's own zone and random numbers.
-    async fn rules(&mut self, shared: Shared) {
-        let Shared { names, settings, times } = shared;
+    async fn rules(&mut self, shared: FleetSettings) {
+        let FleetSettings { names, settings, times } = shared;
         let (seed, zone) = (self.running.seed, self.zone);
         self.hold(names, Settings { seed, zone, ..settings }, times).await;
         log::info!("settings that are agreed on hold from now on");
