--- a/src/agreement/holder.rs
+++ b/src/agreement/holder.rs
@@ -2,7 +2,7 @@
 //! them tells the same standing of the same ballot in answer to one question, that standing was chosen, and had not been
 //! followed by another when the first of them answered: not before the question was asked.
 
-use super::{majority, Accepted, Kind, Number, Standing, Times, KINDS};
+use super::{majority, Accepted, Kind, ProxyNumber, Standing, Timing, KINDS};
 use crate::interface::Time;
 use std::collections::VecDeque;
 
@@ -13,7 +13,7 @@
 struct Question {
     nonce: u64,
     at: Time,
-    told: Vec<(Number, [Accepted; 2])>,
+    told: Vec<(ProxyNumber, [Accepted; 2])>,
 }
 
 /// A standing that was seen chosen.
@@ -41,8 +41,8 @@
 /// The leases of one proxy.
 #[derive(Debug, Clone)]
 pub struct Holder {
-    voters: Vec<Number>,
-    times: Times,
+    voters: Vec<ProxyNumber>,
+    times: Timing,
     nonce: u64,
     questions: VecDeque<Question>,
     leases: [Option<Lease>; 2],
@@ -52,7 +52,7 @@
 
 impl Holder {
     /// One that holds nothing; `first` begins its nonces, which a later start must not repeat.
-    pub fn new(voters: Vec<Number>, times: Times, first: u64) -> Self {
+    pub fn new(voters: Vec<ProxyNumber>, times: Timing, first: u64) -> Self {
         Holder {
             voters,
             times,
@@ -81,7 +81,7 @@
     /// A voter answers. What that shows of each kind, where it is an answer to a question of this proxy.
     pub fn told(
         &mut self,
-        from: Number,
+        from: ProxyNumber,
         nonce: u64,
         accepted: [Accepted; 2],
         now: Time,
@@ -94,7 +94,7 @@
         question.told.push((from, accepted));
         let (at, told) = (question.at, question.told.clone());
         let seen = KINDS.map(|kind| {
-            let of = |a: &(Number, [Accepted; 2])| a.1[kind.at()];
+            let of = |a: &(ProxyNumber, [Accepted; 2])| a.1[kind.at()];
             let same = |a: &Accepted| told.iter().filter(|other| of(other) == *a).count();
             match told.iter().map(of).find(|a| same(a) >= needed) {
                 Some(accepted) => Seen::Chosen(accepted),
@@ -153,7 +153,7 @@
     use super::*;
     use crate::agreement::{Ballot, Hash, Holds, Version};
 
-    const TIMES: Times = Times { lease: 800, drift_ppm: 10_000, round: 50 };
+    const TIMES: Timing = Timing { lease: 800, drift_ppm: 10_000, round: 50 };
 
     fn accepted(round: u32, turn: u64) -> [Accepted; 2] {
         let version = Version { number: turn, hash: Hash::default() };
--- a/src/agreement/instance.rs
+++ b/src/agreement/instance.rs
@@ -5,7 +5,7 @@
 use super::message::Message;
 use super::proposer::{End, Goal, Moot, Proposer};
 use super::voter::{Said, Voter, Votes};
-use super::{Accepted, Ballot, Hash, Holds, Kind, Number, Standing, Times, KINDS};
+use super::{Accepted, Ballot, Hash, Holds, Kind, ProxyNumber, Standing, Timing, KINDS};
 use crate::interface::Time;
 use crate::policy::state::hash_fraction;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,13 +19,13 @@
 #[derive(Debug, Clone)]
 pub struct Fleet {
     /// This proxy.
-    pub me: Number,
+    pub me: ProxyNumber,
     /// The number of its start: higher than that of any start before.
     pub start: u64,
     /// Those that vote.
-    pub voters: Vec<Number>,
+    pub voters: Vec<ProxyNumber>,
     /// The times that all have alike.
-    pub times: Times,
+    pub times: Timing,
     /// Of its lots.
     pub seed: u64,
 }
@@ -34,13 +34,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Out {
     /// Say this.
-    Send(Number, Message),
+    Send(ProxyNumber, Message),
     /// Write these votes down, then call [`Instance::written`] with the number.
     Write(u64, Box<Votes>),
     /// Write these votes down, then call [`Instance::learned`].
     Relearn(Box<Votes>),
     /// Get this document from there.
-    Fetch(Number, Hash),
+    Fetch(ProxyNumber, Hash),
     /// A ballot that this proxy held is over.
     Ended(Kind, Goal, End),
 }
@@ -78,9 +78,9 @@
     documents: BTreeSet<Hash>,
     /// Versions between which there is no middle.
     clashes: BTreeSet<(Hash, Hash)>,
-    heard: BTreeMap<Number, Heard>,
+    heard: BTreeMap<ProxyNumber, Heard>,
     list: u64,
-    newest: (u64, Number),
+    newest: (u64, ProxyNumber),
 }
 
 impl Instance {
@@ -115,7 +115,7 @@
     }
 
     /// What is known of the others.
-    pub fn heard(&self) -> &BTreeMap<Number, Heard> {
+    pub fn heard(&self) -> &BTreeMap<ProxyNumber, Heard> {
         &self.heard
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Whom a ballot of this proxy waits for.
-    pub fn awaits(&self, kind: Kind) -> Vec<Number> {
+    pub fn awaits(&self, kind: Kind) -> Vec<ProxyNumber> {
         self.tasks[kind.at()].as_ref().map_or_else(Vec::new, Proposer::awaits)
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// A later version of the member list than this proxy's, and who holds it.
-    pub fn newer_list(&self) -> Option<(u64, Number)> {
+    pub fn newer_list(&self) -> Option<(u64, ProxyNumber)> {
         Some(self.newest).filter(|(version, by)| *version > self.list && *by != self.fleet.me)
     }
 
@@ -180,7 +180,7 @@
         true
     }
 
-    fn send(&mut self, to: Number, message: Message, now: Time, out: &mut Vec<Out>) {
+    fn send(&mut self, to: ProxyNumber, message: Message, now: Time, out: &mut Vec<Out>) {
         if to == self.fleet.me {
             // Its own vote needs no network, and no trust in one.
             self.take(to, message, now, out);
@@ -190,7 +190,7 @@
     }
 
     /// What another proxy says, in which of its starts.
-    pub fn hear(&mut self, from: Number, start: u64, message: Message, now: Time) -> Vec<Out> {
+    pub fn hear(&mut self, from: ProxyNumber, start: u64, message: Message, now: Time) -> Vec<Out> {
         let heard = self.heard.entry(from).or_default();
         if heard.start != start {
             *heard = Heard { start, ..Heard::default() };
@@ -201,7 +201,7 @@
         out
     }
 
-    fn take(&mut self, from: Number, message: Message, now: Time, out: &mut Vec<Out>) {
+    fn take(&mut self, from: ProxyNumber, message: Message, now: Time, out: &mut Vec<Out>) {
         match message {
             Message::Ask { nonce, list, turns } => {
                 if let Some(heard) = self.heard.get_mut(&from) {
@@ -261,7 +261,7 @@
         }
     }
 
-    fn say(&mut self, to: Number, said: Said, now: Time, out: &mut Vec<Out>) {
+    fn say(&mut self, to: ProxyNumber, said: Said, now: Time, out: &mut Vec<Out>) {
         match said {
             Said::Now(message) => self.send(to, *message, now, out),
             Said::Write(number, votes) => out.push(Out::Write(number, votes)),
@@ -271,8 +271,8 @@
 
     fn told(
         &mut self,
-        from: Number,
-        (nonce, accepted, list, clock): (u64, [Accepted; 2], (u64, Number), Time),
+        from: ProxyNumber,
+        (nonce, accepted, list, clock): (u64, [Accepted; 2], (u64, ProxyNumber), Time),
         now: Time,
         out: &mut Vec<Out>,
     ) {
@@ -317,7 +317,7 @@
     }
 
     /// A ballot of this proxy has gone on, or is over.
-    fn went(&mut self, kind: Kind, done: Result<Vec<(Number, Message)>, End>, now: Time, out: &mut Vec<Out>) {
+    fn went(&mut self, kind: Kind, done: Result<Vec<(ProxyNumber, Message)>, End>, now: Time, out: &mut Vec<Out>) {
         match done {
             Ok(say) => say.into_iter().for_each(|(to, message)| self.send(to, message, now, out)),
             Err(end) => {
@@ -398,7 +398,7 @@
         };
         if let Some((turn, since, own)) = self.changes[kind.at()] {
             let pause = if own { 0 } else { by_lot(turn) };
-            if now >= since + times.lapse() + pause {
+            if now >= since + times.max_lease() + pause {
                 self.propose(kind, Goal::Finish(turn), now);
                 return;
             }
@@ -417,7 +417,7 @@
             .iter()
             .flatten()
             .filter(|(_, _, own)| *own)
-            .map(|(_, since, _)| since + times.lapse());
+            .map(|(_, since, _)| since + times.max_lease());
         let own = own.filter(|_| self.voter.is_some() && self.tasks.iter().all(Option::is_none));
         tasks.chain(own).fold(self.asks, Time::min)
     }
@@ -425,7 +425,7 @@
 
 impl Heard {
     /// Compares its clock with this one's. An answer that took `took` was given at some time within that.
-    fn compare(&mut self, theirs: Time, mine: Time, took: Time, times: &Times) {
+    fn compare(&mut self, theirs: Time, mine: Time, took: Time, times: &Timing) {
         let Some((their_first, my_first, first_took)) = self.clocks else {
             self.clocks = Some((theirs, mine, took));
             return;
--- a/src/agreement/instance_tests.rs
+++ b/src/agreement/instance_tests.rs
@@ -6,7 +6,7 @@
 use crate::agreement::Version;
 use std::collections::BTreeMap as Map;
 
-const TIMES: Times = Times { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
+const TIMES: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
 
 /// One process of the fleet and its disk.
 struct Place {
@@ -27,13 +27,13 @@
     places: Vec<Place>,
     voters: usize,
     /// Due time, from, to, start of the sender, what.
-    under_way: Vec<(Time, Number, Number, u64, Message)>,
+    under_way: Vec<(Time, ProxyNumber, ProxyNumber, u64, Message)>,
     /// Loss, duplication in parts of 100; longest delay.
     net: (u32, u32, Time),
     /// Pairs that hear nothing of each other, one way.
-    cut: Vec<(Number, Number)>,
+    cut: Vec<(ProxyNumber, ProxyNumber)>,
     documents: BTreeSet<Hash>,
-    ended: Vec<(Number, Kind, Goal, End)>,
+    ended: Vec<(ProxyNumber, Kind, Goal, End)>,
     messages: u64,
 }
 
@@ -77,21 +77,21 @@
             ended: Vec::new(),
             messages: 0,
         };
-        (1..=all as Number).for_each(|n| world.start(n, true));
+        (1..=all as ProxyNumber).for_each(|n| world.start(n, true));
         world
     }
 
-    fn place(&mut self, n: Number) -> &mut Place {
+    fn place(&mut self, n: ProxyNumber) -> &mut Place {
         &mut self.places[n as usize - 1]
     }
 
-    fn clock(&self, n: Number) -> Time {
+    fn clock(&self, n: ProxyNumber) -> Time {
         let (rate, offset) = self.places[n as usize - 1].clock;
         offset + (u128::from(self.now) * u128::from(rate) / 1_000_000) as Time
     }
 
-    fn start(&mut self, n: Number, remembers: bool) {
-        let (voters, now) = (self.voters as Number, self.clock(n));
+    fn start(&mut self, n: ProxyNumber, remembers: bool) {
+        let (voters, now) = (self.voters as ProxyNumber, self.clock(n));
         let documents = self.documents.clone();
         let place = self.place(n);
         place.starts += 1;
@@ -115,7 +115,7 @@
         place.instance = Some(instance);
     }
 
-    fn carry(&mut self, n: Number, out: Vec<Out>) {
+    fn carry(&mut self, n: ProxyNumber, out: Vec<Out>) {
         for out in out {
             match out {
                 Out::Send(to, message) => self.send(n, to, message),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn send(&mut self, from: Number, to: Number, message: Message) {
+    fn send(&mut self, from: ProxyNumber, to: ProxyNumber, message: Message) {
         self.messages += 1;
         let (lost, twice, delay) = self.net;
         let start = self.places[from as usize - 1].starts;
@@ -145,7 +145,7 @@
     /// One millisecond.
     fn step(&mut self) {
         self.now += 1_000;
-        for n in 1..=self.places.len() as Number {
+        for n in 1..=self.places.len() as ProxyNumber {
             let (now, clock) = (self.now, self.clock(n));
             let place = self.place(n);
             if now < place.stopped || place.instance.is_none() {
@@ -188,7 +188,7 @@
     /// No two act on versions that contradict each other, whatever their clocks and whether they are stopped or not: a
     /// stopped one that goes on looks at its clock first.
     fn look(&self) {
-        let acts: Vec<(Number, [Standing; 2])> = (1..=self.places.len() as Number)
+        let acts: Vec<(ProxyNumber, [Standing; 2])> = (1..=self.places.len() as ProxyNumber)
             .filter_map(|n| {
                 let place = &self.places[n as usize - 1];
                 Some((n, place.instance.as_ref()?.holds(self.clock(n))?.0))
@@ -212,18 +212,18 @@
         }
     }
 
-    fn propose(&mut self, n: Number, kind: Kind, goal: Goal) -> bool {
+    fn propose(&mut self, n: ProxyNumber, kind: Kind, goal: Goal) -> bool {
         let clock = self.clock(n);
         self.place(n).instance.as_mut().is_some_and(|i| i.propose(kind, goal, clock))
     }
 
     /// What each acts on, where it may act on anything.
-    fn acts(&self, kind: Kind) -> Map<Number, Holds> {
-        let of = |n: Number| {
+    fn acts(&self, kind: Kind) -> Map<ProxyNumber, Holds> {
+        let of = |n: ProxyNumber| {
             let (standings, _) = self.places[n as usize - 1].instance.as_ref()?.holds(self.clock(n))?;
             Some((n, standings[kind.at()].holds))
         };
-        (1..=self.places.len() as Number).filter_map(of).collect()
+        (1..=self.places.len() as ProxyNumber).filter_map(of).collect()
     }
 
     fn all_on(&self, kind: Kind, number: u64) -> bool {
@@ -240,16 +240,16 @@
         let mut world = World::new(3, all, voters);
         world.run(300_000);
         assert!(world.propose(1, S, change(1)) && world.propose(1, Kind::Hands, change(1)));
-        world.run(TIMES.bound());
+        world.run(TIMES.change_bound());
         assert!(world.all_on(S, 1) && world.all_on(Kind::Hands, 1), "{:?}", world.acts(S));
-        let last = all as Number;
+        let last = all as ProxyNumber;
         assert!(world.propose(last, S, change(2)));
         world.run(200_000);
         assert!(
             world.acts(S).values().any(|h| matches!(h, Holds::Between { .. })),
             "all go through the middle"
         );
-        world.run(TIMES.bound() + 5 * TIMES.round);
+        world.run(TIMES.change_bound() + 5 * TIMES.round);
         assert!(world.all_on(S, 2) && world.all_on(Kind::Hands, 1), "{all}: {:?}", world.acts(S));
     }
 }
@@ -283,7 +283,7 @@
     world.run(2_000_000);
     assert_eq!(world.acts(S).into_keys().collect::<Vec<_>>(), [3, 4, 5]);
     world.propose(4, S, change(2));
-    world.run(TIMES.bound() + 500_000);
+    world.run(TIMES.change_bound() + 500_000);
     assert!(world.acts(S).values().all(|h| *h == Holds::One(version(2))));
     assert_eq!(world.acts(S).len(), 3);
     world.cut.clear();
@@ -314,8 +314,8 @@
     world.propose(1, Kind::Hands, change(1));
     world.run(2_000_000);
     for number in 2..8 {
-        let n = (number % 5 + 1) as Number;
-        world.propose(((number + 2) % 5 + 1) as Number, S, change(number));
+        let n = (number % 5 + 1) as ProxyNumber;
+        world.propose(((number + 2) % 5 + 1) as ProxyNumber, S, change(number));
         world.run(number * 13_000);
         world.start(n, false);
         world.run(4_000_000);
@@ -356,7 +356,7 @@
     }
     world.place(2).clock.0 = 1_060_000;
     world.run(4_000_000);
-    let drifts = |world: &World, n: usize| -> Vec<Number> {
+    let drifts = |world: &World, n: usize| -> Vec<ProxyNumber> {
         let heard = world.places[n - 1].instance.as_ref().map(|i| i.heard().clone()).unwrap_or_default();
         heard.into_iter().filter(|(_, h)| h.drifts).map(|(n, _)| n).collect()
     };
@@ -392,7 +392,7 @@
     for n in 1..=300u32 {
         let parent = if n == 1 { Hash::default() } else { many(n - 1).hash };
         // The one before may still wait for the last answers to a ballot of its own.
-        while !world.propose((n % 3 + 1) as Number, S, Goal::Change { to: many(n), parent }) {
+        while !world.propose((n % 3 + 1) as ProxyNumber, S, Goal::Change { to: many(n), parent }) {
             world.run(10_000);
         }
         if n == 1 {
@@ -424,7 +424,7 @@
     for seed in 0..40 {
         let voters = [3, 5][seed as usize % 2];
         let mut world = World::new(seed, voters + seed as usize % 3, voters);
-        let all = world.places.len() as Number;
+        let all = world.places.len() as ProxyNumber;
         world.propose(1, S, change(1));
         world.propose(1, Kind::Hands, change(1));
         world.run(1_500_000);
@@ -447,7 +447,7 @@
                 }
                 3 => {
                     let part = world.rng.u16(1..=all);
-                    let apart = |a: &Number, b: &Number| (*a <= part) != (*b <= part);
+                    let apart = |a: &ProxyNumber, b: &ProxyNumber| (*a <= part) != (*b <= part);
                     let pairs = (1..=all).flat_map(|a| (1..=all).map(move |b| (a, b)));
                     world.cut = pairs.filter(|(a, b)| apart(a, b)).collect();
                     "split"
--- a/src/agreement/message.rs
+++ b/src/agreement/message.rs
@@ -2,7 +2,7 @@
 //! answer answers nothing.
 
 use super::seal::Bad;
-use super::{Accepted, Ballot, Hash, Kind, Number, Standing};
+use super::{Accepted, Ballot, Hash, Kind, ProxyNumber, Standing};
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
 
@@ -30,7 +30,7 @@
         /// By kind.
         accepted: [Accepted; 2],
         /// The highest version of the member list that it has heard of, and who holds that.
-        list: (u64, Number),
+        list: (u64, ProxyNumber),
         /// The voter's clock, in us: two clocks that run apart by more than is allowed must be found.
         clock: Time,
     },
@@ -123,12 +123,12 @@
     fn the_longest_message_fits_a_datagram_and_comes_back_as_it_was() {
         let version = Version { number: u64::MAX, hash: Hash([255; 32]) };
         let standing = Standing { turn: u64::MAX, holds: Holds::Between { from: version, to: version } };
-        let ballot = Ballot { epoch: u32::MAX, round: u32::MAX, by: Number::MAX, start: u64::MAX };
+        let ballot = Ballot { epoch: u32::MAX, round: u32::MAX, by: ProxyNumber::MAX, start: u64::MAX };
         let accepted = Accepted { ballot, standing };
         let long = Message::Told {
             nonce: u64::MAX,
             accepted: [accepted; 2],
-            list: (u64::MAX, Number::MAX),
+            list: (u64::MAX, ProxyNumber::MAX),
             clock: Time::MAX,
         };
         let bytes = long.write();
--- a/src/agreement/mod.rs
+++ b/src/agreement/mod.rs
@@ -25,12 +25,12 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of a proxy in its fleet, as the operators' file names it.
-pub type Number = u16;
+pub type ProxyNumber = u16;
 
 /// Most proxies of a fleet, and most voters among them.
 pub const FLEET_MAX: usize = 4_096;
 /// See [`FLEET_MAX`].
-pub const VOTERS_MOST: usize = 9;
+pub const VOTERS_MAX: usize = 9;
 
 /// What is agreed on, each by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
     /// Its round.
     pub round: u32,
     /// Whose it is ...
-    pub by: Number,
+    pub by: ProxyNumber,
     /// ... in which of its starts: whoever begins anew does not know which rounds it has had.
     pub start: u64,
 }
@@ -166,7 +166,7 @@
 
 /// The times that all of a fleet must have alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Times {
+pub struct Timing {
     /// How long a lease lasts, in us.
     pub lease: Time,
     /// By how much two clocks may run apart, in parts of a million.
@@ -175,9 +175,9 @@
     pub round: Time,
 }
 
-impl Times {
+impl Timing {
     /// How long whoever has seen a standing chosen waits until no lease on one before it lasts anywhere.
-    pub fn lapse(&self) -> Time {
+    pub fn max_lease(&self) -> Time {
         self.lease + self.drift(self.lease)
     }
 
@@ -199,8 +199,8 @@
     /// T: the longest time from the operators' word until the new version is in force wherever the voters can be reached,
     /// in us, where nothing fails: two ballots of two rounds each, the lapse of all leases between them, and the question
     /// by which the last one hears of it. After a fault it counts from the end of the fault, and a lease more.
-    pub fn bound(&self) -> Time {
-        4 * self.round + self.lapse() + self.asks() + self.round
+    pub fn change_bound(&self) -> Time {
+        4 * self.round + self.max_lease() + self.asks() + self.round
     }
 }
 
--- a/src/agreement/proposer.rs
+++ b/src/agreement/proposer.rs
@@ -3,7 +3,7 @@
 //! the pauses that they draw by lot.
 
 use super::message::Message;
-use super::{majority, Accepted, Ballot, Hash, Holds, Kind, Number, Standing, Times, Version};
+use super::{majority, Accepted, Ballot, Hash, Holds, Kind, ProxyNumber, Standing, Timing, Version};
 use crate::interface::Time;
 use crate::policy::state::hash_fraction;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,8 +73,8 @@
 enum Phase {
     /// Until then nothing is done.
     Pause(Time),
-    Prepare(BTreeMap<Number, Accepted>),
-    Accept(Standing, BTreeSet<Number>),
+    Prepare(BTreeMap<ProxyNumber, Accepted>),
+    Accept(Standing, BTreeSet<ProxyNumber>),
 }
 
 /// How a goal ends.
@@ -87,15 +87,15 @@
 }
 
 /// What is to be said: to one, or to all voters that have not answered yet.
-pub type Say = Vec<(Number, Message)>;
+pub type Say = Vec<(ProxyNumber, Message)>;
 
 /// One that proposes, for one goal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Proposer {
     kind: Kind,
-    me: Number,
+    me: ProxyNumber,
     start: u64,
-    voters: Vec<Number>,
+    voters: Vec<ProxyNumber>,
     goal: Goal,
     ballot: Ballot,
     phase: Phase,
@@ -112,8 +112,8 @@
     /// One that begins at its first look at the clock; `highest` is the highest ballot that this start of the proxy has
     /// heard of or had itself, and after `until` it gives up.
     pub fn new(
-        (kind, me, start): (Kind, Number, u64),
-        voters: Vec<Number>,
+        (kind, me, start): (Kind, ProxyNumber, u64),
+        voters: Vec<ProxyNumber>,
         goal: Goal,
         highest: Ballot,
         (now, until): (Time, Time),
@@ -145,8 +145,8 @@
     }
 
     /// Voters that have not answered in this phase: whom it waits for.
-    pub fn awaits(&self) -> Vec<Number> {
-        let answered = |voter: &Number| match &self.phase {
+    pub fn awaits(&self) -> Vec<ProxyNumber> {
+        let answered = |voter: &ProxyNumber| match &self.phase {
             Phase::Pause(_) => false,
             Phase::Prepare(promised) => promised.contains_key(voter),
             Phase::Accept(_, accepted) => accepted.contains(voter),
@@ -170,7 +170,7 @@
     }
 
     /// The ballot comes to nothing: another one, after a pause by lot that grows with the tries.
-    fn again(&mut self, now: Time, times: &Times) {
+    fn again(&mut self, now: Time, times: &Timing) {
         self.tries += 1;
         let most = times.round * self.tries.min(8);
         let pause = (most as f64 * hash_fraction(u64::from(self.me), now, self.tries)) as Time;
@@ -178,7 +178,7 @@
     }
 
     /// Looks at the clock: what to say, or how it ends.
-    pub fn tick(&mut self, now: Time, times: &Times) -> Result<Say, End> {
+    pub fn tick(&mut self, now: Time, times: &Timing) -> Result<Say, End> {
         if now >= self.until {
             return Err(End::Moot(Moot::Unreached));
         }
@@ -201,7 +201,7 @@
     }
 
     /// When it wants to look at the clock next.
-    pub fn wakes(&self, times: &Times) -> Time {
+    pub fn wakes(&self, times: &Timing) -> Time {
         match self.phase {
             Phase::Pause(at) => at.min(self.until),
             _ => (self.said + times.round).min(self.began + times.ballot()).min(self.until),
@@ -209,7 +209,7 @@
     }
 
     /// A voter answers: what to say, or how it ends.
-    pub fn hear(&mut self, from: Number, message: &Message, now: Time, times: &Times) -> Result<Say, End> {
+    pub fn hear(&mut self, from: ProxyNumber, message: &Message, now: Time, times: &Timing) -> Result<Say, End> {
         if !self.voters.contains(&from) || now >= self.began + times.ballot() {
             return Ok(Vec::new());
         }
@@ -254,7 +254,7 @@
     use crate::agreement::voter::{Said, Voter, Votes};
 
     const KIND: Kind = Kind::Settings;
-    const TIMES: Times = Times { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
+    const TIMES: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
 
     fn version(number: u64) -> Version {
         Version { number, hash: Hash([number as u8; 32]) }
@@ -264,7 +264,7 @@
         Goal::Change { to: version(number), parent: Hash([number as u8 - 1; 32]) }
     }
 
-    fn proposer(me: Number, goal: Goal, now: Time) -> Proposer {
+    fn proposer(me: ProxyNumber, goal: Goal, now: Time) -> Proposer {
         use std::sync::atomic::{AtomicU64, Ordering};
         // Each is of another start: no two ballots are the same.
         static START: AtomicU64 = AtomicU64::new(1);
@@ -280,7 +280,7 @@
             Three((0..3).map(|_| Voter::new(Votes::default())).collect())
         }
 
-        fn answer(&mut self, me: Number, to: Number, message: &Message) -> Option<Message> {
+        fn answer(&mut self, me: ProxyNumber, to: ProxyNumber, message: &Message) -> Option<Message> {
             let voter = &mut self.0[to as usize - 1];
             let said = match message {
                 Message::Prepare { kind, ballot } => voter.prepare(me, *kind, *ballot),
@@ -295,7 +295,7 @@
         }
 
         /// Plays a proposer to its end, with voters that never hear anything.
-        fn play(&mut self, proposer: &mut Proposer, deaf: &[Number], mut now: Time) -> (End, Time) {
+        fn play(&mut self, proposer: &mut Proposer, deaf: &[ProxyNumber], mut now: Time) -> (End, Time) {
             loop {
                 let mut say = match proposer.tick(now, &TIMES) {
                     Ok(say) => say,
@@ -366,7 +366,7 @@
         }
         let (to, accept) = accepts.first().expect("it asks").clone();
         three.answer(2, to, &accept);
-        let others: Vec<Number> = (1..=3).filter(|n| *n != to).collect();
+        let others: Vec<ProxyNumber> = (1..=3).filter(|n| *n != to).collect();
         let repaired = chosen(three.play(&mut proposer(3, Goal::Repair, 0), &others[..1], 0).0);
         assert_eq!(repaired.holds, Holds::Between { from: version(1), to: version(2) });
     }
--- a/src/agreement/seal.rs
+++ b/src/agreement/seal.rs
@@ -5,13 +5,13 @@
 //! is what comes from a former start. A receiver that has itself just started knows of no former starts: what it is then
 //! told of the past can only be a question, which harms nobody, or an answer to a question that it has not asked.
 
-use super::Number;
+use super::ProxyNumber;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::collections::HashMap;
 
 /// Shortest key, in bytes.
-pub const KEY_LEAST: usize = 16;
+pub const KEY_BYTES_MIN: usize = 16;
 /// Length of the code that authenticates, in bytes.
 const CODE: usize = 32;
 /// Numbers behind the highest that may still come once.
@@ -55,8 +55,8 @@
             return Err("there must be a key".to_string());
         }
         for (n, (id, key)) in keys.iter().enumerate() {
-            if key.len() < KEY_LEAST {
-                return Err(format!("key {id} has {} bytes, {KEY_LEAST} are the least", key.len()));
+            if key.len() < KEY_BYTES_MIN {
+                return Err(format!("key {id} has {} bytes, {KEY_BYTES_MIN} are the least", key.len()));
             }
             if keys[..n].iter().any(|(other, _)| other == id) {
                 return Err(format!("two keys have the id {id}"));
@@ -98,19 +98,19 @@
 #[derive(Debug)]
 pub struct Sender {
     keys: Keys,
-    me: Number,
+    me: ProxyNumber,
     start: u64,
     sent: u64,
 }
 
 impl Sender {
     /// For a proxy, and the number of its start: higher than that of any before it.
-    pub fn new(keys: Keys, me: Number, start: u64) -> Self {
+    pub fn new(keys: Keys, me: ProxyNumber, start: u64) -> Self {
         Sender { keys, me, start, sent: 0 }
     }
 
     /// The datagram that carries this to `to`.
-    pub fn seal(&mut self, to: Number, payload: &[u8]) -> Vec<u8> {
+    pub fn seal(&mut self, to: ProxyNumber, payload: &[u8]) -> Vec<u8> {
         self.sent += 1;
         let mut datagram = Vec::with_capacity(HEAD + payload.len() + CODE);
         datagram.extend(self.me.to_le_bytes());
@@ -160,13 +160,13 @@
 #[derive(Debug)]
 pub struct Receiver {
     keys: Keys,
-    me: Number,
-    seen: HashMap<Number, Seen>,
+    me: ProxyNumber,
+    seen: HashMap<ProxyNumber, Seen>,
 }
 
 impl Receiver {
     /// For a proxy.
-    pub fn new(keys: Keys, me: Number) -> Self {
+    pub fn new(keys: Keys, me: ProxyNumber) -> Self {
         Receiver { keys, me, seen: HashMap::new() }
     }
 
@@ -177,12 +177,12 @@
     pub fn open<'d>(
         &mut self,
         datagram: &'d [u8],
-        known: impl Fn(Number) -> bool,
-    ) -> Result<(Number, u64, &'d [u8]), Bad> {
+        known: impl Fn(ProxyNumber) -> bool,
+    ) -> Result<(ProxyNumber, u64, &'d [u8]), Bad> {
         let end = datagram.len().checked_sub(CODE).filter(|end| *end >= HEAD).ok_or(Bad::Short)?;
         let (told, code) = datagram.split_at(end);
         let word = |at: usize| told[at..at + 8].try_into().map(u64::from_le_bytes).map_err(|_| Bad::Short);
-        let (from, start, number) = (Number::from_le_bytes([told[0], told[1]]), word(2)?, word(10)?);
+        let (from, start, number) = (ProxyNumber::from_le_bytes([told[0], told[1]]), word(2)?, word(10)?);
         let signed = [told, &self.me.to_le_bytes()].concat();
         self.keys.check(DATAGRAM, &signed, (told[HEAD - 1], code))?;
         if !known(from) {
@@ -199,7 +199,7 @@
     use super::*;
 
     fn keys(ids: &[u8]) -> Keys {
-        Keys::new(ids.iter().map(|id| (*id, vec![*id; KEY_LEAST])).collect()).expect("sound keys")
+        Keys::new(ids.iter().map(|id| (*id, vec![*id; KEY_BYTES_MIN])).collect()).expect("sound keys")
     }
 
     #[test]
@@ -263,7 +263,7 @@
     #[test]
     fn keys_that_are_short_or_named_twice_are_refused_and_never_shown() {
         assert!(Keys::new(vec![]).is_err());
-        assert!(Keys::new(vec![(1, vec![0; KEY_LEAST - 1])]).is_err());
+        assert!(Keys::new(vec![(1, vec![0; KEY_BYTES_MIN - 1])]).is_err());
         assert!(Keys::new(vec![(1, vec![0; 32]), (1, vec![1; 32])]).is_err());
         assert_eq!(format!("{:?}", keys(&[4, 200])), "[4, 200]");
     }
--- a/src/agreement/voter.rs
+++ b/src/agreement/voter.rs
@@ -7,7 +7,7 @@
 //! proposer by a time limit, and is not taken up again.
 
 use super::message::Message;
-use super::{majority, Accepted, Ballot, Kind, Number, Standing, Times};
+use super::{majority, Accepted, Ballot, Kind, ProxyNumber, Standing, Timing};
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -41,7 +41,7 @@
 struct Waiting {
     number: u64,
     votes: Votes,
-    to: Number,
+    to: ProxyNumber,
     say: Message,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Forgot {
     since: Time,
-    others: BTreeMap<Number, [Accepted; 2]>,
+    others: BTreeMap<ProxyNumber, [Accepted; 2]>,
     /// Enough have told, and what follows is being written.
     writing: bool,
 }
@@ -104,7 +104,7 @@
         self.votes[kind.at()].promised
     }
 
-    fn later(&mut self, to: Number, say: Message) -> Said {
+    fn later(&mut self, to: ProxyNumber, say: Message) -> Said {
         if self.waiting.len() >= WAITING_MOST {
             // The disk does not answer. Who asked asks again.
             return Said::Nothing;
@@ -115,7 +115,7 @@
     }
 
     /// The votes of this number, and of all before it, are on the disk: what may be said now, and to whom.
-    pub fn written(&mut self, number: u64) -> Vec<(Number, Message)> {
+    pub fn written(&mut self, number: u64) -> Vec<(ProxyNumber, Message)> {
         let mut say = Vec::new();
         while self.waiting.front().is_some_and(|w| w.number <= number) {
             let Some(waiting) = self.waiting.pop_front() else { break };
@@ -126,7 +126,7 @@
     }
 
     /// Whether it will accept nothing below this ballot.
-    pub fn prepare(&mut self, from: Number, kind: Kind, ballot: Ballot) -> Said {
+    pub fn prepare(&mut self, from: ProxyNumber, kind: Kind, ballot: Ballot) -> Said {
         if !self.remembers() {
             return Said::Nothing;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Whether it accepts this.
-    pub fn accept(&mut self, from: Number, kind: Kind, ballot: Ballot, standing: Standing) -> Said {
+    pub fn accept(&mut self, from: ProxyNumber, kind: Kind, ballot: Ballot, standing: Standing) -> Said {
         if !self.remembers() {
             return Said::Nothing;
         }
@@ -162,9 +162,9 @@
     /// before is over, this one votes again, of `voters` in all: whether that is now, and what must be written first.
     pub fn learn(
         &mut self,
-        from: Number,
+        from: ProxyNumber,
         accepted: [Accepted; 2],
-        (voters, times, now): (usize, &Times, Time),
+        (voters, times, now): (usize, &Timing, Time),
     ) -> Option<Votes> {
         let forgot = self.forgot.as_mut().filter(|f| !f.writing)?;
         forgot.others.insert(from, accepted);
@@ -212,7 +212,7 @@
     use crate::agreement::{Hash, Holds, Version};
 
     const KIND: Kind = Kind::Settings;
-    const TIMES: Times = Times { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
+    const TIMES: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
 
     fn ballot(round: u32) -> Ballot {
         Ballot { epoch: 0, round, by: 1, start: 1 }
--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -12,7 +12,7 @@
 use crate::agreement::rules::FleetSettings;
 use crate::agreement::seal::{Keys, Receiver, Sender};
 use crate::agreement::voter::{self, Voter, Votes};
-use crate::agreement::{Hash, Holds, Kind, Number, Standing, Version, KINDS};
+use crate::agreement::{Hash, Holds, Kind, ProxyNumber, Standing, Version, KINDS};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, Order};
@@ -470,14 +470,14 @@
         }
     }
 
-    fn address(&self, of: Number) -> Option<std::net::SocketAddr> {
+    fn address(&self, of: ProxyNumber) -> Option<std::net::SocketAddr> {
         self.with.file.proxies.get(&of).copied()
     }
 
     /// Gets something from another proxy, in a task of its own.
     fn pull(
         &mut self,
-        from: Number,
+        from: ProxyNumber,
         want: Want,
         then: impl FnOnce(Option<Vec<u8>>) -> Done + Send + 'static,
     ) {
--- a/src/agreement_io/status.rs
+++ b/src/agreement_io/status.rs
@@ -71,7 +71,7 @@
                 "forgot": heard.forgot, "drifts": heard.drifts})
         };
         let mut told = json!({
-            "me": self.with.file.me, "lease_ms": lease, "bound_ms": times.bound() / 1000, "last": self.last,
+            "me": self.with.file.me, "lease_ms": lease, "bound_ms": times.change_bound() / 1000, "last": self.last,
             "acts_on": turns, "votes": self.instance.votes(),
             "proxies": self.with.file.proxies.keys().map(proxy).collect::<Vec<_>>(),
         });
--- a/src/check.rs
+++ b/src/check.rs
@@ -81,7 +81,7 @@
             let agreement = match file.agreement.enabled {
                 true => {
                     let (times, voters) = (file.agreement.times, file.agreement.voters.len());
-                    let (bound, lapse) = (times.bound() / 1000, times.lapse() / 1000);
+                    let (bound, lapse) = (times.change_bound() / 1000, times.max_lease() / 1000);
                     format!("on, {voters} voters; a change takes at most {bound} ms, a cut-off proxy sends {lapse} ms more")
                 }
                 false => "off".to_string(),
--- a/src/operators/agreement.rs
+++ b/src/operators/agreement.rs
@@ -2,8 +2,8 @@
 //! speak, and the times that all must have alike.
 
 use super::hcl::Reader;
-use crate::agreement::seal::{Keys, KEY_LEAST};
-use crate::agreement::{Number, Times, FLEET_MAX, VOTERS_MOST};
+use crate::agreement::seal::{Keys, KEY_BYTES_MIN};
+use crate::agreement::{ProxyNumber, Timing, FLEET_MAX, VOTERS_MAX};
 use hcl_edit::expr::Expression;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,15 +24,15 @@
     /// Whether this proxy takes part.
     pub enabled: bool,
     /// Its number.
-    pub me: Number,
+    pub me: ProxyNumber,
     /// All proxies, by number, and where each is spoken to (UDP, and TCP for what does not fit).
-    pub proxies: BTreeMap<Number, SocketAddr>,
+    pub proxies: BTreeMap<ProxyNumber, SocketAddr>,
     /// Those that vote.
-    pub voters: Vec<Number>,
+    pub voters: Vec<ProxyNumber>,
     /// Ids of keys and the files that hold them; the first one signs.
     pub keys: Vec<(u8, PathBuf)>,
     /// The times that all have alike.
-    pub times: Times,
+    pub times: Timing,
     /// What becomes of requests without a lease.
     pub on_lapse: OnLapse,
     /// Whether a later member list is taken from another proxy, where discovery has not told it here.
@@ -49,8 +49,8 @@
             let bad = |why: String| format!("agreement.keys: {}: {why}", path.display());
             let bytes = std::fs::read(path).map_err(|e| bad(e.to_string()))?;
             let key = bytes.trim_ascii().to_vec();
-            if key.len() < KEY_LEAST {
-                return Err(bad(format!("a key has {KEY_LEAST} bytes at least")));
+            if key.len() < KEY_BYTES_MIN {
+                return Err(bad(format!("a key has {KEY_BYTES_MIN} bytes at least")));
             }
             Ok((*id, key))
         };
@@ -75,17 +75,17 @@
 pub fn read(file: &mut Reader, stores: bool) -> Agreement {
     let mut block = file.block("agreement");
     let enabled = block.flag("enabled");
-    let me = block.number("me", 0, 1..=u64::from(Number::MAX)) as Number;
+    let me = block.number("me", 0, 1..=u64::from(ProxyNumber::MAX)) as ProxyNumber;
     let what = "a list of \"NUMBER ADDRESS:PORT\" on this machine, each number once";
-    let proxies: BTreeMap<Number, SocketAddr> = block.read("proxies", BTreeMap::new(), what, |e| {
+    let proxies: BTreeMap<ProxyNumber, SocketAddr> = block.read("proxies", BTreeMap::new(), what, |e| {
         let address = |text: &str| text.parse().ok().filter(|a: &SocketAddr| a.ip().is_loopback());
-        let all: Vec<(Number, SocketAddr)> = numbered(e, address)?;
+        let all: Vec<(ProxyNumber, SocketAddr)> = numbered(e, address)?;
         let (count, map) = (all.len(), all.into_iter().collect::<BTreeMap<_, _>>());
         (map.len() == count && count <= FLEET_MAX).then_some(map)
     });
     let what = "a list of proxies' numbers";
-    let voters: Vec<Number> = block.read("voters", Vec::new(), what, |e| {
-        let number = |e: &Expression| Number::try_from(e.as_number()?.as_u64()?).ok();
+    let voters: Vec<ProxyNumber> = block.read("voters", Vec::new(), what, |e| {
+        let number = |e: &Expression| ProxyNumber::try_from(e.as_number()?.as_u64()?).ok();
         e.as_array()?.iter().map(number).collect()
     });
     let what = "a list of \"ID /PATH/OF/THE/KEY\", with one at least";
@@ -93,7 +93,7 @@
         numbered(e, |path| Some(PathBuf::from(path)).filter(|p| p.is_absolute()))
             .filter(|keys| !keys.is_empty())
     });
-    let times = Times {
+    let times = Timing {
         lease: block.number("lease_ms", 800, 100..=60_000) * 1000,
         drift_ppm: block.number("drift_ppm", 10_000, 0..=200_000),
         round: block.number("round_ms", 50, 5..=5_000) * 1000,
@@ -119,11 +119,11 @@
         let twice = voters.iter().enumerate().any(|(n, v)| voters[..n].contains(v));
         let unknown = voters.iter().any(|v| !proxies.contains_key(v));
         let what = format!(
-            "must name 1 to {VOTERS_MOST} of agreement.proxies, each once, and an odd number of them"
+            "must name 1 to {VOTERS_MAX} of agreement.proxies, each once, and an odd number of them"
         );
         wrong(
             "voters",
-            voting && (twice || unknown || voters.len() > VOTERS_MOST || voters.len().is_multiple_of(2)),
+            voting && (twice || unknown || voters.len() > VOTERS_MAX || voters.len().is_multiple_of(2)),
             what,
         );
         wrong("keys", keyless, "must name a key".into());
@@ -154,7 +154,7 @@
         assert_eq!((block.me, block.voters.len(), block.proxies.len()), (2, 3, 3));
         assert_eq!(block.on_lapse, OnLapse::Refuse);
         // Printed by `check`: with the defaults no more than 2 s.
-        assert!(block.times.bound() <= 2_000_000, "{}", block.times.bound());
+        assert!(block.times.change_bound() <= 2_000_000, "{}", block.times.change_bound());
     }
 
     #[test]
--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -9,15 +9,15 @@
 use linentrail::agreement::proposer::{End, Goal, Proposer};
 use linentrail::agreement::voter::{Said, Voter, Votes};
 use linentrail::agreement::{
-    majority, Accepted, Ballot, Hash, Holds, Kind, Number, Standing, Times, Version,
+    majority, Accepted, Ballot, Hash, Holds, Kind, ProxyNumber, Standing, Timing, Version,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 const KIND: Kind = Kind::Settings;
-const VOTERS: [Number; 3] = [1, 2, 3];
+const VOTERS: [ProxyNumber; 3] = [1, 2, 3];
 /// Rounds are long: what is not answered is lost, and said again by nobody.
-const TIMES: Times = Times { lease: 1_000_000, drift_ppm: 0, round: 100_000 };
+const TIMES: Timing = Timing { lease: 1_000_000, drift_ppm: 0, round: 100_000 };
 /// A lease that was asked for in one tick lasts through the next; who waits for all leases waits two.
 const LASTS: u8 = 2;
 
@@ -34,18 +34,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Question {
     asked: u8,
-    told: BTreeMap<Number, Accepted>,
+    told: BTreeMap<ProxyNumber, Accepted>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    voters: BTreeMap<Number, Voter>,
-    proposing: BTreeMap<Number, Proposer>,
+    voters: BTreeMap<ProxyNumber, Voter>,
+    proposing: BTreeMap<ProxyNumber, Proposer>,
     /// What was said to voters. Never taken away: any of it may come again. That it does not come is its loss.
-    letters: BTreeSet<(Number, Number, Message)>,
+    letters: BTreeSet<(ProxyNumber, ProxyNumber, Message)>,
     /// What the proxies hold, by whom: the standing, and the tick in which its question was asked.
-    leases: BTreeMap<Number, (Standing, u8)>,
-    questions: BTreeMap<Number, Question>,
+    leases: BTreeMap<ProxyNumber, (Standing, u8)>,
+    questions: BTreeMap<ProxyNumber, Question>,
     tick: u8,
     /// Turns that were seen chosen as changes, and when first by the one who would finish them.
     seen: BTreeMap<u64, u8>,
@@ -56,19 +56,19 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Begin(Number, Goal),
+    Begin(ProxyNumber, Goal),
     /// From, to, what; whether the voter's answer arrives.
-    Deliver(Number, Number, Message, bool),
-    Ask(Number),
-    Read(Number, Number),
+    Deliver(ProxyNumber, ProxyNumber, Message, bool),
+    Ask(ProxyNumber),
+    Read(ProxyNumber, ProxyNumber),
     Tick,
-    Crash(Number),
-    Lose(Number),
-    Relearn(Number, Number),
+    Crash(ProxyNumber),
+    Lose(ProxyNumber),
+    Relearn(ProxyNumber, ProxyNumber),
 }
 
 struct World {
-    proxies: [Number; 2],
+    proxies: [ProxyNumber; 2],
     crashes: u8,
     lost: u8,
     ticks: u8,
@@ -79,11 +79,11 @@
     asks: usize,
     loses: bool,
     /// Those who propose.
-    proposers: &'static [Number],
+    proposers: &'static [ProxyNumber],
 }
 
 impl World {
-    fn carry(&self, state: &mut State, from: Number, said: Result<Vec<(Number, Message)>, End>) {
+    fn carry(&self, state: &mut State, from: ProxyNumber, said: Result<Vec<(ProxyNumber, Message)>, End>) {
         match said {
             Ok(say) => say.into_iter().for_each(|(to, message)| {
                 state.letters.insert((from, to, message));
@@ -101,7 +101,7 @@
         }
     }
 
-    fn deliver(&self, state: &mut State, (from, to): (Number, Number), message: &Message, heard: bool) {
+    fn deliver(&self, state: &mut State, (from, to): (ProxyNumber, ProxyNumber), message: &Message, heard: bool) {
         let Some(voter) = state.voters.get_mut(&to) else { return };
         let said = match message {
             Message::Prepare { kind, ballot } => voter.prepare(from, *kind, *ballot),
