--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -95,7 +95,7 @@
 /// What the actor is wired to.
 pub struct Dependencies {
     /// The block of the operators' file.
-    pub file: Agreement,
+    pub config: Agreement,
     /// Its keys.
     pub keys: Keys,
     /// The way to the core.
@@ -103,15 +103,15 @@
     /// Lists go there.
     pub core: mpsc::Sender<Input>,
     /// Settings go there.
-    pub rules: mpsc::Sender<SettingsUpdate>,
+    pub settings_updates: mpsc::Sender<SettingsUpdate>,
     /// The way to the disk; none where this proxy does not vote.
-    pub scribe: Option<Scribe>,
+    pub store: Option<Scribe>,
     /// Version of the list that is held.
-    pub version: Arc<AtomicU64>,
+    pub list_version: Arc<AtomicU64>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// The settings of this proxy's own file, as JSON: the first to be agreed on.
-    pub own: watch::Receiver<Arc<str>>,
+    pub own_settings: watch::Receiver<Arc<str>>,
     /// The clock.
     pub clock: Clock,
     /// Of its lots.
@@ -119,20 +119,20 @@
 }
 
 /// What a start has found of earlier votes.
-pub struct Memory {
+pub struct RecoveredVotes {
     /// How the store was found.
     pub finding: Finding,
     /// What was kept of votes and documents, by name.
-    pub kept: Vec<(String, Vec<u8>)>,
+    pub records: Vec<(String, Vec<u8>)>,
 }
 
-impl Memory {
+impl RecoveredVotes {
     /// Names begin so.
-    pub const PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
+    pub const NAME_PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
 
     /// The voter that goes on from it.
     fn voter(&self, now: Time) -> Voter {
-        let kept = self.kept.iter().find(|(name, _)| name == VOTES);
+        let kept = self.records.iter().find(|(name, _)| name == VOTES);
         let votes = kept.map(|(_, bytes)| read_votes(bytes));
         match (votes, self.finding) {
             (None, Finding::Sound | Finding::Fresh) => Voter::new(Votes::default()),
@@ -200,9 +200,9 @@
     /// When the address cannot be had.
     pub async fn start(
         with: Dependencies,
-        memory: Option<Memory>,
+        memory: Option<RecoveredVotes>,
     ) -> Result<(Self, mpsc::Receiver<Question>), String> {
-        let file = &with.file;
+        let file = &with.config;
         let at = file.proxies.get(&file.me).copied().ok_or("agreement.me is none of agreement.proxies")?;
         let bad = |e: std::io::Error| format!("agreement: {at}: {e}");
         let socket = Arc::new(momentary::listen_datagrams(at).await.map_err(bad)?);
@@ -219,7 +219,7 @@
         let voter = memory.as_ref().filter(|_| votes).map(|memory| memory.voter(now));
         let mut instance = Instance::new(fleet, voter, now);
         let mut documents = BTreeMap::new();
-        for (name, bytes) in memory.into_iter().flat_map(|m| m.kept) {
+        for (name, bytes) in memory.into_iter().flat_map(|m| m.records) {
             let opened = Document::open(&bytes, &with.keys).ok().filter(|_| name.starts_with(DOCUMENT));
             // One that was kept was sound then.
             let read = opened.and_then(|document| Some((document.content().ok()?, document)));
@@ -289,7 +289,7 @@
     }
 
     fn heard(&mut self, datagram: &[u8]) -> Vec<Out> {
-        let proxies = &self.with.file.proxies;
+        let proxies = &self.with.config.proxies;
         let opened = self.receiver.open(datagram, |from| proxies.contains_key(&from));
         let read = opened.and_then(|(from, start, bytes)| Ok((from, start, Message::read(bytes)?)));
         match read {
@@ -344,7 +344,7 @@
             Done::Listed(bytes) => {
                 self.list.1 = false;
                 let json = bytes.and_then(|b| serde_json::from_slice(&b).ok());
-                let held = self.with.version.load(Ordering::Relaxed);
+                let held = self.with.list_version.load(Ordering::Relaxed);
                 let mut lists = Lists::new(self.with.zones.clone());
                 if let Some((told, _, entries)) =
                     json.and_then(|j| lists.read(&j, Some(held))).filter(|l| l.0 > held)
@@ -385,7 +385,7 @@
                 told.map_or_else(Done::Unwritten, |()| Done::Dropped)
             });
         }
-        if self.with.scribe.is_some() {
+        if self.with.store.is_some() {
             self.write_document(hash, Duration::ZERO);
         } else {
             self.instance.document(hash);
@@ -420,7 +420,7 @@
         bytes: Vec<u8>,
         then: impl FnOnce(Result<(), String>) -> Done + Send + 'static,
     ) {
-        let Some(scribe) = self.with.scribe.clone() else { return };
+        let Some(scribe) = self.with.store.clone() else { return };
         let done = self.done.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
@@ -434,7 +434,7 @@
             Want::Document(hash) => self.documents.get(&hash).map(|kept| kept.bytes.clone()),
             Want::List => {
                 let listed = self.with.control.request(Order::Listed).await?;
-                let version = self.with.version.load(Ordering::Relaxed);
+                let version = self.with.list_version.load(Ordering::Relaxed);
                 Some(discovery::write(&listed, version, &self.with.zones).to_string().into())
             }
         }
@@ -471,7 +471,7 @@
     }
 
     fn address(&self, of: ProxyNumber) -> Option<std::net::SocketAddr> {
-        self.with.file.proxies.get(&of).copied()
+        self.with.config.proxies.get(&of).copied()
     }
 
     /// Gets something from another proxy, in a task of its own.
@@ -507,9 +507,9 @@
     /// Tells the core what holds, and takes up what is new; none once the core has ended.
     async fn look(&mut self) -> Option<()> {
         let now = self.with.clock.now();
-        let version = self.with.version.load(Ordering::Relaxed).max(self.list.0);
+        let version = self.with.list_version.load(Ordering::Relaxed).max(self.list.0);
         self.instance.listed(version);
-        let wanted = self.with.file.lists && !self.list.1;
+        let wanted = self.with.config.lists && !self.list.1;
         if let Some((_, by)) = self.instance.newer_list().filter(|_| wanted) {
             self.list.1 = true;
             self.pull(by, Want::List, Done::Listed);
@@ -517,7 +517,7 @@
         let Some((standings, until)) = self.instance.holds(now) else {
             if self.lapsed.is_none() {
                 self.lapsed = Some(now);
-                if self.with.file.on_lapse == OnLapse::GoOn {
+                if self.with.config.on_lapse == OnLapse::GoOn {
                     count(Count::agreement_lapses);
                     log::warn!("what is agreed on no longer holds here, and is gone by all the same: the bound is not kept");
                 }
@@ -536,7 +536,7 @@
         if until > self.until {
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
-        if until > self.until && self.with.file.on_lapse == OnLapse::Refuse {
+        if until > self.until && self.with.config.on_lapse == OnLapse::Refuse {
             self.with.control.send(Order::Lease(until)).await?;
         }
         self.until = until;
@@ -576,7 +576,7 @@
         }
         if own != Some(settings) {
             let (reply, done) = oneshot::channel();
-            self.with.rules.send((shared?, reply)).await.ok()?;
+            self.with.settings_updates.send((shared?, reply)).await.ok()?;
             done.await.ok()?;
         }
         Some(true)
@@ -590,17 +590,17 @@
     /// Nothing has ever been agreed on: the lowest voter that is there proposes what its own file says.
     fn first(&mut self, settings: Holds, hands: Holds) {
         let now = self.with.clock.now();
-        let lowest = self.with.file.voters.iter().min().copied();
-        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.file.times.lease);
-        if !self.with.file.voters.contains(&self.with.file.me)
-            || !(waited || lowest == Some(self.with.file.me))
+        let lowest = self.with.config.voters.iter().min().copied();
+        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.config.times.lease);
+        if !self.with.config.voters.contains(&self.with.config.me)
+            || !(waited || lowest == Some(self.with.config.me))
         {
             return;
         }
-        let own = self.with.own.borrow().to_string();
+        let own = self.with.own_settings.borrow().to_string();
         for (kind, holds, body) in [(Kind::Settings, settings, own), (Kind::Hands, hands, String::new())] {
             if holds == Holds::Nothing && self.instance.awaits(kind).is_empty() {
-                let author = format!("the file of proxy {}", self.with.file.me);
+                let author = format!("the file of proxy {}", self.with.config.me);
                 let _ = self.propose(kind, author, body, (0, Hash::default()));
             }
         }
--- a/src/agreement_io/status.rs
+++ b/src/agreement_io/status.rs
@@ -49,7 +49,7 @@
 impl AgreementActor {
     /// How the fleet stands as seen from here, on one line.
     pub(super) fn status(&self) -> String {
-        let (now, times) = (self.with.clock.now(), self.with.file.times);
+        let (now, times) = (self.with.clock.now(), self.with.config.times);
         let lease = self.instance.holds(now).map(|(_, until)| (until - now) / 1000);
         let turns = self.acts.map_or([0; 2], |acts| acts.map(|s| s.turn));
         let of = |kind: Kind| {
@@ -63,17 +63,17 @@
         };
         let proxy = |number: &u16| {
             let heard = self.instance.heard().get(number).copied().unwrap_or_default();
-            let me = *number == self.with.file.me;
+            let me = *number == self.with.config.me;
             let ago = |at: Time| now.saturating_sub(at) / 1000;
-            json!({"number": number, "votes": self.with.file.voters.contains(number), "this": me,
+            json!({"number": number, "votes": self.with.config.voters.contains(number), "this": me,
                 "heard_ms": if me { Some(0) } else { (heard.at > 0).then(|| ago(heard.at)) },
                 "turns": if me { turns } else { heard.turns }, "list": heard.list,
                 "forgot": heard.forgot, "drifts": heard.drifts})
         };
         let mut told = json!({
-            "me": self.with.file.me, "lease_ms": lease, "bound_ms": times.change_bound() / 1000, "last": self.last,
+            "me": self.with.config.me, "lease_ms": lease, "bound_ms": times.change_bound() / 1000, "last": self.last,
             "acts_on": turns, "votes": self.instance.votes(),
-            "proxies": self.with.file.proxies.keys().map(proxy).collect::<Vec<_>>(),
+            "proxies": self.with.config.proxies.keys().map(proxy).collect::<Vec<_>>(),
         });
         for (name, value) in KINDS.map(of) {
             told[name] = value;
--- a/src/main.rs
+++ b/src/main.rs
@@ -229,15 +229,15 @@
         let (rules, ruled) = mpsc::channel(1);
         let (own, proposed) = watch::channel(own);
         let dependencies = Dependencies {
-            file: file.agreement.clone(),
+            config: file.agreement.clone(),
             keys,
             control: control.clone(),
             core: mailbox.clone(),
-            rules,
-            scribe,
-            version: version.clone(),
+            settings_updates: rules,
+            store: scribe,
+            list_version: version.clone(),
             zones: zones.clone(),
-            own: proposed,
+            own_settings: proposed,
             clock,
             seed,
         };
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,7 +1,7 @@
 //! A start that goes on from what was stored, and the gathering of what the next one goes on from: the wiring between the
 //! operators' file, the store, the configuration, the list and the core.
 
-use crate::agreement_io::Memory;
+use crate::agreement_io::RecoveredVotes;
 use crate::clock::Clock;
 use crate::config::{self, Config, Sound};
 use crate::core::counters::{count, Count};
@@ -34,7 +34,7 @@
     /// Where there is a store: that, what it had, and the configuration's text for it to keep.
     pub store: Option<(Scribe, Recovered, Arc<str>)>,
     /// What the store had kept of what proxies agree on.
-    pub memory: Option<Memory>,
+    pub memory: Option<RecoveredVotes>,
     /// The settings, as their JSON.
     pub own: Arc<str>,
 }
@@ -44,7 +44,7 @@
     config::lookup("BALANCER_NAME", "name").map_err(|e| format!("{e}: the store's folder cannot be found"))
 }
 
-fn open(file: &operators::Store) -> Result<(Scribe, Recovered, Memory), String> {
+fn open(file: &operators::Store) -> Result<(Scribe, Recovered, RecoveredVotes), String> {
     let place = crate::handover::place(&file.folder.to_string_lossy(), &name()?);
     let bad = |e: std::io::Error| format!("store {}: {e}", place.display());
     let folder = Folder::take(&place, file.fsync == Fsync::Word).map_err(bad)?;
@@ -52,10 +52,10 @@
     let (store, found) = Store::open(folder, file.most).map_err(bad)?;
     tell(&found);
     let mut kept = Vec::new();
-    for prefix in Memory::PREFIXES {
+    for prefix in RecoveredVotes::NAME_PREFIXES {
         kept.extend(store.kept(prefix).map_err(bad)?);
     }
-    let memory = Memory { finding: found.finding, kept };
+    let memory = RecoveredVotes { finding: found.finding, records: kept };
     Ok((Scribe::start(store).map_err(bad)?, found, memory))
 }
 
