--- a/src/operators/agreement.rs
+++ b/src/operators/agreement.rs
@@ -118,9 +118,8 @@
         );
         let twice = voters.iter().enumerate().any(|(n, v)| voters[..n].contains(v));
         let unknown = voters.iter().any(|v| !proxies.contains_key(v));
-        let what = format!(
-            "must name 1 to {VOTERS_MAX} of agreement.proxies, each once, and an odd number of them"
-        );
+        let what =
+            format!("must name 1 to {VOTERS_MAX} of agreement.proxies, each once, and an odd number of them");
         wrong(
             "voters",
             voting && (twice || unknown || voters.len() > VOTERS_MAX || voters.len().is_multiple_of(2)),
