--- a/src/parley/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -2,17 +2,17 @@
 //! way to the disk, and tells the core and the fronts what holds. It decides nothing; with no block `agreement` in the
 //! operators' file none of it is there.
 
-pub mod pull;
-pub mod told;
+pub mod fetch;
+pub mod status;
 
 use crate::agreement::document::{self, Content, Document};
 use crate::agreement::instance::{Fleet, Instance, Out};
 use crate::agreement::message::Message;
 use crate::agreement::proposer::{End, Goal};
-use crate::agreement::rules::Shared;
+use crate::agreement::rules::FleetSettings;
 use crate::agreement::seal::{Keys, Receiver, Sender};
 use crate::agreement::voter::{self, Voter, Votes};
-use crate::agreement::{Hash, Holds, Kind, Number, Standing, Version, KINDS};
+use crate::agreement::{Hash, Holds, Kind, ProxyNumber, Standing, Version, KINDS};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{CoreCommand, Input};
@@ -24,7 +24,7 @@
 use crate::store::actor::Scribe;
 use crate::store::state::Finding;
 use bytes::Bytes;
-use pull::{Question, Want};
+use fetch::{Question, Want};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -50,7 +50,7 @@
 
 /// What the operators ask.
 #[derive(Debug)]
-pub enum Ask {
+pub enum OperatorCommand {
     /// How the fleet stands, as JSON.
     Status,
     /// The versions that were in force here, as JSON.
@@ -58,18 +58,18 @@
     /// Settings, as their JSON, by an author.
     Propose(String, String),
     /// A member out, or back, for the whole fleet.
-    Hand(String, bool),
+    SetSuspended(String, bool),
     /// Take back the change that is under way.
     Abort,
     /// Begin a new epoch, as most voters' disks are lost.
-    Epoch(u32),
+    BeginEpoch(u32),
 }
 
 /// That, and where the answer goes: what is so or was done, or why not.
-pub type Call = (Ask, oneshot::Sender<Result<String, String>>);
+pub type OperatorCall = (OperatorCommand, oneshot::Sender<Result<String, String>>);
 
 /// Settings to be taken up: what each shares, and the word once that is done.
-pub type Rules = (Box<Shared>, oneshot::Sender<()>);
+pub type SettingsUpdate = (Box<FleetSettings>, oneshot::Sender<()>);
 
 /// Something that a task has done.
 enum Done {
@@ -93,9 +93,9 @@
 }
 
 /// What the actor is wired to.
-pub struct Wiring {
+pub struct Dependencies {
     /// The block of the operators' file.
-    pub file: Agreement,
+    pub config: Agreement,
     /// Its keys.
     pub keys: Keys,
     /// The way to the core.
@@ -103,15 +103,15 @@
     /// Lists go there.
     pub core: mpsc::Sender<Input>,
     /// Settings go there.
-    pub rules: mpsc::Sender<Rules>,
+    pub settings_updates: mpsc::Sender<SettingsUpdate>,
     /// The way to the disk; none where this proxy does not vote.
-    pub scribe: Option<Scribe>,
+    pub store: Option<Scribe>,
     /// Version of the list that is held.
-    pub version: Arc<AtomicU64>,
+    pub list_version: Arc<AtomicU64>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// The settings of this proxy's own file, as JSON: the first to be agreed on.
-    pub own: watch::Receiver<Arc<str>>,
+    pub own_settings: watch::Receiver<Arc<str>>,
     /// The clock.
     pub clock: Clock,
     /// Of its lots.
@@ -119,20 +119,20 @@
 }
 
 /// What a start has found of earlier votes.
-pub struct Memory {
+pub struct RecoveredVotes {
     /// How the store was found.
     pub finding: Finding,
     /// What was kept of votes and documents, by name.
-    pub kept: Vec<(String, Vec<u8>)>,
+    pub records: Vec<(String, Vec<u8>)>,
 }
 
-impl Memory {
+impl RecoveredVotes {
     /// Names begin so.
-    pub const PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
+    pub const NAME_PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
 
     /// The voter that goes on from it.
     fn voter(&self, now: Time) -> Voter {
-        let kept = self.kept.iter().find(|(name, _)| name == VOTES);
+        let kept = self.records.iter().find(|(name, _)| name == VOTES);
         let votes = kept.map(|(_, bytes)| read_votes(bytes));
         match (votes, self.finding) {
             (None, Finding::Sound | Finding::Fresh) => Voter::new(Votes::default()),
@@ -169,8 +169,8 @@
 }
 
 /// The actor.
-pub struct Parley {
-    with: Wiring,
+pub struct AgreementActor {
+    with: Dependencies,
     instance: Instance,
     socket: Arc<UdpSocket>,
     sender: Sender,
@@ -193,16 +193,16 @@
     relearned: u64,
 }
 
-impl Parley {
+impl AgreementActor {
     /// One that speaks at the address that the file names for it; it serves other proxies from then on.
     ///
     /// # Errors
     /// When the address cannot be had.
     pub async fn start(
-        with: Wiring,
-        memory: Option<Memory>,
+        with: Dependencies,
+        memory: Option<RecoveredVotes>,
     ) -> Result<(Self, mpsc::Receiver<Question>), String> {
-        let file = &with.file;
+        let file = &with.config;
         let at = file.proxies.get(&file.me).copied().ok_or("agreement.me is none of agreement.proxies")?;
         let bad = |e: std::io::Error| format!("agreement: {at}: {e}");
         let socket = Arc::new(transient::listen_datagrams(at).await.map_err(bad)?);
@@ -219,7 +219,7 @@
         let voter = memory.as_ref().filter(|_| votes).map(|memory| memory.voter(now));
         let mut instance = Instance::new(fleet, voter, now);
         let mut documents = BTreeMap::new();
-        for (name, bytes) in memory.into_iter().flat_map(|m| m.kept) {
+        for (name, bytes) in memory.into_iter().flat_map(|m| m.records) {
             let opened = Document::open(&bytes, &with.keys).ok().filter(|_| name.starts_with(DOCUMENT));
             // One that was kept was sound then.
             let read = opened.and_then(|document| Some((document.content().ok()?, document)));
@@ -230,12 +230,12 @@
             }
         }
         let (questions, asked) = mpsc::channel(MAILBOX);
-        tokio::spawn(pull::serve(listener, with.keys.clone(), questions));
+        tokio::spawn(fetch::serve(listener, with.keys.clone(), questions));
         let (done, ends) = mpsc::channel(MAILBOX);
         let (sender, receiver) =
             (Sender::new(with.keys.clone(), file.me, now), Receiver::new(with.keys.clone(), file.me));
         log::info!("proxy {} of {} agrees with the others at {at}", file.me, file.proxies.len());
-        let parley = Parley {
+        let actor = AgreementActor {
             instance,
             socket,
             sender,
@@ -254,11 +254,11 @@
             relearned: 0,
             with,
         };
-        Ok((parley, asked))
+        Ok((actor, asked))
     }
 
     /// Runs until the core has ended.
-    pub async fn run(mut self, mut calls: mpsc::Receiver<Call>, mut questions: mpsc::Receiver<Question>) {
+    pub async fn run(mut self, mut calls: mpsc::Receiver<OperatorCall>, mut questions: mpsc::Receiver<Question>) {
         let mut buffer = [0; 2048];
         loop {
             let now = self.with.clock.now();
@@ -289,7 +289,7 @@
     }
 
     fn heard(&mut self, datagram: &[u8]) -> Vec<Out> {
-        let proxies = &self.with.file.proxies;
+        let proxies = &self.with.config.proxies;
         let opened = self.receiver.open(datagram, |from| proxies.contains_key(&from));
         let read = opened.and_then(|(from, start, bytes)| Ok((from, start, Message::read(bytes)?)));
         match read {
@@ -344,7 +344,7 @@
             Done::Listed(bytes) => {
                 self.list.1 = false;
                 let json = bytes.and_then(|b| serde_json::from_slice(&b).ok());
-                let held = self.with.version.load(Ordering::Relaxed);
+                let held = self.with.list_version.load(Ordering::Relaxed);
                 let mut lists = ListReader::new(self.with.zones.clone());
                 if let Some((told, _, entries)) =
                     json.and_then(|j| lists.read(&j, Some(held))).filter(|l| l.0 > held)
@@ -385,7 +385,7 @@
                 told.map_or_else(Done::Unwritten, |()| Done::Dropped)
             });
         }
-        if self.with.scribe.is_some() {
+        if self.with.store.is_some() {
             self.write_document(hash, Duration::ZERO);
         } else {
             self.instance.document(hash);
@@ -420,7 +420,7 @@
         bytes: Vec<u8>,
         then: impl FnOnce(Result<(), String>) -> Done + Send + 'static,
     ) {
-        let Some(scribe) = self.with.scribe.clone() else { return };
+        let Some(scribe) = self.with.store.clone() else { return };
         let done = self.done.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
@@ -434,7 +434,7 @@
             Want::Document(hash) => self.documents.get(&hash).map(|kept| kept.bytes.clone()),
             Want::List => {
                 let listed = self.with.control.request(CoreCommand::QueryMembers).await?;
-                let version = self.with.version.load(Ordering::Relaxed);
+                let version = self.with.list_version.load(Ordering::Relaxed);
                 Some(discovery::list_to_json(&listed, version, &self.with.zones).to_string().into())
             }
         }
@@ -470,14 +470,14 @@
         }
     }
 
-    fn address(&self, of: Number) -> Option<std::net::SocketAddr> {
-        self.with.file.proxies.get(&of).copied()
+    fn address(&self, of: ProxyNumber) -> Option<std::net::SocketAddr> {
+        self.with.config.proxies.get(&of).copied()
     }
 
     /// Gets something from another proxy, in a task of its own.
     fn pull(
         &mut self,
-        from: Number,
+        from: ProxyNumber,
         want: Want,
         then: impl FnOnce(Option<Vec<u8>>) -> Done + Send + 'static,
     ) {
@@ -486,7 +486,7 @@
             (self.with.keys.clone(), self.done.clone(), self.nonce, self.address(from));
         tokio::spawn(async move {
             let got = match at {
-                Some(at) => pull::get(at, &keys, want, nonce).await,
+                Some(at) => fetch::get(at, &keys, want, nonce).await,
                 None => None,
             };
             let _ = done.send(then(got)).await;
@@ -496,7 +496,7 @@
     fn ended(&mut self, kind: Kind, goal: Goal, end: End) {
         let told = match end {
             End::Chosen(accepted) => format!("{}: turn {} is chosen", kind.name(), accepted.standing.turn),
-            End::Moot(moot) => format!("{}: nothing was changed: {}", kind.name(), told::moot(&moot)),
+            End::Moot(moot) => format!("{}: nothing was changed: {}", kind.name(), status::moot(&moot)),
         };
         log::info!("{told}");
         if matches!(goal, Goal::Change { .. } | Goal::Abort(_)) {
@@ -507,9 +507,9 @@
     /// Tells the core what holds, and takes up what is new; none once the core has ended.
     async fn look(&mut self) -> Option<()> {
         let now = self.with.clock.now();
-        let version = self.with.version.load(Ordering::Relaxed).max(self.list.0);
+        let version = self.with.list_version.load(Ordering::Relaxed).max(self.list.0);
         self.instance.listed(version);
-        let wanted = self.with.file.lists && !self.list.1;
+        let wanted = self.with.config.lists && !self.list.1;
         if let Some((_, by)) = self.instance.newer_list().filter(|_| wanted) {
             self.list.1 = true;
             self.pull(by, Want::List, Done::Listed);
@@ -517,7 +517,7 @@
         let Some((standings, until)) = self.instance.holds(now) else {
             if self.lapsed.is_none() {
                 self.lapsed = Some(now);
-                if self.with.file.on_lapse == OnLapse::GoOn {
+                if self.with.config.on_lapse == OnLapse::GoOn {
                     count(Count::agreement_lapses);
                     log::warn!("what is agreed on no longer holds here, and is gone by all the same: the bound is not kept");
                 }
@@ -536,7 +536,7 @@
         if until > self.until {
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
-        if until > self.until && self.with.file.on_lapse == OnLapse::Refuse {
+        if until > self.until && self.with.config.on_lapse == OnLapse::Refuse {
             self.with.control.send(CoreCommand::ExtendLease(until)).await?;
         }
         self.until = until;
@@ -550,7 +550,7 @@
             self.first(settings, hands);
             return Some(false);
         }
-        let mut shared: Option<Box<Shared>> = None;
+        let mut shared: Option<Box<FleetSettings>> = None;
         for version in settings.versions() {
             let Some(Content::Settings(one)) = self.content(version) else { return Some(false) };
             shared = Some(match shared {
@@ -576,7 +576,7 @@
         }
         if own != Some(settings) {
             let (reply, done) = oneshot::channel();
-            self.with.rules.send((shared?, reply)).await.ok()?;
+            self.with.settings_updates.send((shared?, reply)).await.ok()?;
             done.await.ok()?;
         }
         Some(true)
@@ -590,17 +590,17 @@
     /// Nothing has ever been agreed on: the lowest voter that is there proposes what its own file says.
     fn first(&mut self, settings: Holds, hands: Holds) {
         let now = self.with.clock.now();
-        let lowest = self.with.file.voters.iter().min().copied();
-        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.file.times.lease);
-        if !self.with.file.voters.contains(&self.with.file.me)
-            || !(waited || lowest == Some(self.with.file.me))
+        let lowest = self.with.config.voters.iter().min().copied();
+        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.config.times.lease);
+        if !self.with.config.voters.contains(&self.with.config.me)
+            || !(waited || lowest == Some(self.with.config.me))
         {
             return;
         }
-        let own = self.with.own.borrow().to_string();
+        let own = self.with.own_settings.borrow().to_string();
         for (kind, holds, body) in [(Kind::Settings, settings, own), (Kind::Hands, hands, String::new())] {
             if holds == Holds::Nothing && self.instance.awaits(kind).is_empty() {
-                let author = format!("the file of proxy {}", self.with.file.me);
+                let author = format!("the file of proxy {}", self.with.config.me);
                 let _ = self.propose(kind, author, body, (0, Hash::default()));
             }
         }
@@ -612,7 +612,7 @@
             if self.acts.is_some_and(|acts| acts[kind.at()].holds == holds) {
                 continue;
             }
-            let shown = told::holds(&holds);
+            let shown = status::holds(&holds);
             log::info!(target: "rules", turn = turn, us = now; "{} {shown}", kind.name());
             let Holds::One(version) = holds else { continue };
             if let Some(Kept { document, .. }) = self.documents.get(&version.hash) {
@@ -668,7 +668,7 @@
     fn settings(&mut self, author: String, body: String) -> Result<String, String> {
         let (version, old) = self.base(Kind::Settings)?;
         let json = serde_json::from_str(&body).map_err(|e| e.to_string())?;
-        let new = Shared::read(&json)?;
+        let new = FleetSettings::read(&json)?;
         if let Content::Settings(old) = old {
             // Refused here, with place and reason, before anybody takes it.
             old.meet(&new)
@@ -703,15 +703,15 @@
         Err("no change is under way".into())
     }
 
-    fn call(&mut self, (ask, reply): Call) -> Vec<Out> {
+    fn call(&mut self, (ask, reply): OperatorCall) -> Vec<Out> {
         let mut out = None;
         let told = match ask {
-            Ask::Status => Ok(self.status()),
-            Ask::History => Ok(told::history(&self.history)),
-            Ask::Propose(author, body) => self.settings(author, body),
-            Ask::Hand(member, out) => self.hand(&member, out),
-            Ask::Abort => self.abort(),
-            Ask::Epoch(epoch) => {
+            OperatorCommand::Status => Ok(self.status()),
+            OperatorCommand::History => Ok(status::history(&self.history)),
+            OperatorCommand::Propose(author, body) => self.settings(author, body),
+            OperatorCommand::SetSuspended(member, out) => self.hand(&member, out),
+            OperatorCommand::Abort => self.abort(),
+            OperatorCommand::BeginEpoch(epoch) => {
                 out = self.instance.start_over(epoch);
                 let no = || "this proxy does not vote, or knows of that epoch or a later one".to_string();
                 out.as_ref().map(|_| format!("epoch {epoch} begins here")).ok_or_else(no)
@@ -726,7 +726,7 @@
 ///
 /// # Errors
 /// When there are none.
-pub async fn settings_of(path: &str) -> Result<String, String> {
+pub async fn read_settings_json(path: &str) -> Result<String, String> {
     let bad = |e: &dyn std::fmt::Display| format!("{path}: {e}");
     let (at, most) = (path.to_string(), document::LONGEST as u64);
     let read = move || {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
 #![doc = include_str!("../README.md")]
 
 pub mod agreement;
+pub mod agreement_io;
 pub mod check;
 pub mod class_table;
 pub mod cli;
@@ -22,7 +23,6 @@
 pub mod net;
 pub mod odata;
 pub mod operators;
-pub mod parley;
 pub mod pg;
 pub mod phases;
 pub mod policy;
