--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -482,8 +482,8 @@
             safe,
             whole,
             by,
-            known_until: progress.known_until(),
-            recent_until: self.router.recent_until(live.request.group, member, live.class().consistency),
+            dedup_until: progress.dedup_until(),
+            fresh_until: self.router.fresh_until(live.request.group, member, live.class().consistency),
             client: live.request.client.clone().filter(|_| !live.abandoned),
             client_seen: live.came,
         };
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -198,8 +198,8 @@
 fn a_keyed_repeat_that_waits_for_its_connection_begins_behind_its_window() {
     in_runtime(|| {
         let (actor, came) = sent_by_turns("all", &[listed(1, None), listed(2, None)]);
-        let known_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.known_until).collect();
-        assert_eq!(known_until, [Time::MAX, came + WINDOW]);
+        let dedup_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.dedup_until).collect();
+        assert_eq!(dedup_until, [Time::MAX, came + WINDOW]);
     });
 }
 
@@ -271,7 +271,7 @@
     let begins = || {
         let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect: Time::MAX };
         let state = SharedState::new(SocketAddr::from(([127, 0, 0, 1], 9)), times);
-        state.lock().gate.issue(attempt.key());
+        state.lock().gate.register(attempt.key());
         state.begin(attempt, &actor.clock).is_ok()
     };
     assert!(begins(), "its member is recent enough");
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -7,7 +7,7 @@
 
 use super::{Answer, Request, Work};
 use crate::interface::*;
-use crate::policy::invariants::Progress;
+use crate::policy::invariants::RequestProgress;
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
@@ -93,8 +93,8 @@
     }
 
     /// What the rules on repeats and refusals are checked by.
-    pub fn progress(&self) -> Progress {
-        Progress {
+    pub fn progress(&self) -> RequestProgress {
+        RequestProgress {
             effect: self.class().effect,
             group: self.request.group,
             first_possible_run: self.first_possible().map(|attempt| attempt.sent),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -173,9 +173,9 @@
     /// Nothing may be written to a member from then on: the rules that it was decided by no longer hold here.
     pub by: Time,
     /// Nothing may be written to a member from then on: it may not know the request for a repeat.
-    pub known_until: Time,
+    pub dedup_until: Time,
     /// Nothing may be written to a member from then on: what is known of its data is too old for a bounded read.
-    pub recent_until: Time,
+    pub fresh_until: Time,
     /// The request's client, where it has one that may leave.
     pub client: Option<Weak<dyn Presence>>,
     /// When that was surely there.
--- a/src/known.rs
+++ b/src/known.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::{MemberId, Position};
 use crate::knowledge::MemberFacts;
-use crate::policy::invariants::Place;
+use crate::policy::invariants::MemberLocation;
 use crate::policy::Router;
 
 /// What a router knows of a member, by its number.
@@ -27,8 +27,8 @@
     }
 
     /// Where a member stands; none where it is not known any more.
-    pub fn place(&self, member: MemberId) -> Option<Place> {
-        self.members.get(&member).map(|m| Place { zone: m.zone, group: m.group })
+    pub fn place(&self, member: MemberId) -> Option<MemberLocation> {
+        self.members.get(&member).map(|m| MemberLocation { zone: m.zone, group: m.group })
     }
 
     /// What is known of each member.
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -98,7 +98,7 @@
             violated(attempt.id, Some(member), Violation::SentToLeaving);
             return false;
         }
-        peer.state.lock().gate.issue(key);
+        peer.state.lock().gate.register(key);
         let taken = peer.order(Order::Attempt(attempt));
         if !taken {
             peer.state.lock().gate.end(key);
--- a/src/net/fleet_tests.rs
+++ b/src/net/fleet_tests.rs
@@ -81,8 +81,8 @@
         safe: true,
         whole: false,
         by: Time::MAX,
-        known_until: Time::MAX,
-        recent_until: Time::MAX,
+        dedup_until: Time::MAX,
+        fresh_until: Time::MAX,
         client: None,
         client_seen: clock.now(),
     }
--- a/src/net/member_state.rs
+++ b/src/net/member_state.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::Attempt;
-use crate::policy::begin::{client_look_due, AttemptKey, BeginGate, Moment, Withheld};
+use crate::policy::begin::{client_check_due, AttemptKey, BeginContext, BeginGate, WithholdReason};
 use crate::settings::SocketTimes;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -56,15 +56,15 @@
     ///
     /// # Errors
     /// Why it must not.
-    pub fn begin(&self, attempt: &Attempt, clock: &Clock) -> Result<(), Withheld> {
+    pub fn begin(&self, attempt: &Attempt, clock: &Clock) -> Result<(), WithholdReason> {
         let now = clock.now();
-        let moment = Moment {
+        let moment = BeginContext {
             now,
             rules_until: attempt.by,
-            known_until: attempt.known_until,
-            recent_until: attempt.recent_until,
+            dedup_until: attempt.dedup_until,
+            fresh_until: attempt.fresh_until,
             stop_at: attempt.stop_at,
-            client_gone: client_look_due(now, attempt.client_seen) && attempt.client_gone(),
+            client_gone: client_check_due(now, attempt.client_seen) && attempt.client_gone(),
         };
         let begun = self.lock().gate.begin(attempt.key(), moment);
         if let Err(why) = begun {
@@ -79,17 +79,17 @@
 
     /// Whether the attempt is to be made at all any more.
     pub fn waits(&self, key: AttemptKey) -> bool {
-        self.lock().gate.waits(key)
+        self.lock().gate.is_waiting(key)
     }
 }
 
-fn withheld(why: Withheld) -> Count {
+fn withheld(why: WithholdReason) -> Count {
     match why {
-        Withheld::Withdrawn => Count::withheld_withdrawn,
-        Withheld::RulesLapsed => Count::withheld_rules_lapsed,
-        Withheld::Forgotten => Count::withheld_forgotten,
-        Withheld::TooOld => Count::withheld_too_old,
-        Withheld::Late => Count::withheld_late,
-        Withheld::ClientGone => Count::withheld_client_gone,
+        WithholdReason::Withdrawn => Count::withheld_withdrawn,
+        WithholdReason::RulesLapsed => Count::withheld_rules_lapsed,
+        WithholdReason::Forgotten => Count::withheld_forgotten,
+        WithholdReason::TooOld => Count::withheld_too_old,
+        WithholdReason::Late => Count::withheld_late,
+        WithholdReason::ClientGone => Count::withheld_client_gone,
     }
 }
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -204,7 +204,7 @@
     fn stop_withdrawn(&mut self) {
         let withdrawn: Vec<AttemptKey> = {
             let gate = &self.state.lock().gate;
-            let ended = |key: &AttemptKey| !gate.waits(*key) && !gate.has_begun(*key);
+            let ended = |key: &AttemptKey| !gate.is_waiting(*key) && !gate.has_begun(*key);
             self.running.keys().copied().filter(ended).collect()
         };
         withdrawn.into_iter().for_each(|key| self.stop(key));
--- a/src/net/peer_tests.rs
+++ b/src/net/peer_tests.rs
@@ -57,12 +57,12 @@
             safe,
             whole: !safe,
             by: Time::MAX,
-            known_until: Time::MAX,
-            recent_until: Time::MAX,
+            dedup_until: Time::MAX,
+            fresh_until: Time::MAX,
             client: None,
             client_seen: self.clock.now(),
         };
-        self.state.lock().gate.issue(key);
+        self.state.lock().gate.register(key);
         self.orders.send(Order::Attempt(attempt)).await.expect("the peer runs");
     }
 
--- a/src/policy/begin.rs
+++ b/src/policy/begin.rs
@@ -18,19 +18,19 @@
 
 /// A client that was there so long ago, in us, is looked at again before anything begins for it. One that has closed must
 /// get no attempt that begins more than 0.1 s later.
-pub const CLIENT_SEEN_MAX: Time = 50_000;
+pub const CLIENT_CHECK_INTERVAL: Time = 50_000;
 
 /// What is known in the moment in which an attempt would begin.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
+pub struct BeginContext {
     /// The time.
     pub now: Time,
     /// The rules by which it was decided hold until then.
     pub rules_until: Time,
     /// Members may not know it for a repeat from then on.
-    pub known_until: Time,
+    pub dedup_until: Time,
     /// What is known of its member's data is too old for it from then on.
-    pub recent_until: Time,
+    pub fresh_until: Time,
     /// Nobody waits for its answer from then on.
     pub stop_at: Time,
     /// Its client has closed its connection.
@@ -39,7 +39,7 @@
 
 /// Why an attempt does not begin. Nothing of it has been written, and its request may go elsewhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithholdReason {
     /// Its request is over, or its member leaves or has moved.
     Withdrawn,
     /// The rules that it was decided by no longer hold.
@@ -63,7 +63,7 @@
 
 impl BeginGate {
     /// An attempt was decided on and waits.
-    pub fn issue(&mut self, key: AttemptKey) {
+    pub fn register(&mut self, key: AttemptKey) {
         self.waiting.insert(key);
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Whether an attempt may still begin, as far as others have said so.
-    pub fn waits(&self, key: AttemptKey) -> bool {
+    pub fn is_waiting(&self, key: AttemptKey) -> bool {
         self.waiting.contains(&key)
     }
 
@@ -86,24 +86,24 @@
     ///
     /// # Errors
     /// Why it must not.
-    pub fn begin(&mut self, key: AttemptKey, moment: Moment) -> Result<(), Withheld> {
+    pub fn begin(&mut self, key: AttemptKey, moment: BeginContext) -> Result<(), WithholdReason> {
         if !self.waiting.remove(&key) {
-            return Err(Withheld::Withdrawn);
+            return Err(WithholdReason::Withdrawn);
         }
         if moment.now >= moment.rules_until {
-            return Err(Withheld::RulesLapsed);
+            return Err(WithholdReason::RulesLapsed);
         }
-        if moment.now >= moment.known_until {
-            return Err(Withheld::Forgotten);
+        if moment.now >= moment.dedup_until {
+            return Err(WithholdReason::Forgotten);
         }
-        if moment.now >= moment.recent_until {
-            return Err(Withheld::TooOld);
+        if moment.now >= moment.fresh_until {
+            return Err(WithholdReason::TooOld);
         }
         if moment.now >= moment.stop_at {
-            return Err(Withheld::Late);
+            return Err(WithholdReason::Late);
         }
         if moment.client_gone {
-            return Err(Withheld::ClientGone);
+            return Err(WithholdReason::ClientGone);
         }
         self.begun.insert(key);
         Ok(())
@@ -122,8 +122,8 @@
 }
 
 /// Whether a client that was there at `seen` has to be looked at before anything begins for it.
-pub fn client_look_due(now: Time, seen: Time) -> bool {
-    now >= seen.saturating_add(CLIENT_SEEN_MAX)
+pub fn client_check_due(now: Time, seen: Time) -> bool {
+    now >= seen.saturating_add(CLIENT_CHECK_INTERVAL)
 }
 
 #[cfg(test)]
--- a/src/policy/invariants.rs
+++ b/src/policy/invariants.rs
@@ -5,7 +5,7 @@
 
 /// What has become of a request so far.
 #[derive(Debug, Clone, Copy)]
-pub struct Progress {
+pub struct RequestProgress {
     /// How it may be repeated.
     pub effect: Effect,
     /// The group that it is for, to whose members alone it goes.
@@ -18,7 +18,7 @@
 
 /// Where a member stands, by which it may know a request for a repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct MemberLocation {
     /// Its zone.
     pub zone: u32,
     /// Its group.
@@ -44,7 +44,7 @@
     SentToLeaving,
 }
 
-impl Progress {
+impl RequestProgress {
     /// Whether one more attempt may be made.
     ///
     /// # Errors
@@ -52,7 +52,7 @@
     pub fn may_send(&self, now: Time) -> Result<(), Violation> {
         match (self.effect, self.first_possible_run) {
             (Effect::Unsafe, Some(_)) => Err(Violation::UnsafeResent),
-            _ if now >= self.known_until() => Err(Violation::KeyedResentLate),
+            _ if now >= self.dedup_until() => Err(Violation::KeyedResentLate),
             _ if now >= self.deadline => Err(Violation::SentTooLate),
             _ => Ok(()),
         }
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// The rule that it would break.
-    pub fn may_go_to(&self, to: Option<Place>, first_zone: Option<u32>) -> Result<(), Violation> {
+    pub fn may_go_to(&self, to: Option<MemberLocation>, first_zone: Option<u32>) -> Result<(), Violation> {
         let (Effect::Keyed { group, .. }, Some(_)) = (self.effect, self.first_possible_run) else {
             return Ok(());
         };
@@ -80,7 +80,7 @@
     }
 
     /// From then on members may not know one more attempt for a repeat: it must not even begin.
-    pub fn known_until(&self) -> Time {
+    pub fn dedup_until(&self) -> Time {
         match (self.effect, self.first_possible_run) {
             (Effect::Keyed { window, .. }, Some(first)) => first.saturating_add(window),
             _ => Time::MAX,
--- a/src/policy/invariants_tests.rs
+++ b/src/policy/invariants_tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-const NOTHING_SENT: Progress =
-    Progress { effect: Effect::Unsafe, group: 1, first_possible_run: None, deadline: 100 };
+const NOTHING_SENT: RequestProgress =
+    RequestProgress { effect: Effect::Unsafe, group: 1, first_possible_run: None, deadline: 100 };
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
     let fresh = NOTHING_SENT;
     assert_eq!((fresh.may_send(99), fresh.may_refuse()), (Ok(()), Ok(())));
     assert_eq!(fresh.may_send(100), Err(Violation::SentTooLate));
-    let begun = Progress { first_possible_run: Some(0), ..fresh };
+    let begun = RequestProgress { first_possible_run: Some(0), ..fresh };
     assert_eq!(begun.may_send(1), Err(Violation::UnsafeResent));
     assert_eq!(begun.may_refuse(), Err(Violation::UnsafeRefused));
-    let safe = Progress { effect: Effect::Safe, ..begun };
+    let safe = RequestProgress { effect: Effect::Safe, ..begun };
     assert_eq!((safe.may_send(1), safe.may_refuse()), (Ok(()), Ok(())));
 }
 
@@ -22,9 +22,9 @@
         (DedupScope::Zone, Err(Violation::KeyedRefused)),
         (DedupScope::All, Ok(())),
     ] {
-        let keyed = Progress { effect: Effect::Keyed { group, window: 30 }, ..NOTHING_SENT };
+        let keyed = RequestProgress { effect: Effect::Keyed { group, window: 30 }, ..NOTHING_SENT };
         assert_eq!((keyed.may_send(99), keyed.may_refuse()), (Ok(()), Ok(())));
-        let begun = Progress { first_possible_run: Some(10), ..keyed };
+        let begun = RequestProgress { first_possible_run: Some(10), ..keyed };
         assert_eq!((begun.may_send(39), begun.may_send(40)), (Ok(()), Err(Violation::KeyedResentLate)));
         assert_eq!(begun.may_refuse(), refused, "{group:?}");
     }
@@ -32,16 +32,17 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_goes_only_to_members_that_know_it() {
-    let (same_zone, same_group) = (Some(Place { zone: 0, group: 2 }), Some(Place { zone: 1, group: 1 }));
+    let (same_zone, same_group) =
+        (Some(MemberLocation { zone: 0, group: 2 }), Some(MemberLocation { zone: 1, group: 1 }));
     let elsewhere = Err(Violation::KeyedResentElsewhere);
     for (group, in_zone, in_group, first_gone) in [
         (DedupScope::All, Ok(()), Ok(()), Ok(())),
         (DedupScope::Zone, Ok(()), elsewhere, elsewhere),
         (DedupScope::Group, elsewhere, Ok(()), Ok(())),
     ] {
-        let keyed = Progress { effect: Effect::Keyed { group, window: 30 }, ..NOTHING_SENT };
+        let keyed = RequestProgress { effect: Effect::Keyed { group, window: 30 }, ..NOTHING_SENT };
         assert_eq!(keyed.may_go_to(same_zone, None), Ok(()), "{group:?}");
-        let begun = Progress { first_possible_run: Some(10), ..keyed };
+        let begun = RequestProgress { first_possible_run: Some(10), ..keyed };
         assert_eq!(begun.may_go_to(same_zone, Some(0)), in_zone, "{group:?}");
         assert_eq!(begun.may_go_to(same_group, Some(0)), in_group, "{group:?}");
         assert_eq!(begun.may_go_to(same_group, None), first_gone, "{group:?}");
--- a/src/policy/reads.rs
+++ b/src/policy/reads.rs
@@ -18,7 +18,7 @@
 
     /// From then on a read of this need must not begin at this member by what is known of it now: what waits for a
     /// connection meanwhile would be served from data older than its bound. Members that check turn it away themselves.
-    pub fn recent_until(&self, group: GroupId, member: MemberId, need: Consistency) -> Time {
+    pub fn fresh_until(&self, group: GroupId, member: MemberId, need: Consistency) -> Time {
         let checked = self.set.when_behind != WhenBehind::Answers;
         match need {
             Consistency::Bounded(age) if !checked && self.primary(group) != Some(member) => {
