--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -269,7 +269,7 @@
         if need == Consistency::Session {
             self.catch_up();
         }
-        let carried = request.after.map_or(0, |told| self.member_clock.local(told));
+        let carried = request.after.map_or(0, |told| self.member_clock.to_local(told));
         let written = sessions(&request).map(|s| self.sessions.written(s)).max().unwrap_or(0);
         // Where the protocol has no mark for 'never wrote', none carried may mean one that only the last process knew.
         let unmarked = request.after.is_none() && matches!(request.work, Work::Operation(_));
@@ -362,7 +362,7 @@
         if let (true, Some(commit)) = (write, position) {
             for session in sessions(&live.request) {
                 self.sessions.wrote(session, commit);
-                let told = self.member_clock.told(commit);
+                let told = self.member_clock.to_member(commit);
                 self.peer_commits.iter_mut().for_each(|other| other.wrote(session, told));
             }
         }
@@ -371,7 +371,7 @@
             count(Count::served);
             let member = live.member(attempt).map_or(0, |member| member.0);
             log::debug!(target: REQUEST, id = id.0, attempt, member; "served");
-            let commit = position.map(|local| self.member_clock.told(local));
+            let commit = position.map(|local| self.member_clock.to_member(local));
             let _ = reply.send(Answer::Served(value, commit));
             self.returning.ended(live.came, in_time);
         }
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -12,7 +12,8 @@
     pub(super) fn heard_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
         let primary = note.role == Some(Role::Primary);
         let sent = now.saturating_sub(spent);
-        let position = note.position.and_then(|told| self.member_clock.hear(told, sent, now, primary));
+        let position =
+            note.position.and_then(|told| self.member_clock.observe_position(told, sent, now, primary));
         Note { position, ..note }
     }
 
@@ -20,7 +21,7 @@
     pub(super) fn heard_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
         let Some(told) = report.position else { return Some(report) };
         let primary = report.primary == Some(true);
-        let position = self.member_clock.hear(told, now.saturating_sub(spent), now, primary);
+        let position = self.member_clock.observe_position(told, now.saturating_sub(spent), now, primary);
         if position.is_none() {
             count(Count::member_bad_reports);
         }
@@ -30,7 +31,7 @@
     /// A list as discovery words it, by this process's clock.
     pub(super) fn listed_locally(&self, entries: &mut [Listed]) {
         for Listed { member, .. } in entries {
-            member.up_since = member.up_since.map(|told| self.member_clock.local(told));
+            member.up_since = member.up_since.map(|told| self.member_clock.to_local(told));
         }
     }
 
@@ -38,7 +39,7 @@
     pub(super) fn listed_as_told(&self) -> Vec<Listed> {
         let mut entries: Vec<Listed> = self.overlay.listed().cloned().collect();
         for Listed { member, .. } in &mut entries {
-            member.up_since = member.up_since.map(|local| self.member_clock.told(local));
+            member.up_since = member.up_since.map(|local| self.member_clock.to_member(local));
         }
         entries
     }
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -98,7 +98,7 @@
             }
             Order::Learn(known, reply) => {
                 let _ = reply.send(());
-                let known = with_times(known, |told| self.member_clock.local(told));
+                let known = with_times(known, |told| self.member_clock.to_local(told));
                 return self.learn(&known);
             }
         };
@@ -147,7 +147,7 @@
     pub(super) fn catch_up(&mut self) {
         let Some(other) = &mut self.peer_commits else { return };
         let PeerCommits { commits, complete } = other.news();
-        let news = commits.into_iter().map(|(name, told)| (name, self.member_clock.local(told)));
+        let news = commits.into_iter().map(|(name, told)| (name, self.member_clock.to_local(told)));
         let (all, named): (Vec<_>, Vec<_>) = news.partition(|(name, _)| name.is_empty());
         let now = self.clock.now();
         let untold = if complete { 0 } else { now };
@@ -166,7 +166,7 @@
         let members = self.router.learned().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(RECENT));
         let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
-        with_times(known, |local| self.member_clock.told(local))
+        with_times(known, |local| self.member_clock.to_member(local))
     }
 
     /// What another process has learned, as the events that would have told it here: a start that discovery does not
@@ -197,7 +197,7 @@
     /// for a list that tells whether the member still lives it.
     pub(super) fn recall(&mut self, all: Knowledge) -> Vec<Event> {
         self.blind = self.clock.now();
-        let all = Knowledge { known: with_times(all.known, |told| self.member_clock.local(told)), ..all };
+        let all = Knowledge { known: with_times(all.known, |told| self.member_clock.to_local(told)), ..all };
         self.sessions.merge(all.known.sessions.iter(), all.known.floor);
         let mut hands = self.overlay.hands().clone();
         merge_hands(&mut hands, &all.hands);
--- a/src/known.rs
+++ b/src/known.rs
@@ -39,10 +39,10 @@
             let facts = MemberFacts {
                 start: m.up_since,
                 position: m.position,
-                heard: m.heard,
+                heard: m.position_at,
                 primary: (head.is_some() || replica).then_some(head.is_some()),
                 role_at: head.map_or(m.replica_at, |g| g.as_of),
-                cold_from: m.started.filter(|_| self.cold(m)),
+                cold_from: m.started.filter(|_| self.in_slow_start(m)),
             };
             Learned { id: *id, facts }
         })
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -8,7 +8,7 @@
 //! then waits longer than it need; where discovery answers in a few ms it waits for nothing that could be noticed.
 
 use crate::interface::{Settings, Time};
-use crate::policy::list_calls::{LIST_EACH, LIST_FEW, TURN_MAX};
+use crate::policy::list_calls::{QUEUE_WAIT_MAX, SPAN_PER_CALLER, UNSPREAD_CALLERS};
 use crate::policy::state::hash_fraction;
 
 /// Longest span of the calls after a move, in us: a proxy must know by itself within 6 s what discovery had to tell, and a
@@ -82,8 +82,8 @@
     pub fn timeout(self, call: Call) -> Time {
         match (self, call) {
             (Delivery::Pushed { .. }, _) => self.watch_wait() + self.watch_wait() / 2,
-            (Delivery::Asked, Call::Whole | Call::Confirm) => TURN_MAX + LEAD,
-            (Delivery::Asked, Call::Watch) => TURN_MAX + WATCH_WAIT + LEAD,
+            (Delivery::Asked, Call::Whole | Call::Confirm) => QUEUE_WAIT_MAX + LEAD,
+            (Delivery::Asked, Call::Watch) => QUEUE_WAIT_MAX + WATCH_WAIT + LEAD,
             (Delivery::Asked, Call::Renewal) => WATCH_WAIT + RENEWAL_LEAD,
         }
     }
@@ -140,13 +140,14 @@
 
     fn drawn_fraction(&mut self) -> f64 {
         self.drawn += 1;
-        hash_fraction(!self.seed, self.drawn, LIST_EACH)
+        hash_fraction(!self.seed, self.drawn, SPAN_PER_CALLER)
     }
 
     /// Discovery has moved, for so many proxies alike: how long until this one calls there, in us. `waited` is how long ago
     /// the first move was since which no list has come: one move after another puts the call off no further.
     pub fn moved(&mut self, proxies: u32, waited: Time) -> Time {
-        let span = (Time::from(proxies.saturating_sub(LIST_FEW)) * LIST_EACH).min(MOVE_SPAN_MAX);
+        let span =
+            (Time::from(proxies.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER).min(MOVE_SPAN_MAX);
         let drawn = (span as f64 * self.drawn_fraction()) as Time;
         drawn.min(MOVE_SPAN_MAX.saturating_sub(waited))
     }
--- a/src/listing_tests.rs
+++ b/src/listing_tests.rs
@@ -68,7 +68,7 @@
     for call in [Call::Whole, Call::Confirm, Call::Watch, Call::Renewal] {
         // Silent from its first moment on, and the next has to wait for its turn.
         assert!(
-            Delivery::Asked.timeout(call) + TURN_MAX + 300 * MS < TOLD,
+            Delivery::Asked.timeout(call) + QUEUE_WAIT_MAX + 300 * MS < TOLD,
             "{call:?}: there is no time for an answer"
         );
     }
@@ -79,11 +79,11 @@
 #[test]
 fn no_call_is_given_up_that_waits_for_its_turn_or_comes_at_the_end_of_its_wait() {
     let timeout = |call| Delivery::Asked.timeout(call);
-    assert!(timeout(Call::Whole) > TURN_MAX);
+    assert!(timeout(Call::Whole) > QUEUE_WAIT_MAX);
     // One that confirms the list is answered at once, and not after the wait of a watch.
     assert_eq!(timeout(Call::Confirm), timeout(Call::Whole));
     assert_eq!(Delivery::Asked.wait(Call::Confirm), 0);
-    assert!(timeout(Call::Watch) > TURN_MAX + WATCH_WAIT);
+    assert!(timeout(Call::Watch) > QUEUE_WAIT_MAX + WATCH_WAIT);
     assert!(timeout(Call::Renewal) > WATCH_WAIT + 500 * MS);
 }
 
@@ -91,8 +91,8 @@
 fn a_change_right_behind_a_whole_list_is_heard_of_before_it_counts_as_told() {
     // The list came after the longest wait for a turn, and so may the answer of the watch behind it.
     for seed in 0..100 {
-        let pause = Listing::new(seed).listed(300, TURN_MAX);
-        assert!(pause + TURN_MAX < TOLD + GRACE - 300 * MS, "{pause}");
+        let pause = Listing::new(seed).listed(300, QUEUE_WAIT_MAX);
+        assert!(pause + QUEUE_WAIT_MAX < TOLD + GRACE - 300 * MS, "{pause}");
     }
 }
 
@@ -132,7 +132,7 @@
     for seed in 0..100 {
         let mut listing = Listing::new(seed);
         assert_eq!(listing.moved(pushed.callers(350), 0), 0);
-        assert_eq!(listing.listed(pushed.callers(350), TURN_MAX), 0);
+        assert_eq!(listing.listed(pushed.callers(350), QUEUE_WAIT_MAX), 0);
     }
     assert_eq!(Delivery::Asked.callers(350), 350);
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -37,13 +37,13 @@
         // A cold member's budget. What is out finishes at the member's pace, so that a bound on it bounds the
         // rate; work that ended without an answer was sent, too. Where a share is below one read, lots do.
         let sent = m.spent.len() as u32 + m.out;
-        !self.cold(m)
+        !self.in_slow_start(m)
             || (few || self.slow_start_admits((id, m), open))
                 && sent < ((even(MEMBER_WRITES) * weight * ease) as u32).max(2)
     }
 
     /// Whether a member is in slow start.
-    pub(crate) fn cold(&self, m: &Seen) -> bool {
+    pub(crate) fn in_slow_start(&self, m: &Seen) -> bool {
         m.cold(self.now, self.set.rules.warm_after)
     }
 
--- a/src/policy/list_calls.rs
+++ b/src/policy/list_calls.rs
@@ -6,8 +6,8 @@
 //! restart has left of that time. Three figures bound its first call:
 //!
 //! - Discovery works through calls in turn, one of each router takes `routers x (call + entries told)`, and a call that has
-//!   waited for [`TURN_MAX`] fails and costs its time all the same. Calls spread over a span succeed as long as one of each
-//!   router takes no longer than that span and [`TURN_MAX`] together; a span shorter than that time delays none of them.
+//!   waited for [`QUEUE_WAIT_MAX`] fails and costs its time all the same. Calls spread over a span succeed as long as one of each
+//!   router takes no longer than that span and [`QUEUE_WAIT_MAX`] together; a span shorter than that time delays none of them.
 //! - A span of [`FIRST_SPAN_MAX`] therefore serves all routers whose calls take up to 4 s in all, and the last of them has
 //!   its list by then.
 //! - Where even those do not fit into what the restart has left, the rule goes first: from [`ListCalls::holds`] on nothing is
@@ -21,20 +21,20 @@
 use crate::interface::{Settings, Time};
 
 /// Routers that may call at once; each more adds so much to the span over which all spread their calls.
-pub(crate) const LIST_FEW: u32 = 18;
-pub(crate) const LIST_EACH: Time = 60_000;
+pub(crate) const UNSPREAD_CALLERS: u32 = 18;
+pub(crate) const SPAN_PER_CALLER: Time = 60_000;
 /// Longest span of the first calls of routers that may all have started at once, in us.
 const FIRST_SPAN_MAX: Time = 2_000_000;
 /// Least pause behind a failed call, in us, and the span over which few routers spread their next ones.
 const FAILED_PAUSE: Time = 300_000;
 const FAILED_SPAN: Time = 1_000_000;
-/// Longest span of the calls after a failure: with the pause before it and up to [`TURN_MAX`] in which a call waits for
+/// Longest span of the calls after a failure: with the pause before it and up to [`QUEUE_WAIT_MAX`] in which a call waits for
 /// its turn it is over before [`TOLD_AFTER`].
 const FAILED_SPAN_MAX: Time = 3_700_000;
 /// A call that has brought no word after this long is made again, in us; whoever answers no call cannot be reached.
 const CALL_TIMEOUT: Time = 6_000_000;
 /// Longest wait for a call's turn, in us: what has waited for longer discovery itself fails.
-pub(crate) const TURN_MAX: Time = 2_000_000;
+pub(crate) const QUEUE_WAIT_MAX: Time = 2_000_000;
 /// Whatever discovery has to tell counts as told this long after it had it, in us.
 const TOLD_AFTER: Time = 6_000_000;
 /// How old the oldest change may be that the list of a start lacks, in us. Discovery hears of what takes a process down with
@@ -96,9 +96,9 @@
     /// fail and still cost discovery their time: each has a moment of its own, the same in every span, so that the calls
     /// stay apart however often they fail.
     fn due_in_turn(&mut self, from: Time, few: Time, longest: Time, set: &Settings) {
-        let more = Time::from(set.instances.saturating_sub(LIST_FEW)) * LIST_EACH;
+        let more = Time::from(set.instances.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER;
         let span = (few + more).clamp(1, longest);
-        let own = (span as f64 * hash_fraction(!set.seed, LIST_EACH, 0)) as Time;
+        let own = (span as f64 * hash_fraction(!set.seed, SPAN_PER_CALLER, 0)) as Time;
         self.due = Some(from + (own + span - from % span) % span);
     }
 }
--- a/src/policy/list_calls_tests.rs
+++ b/src/policy/list_calls_tests.rs
@@ -56,7 +56,7 @@
         let Caller { set, calls, confirmed } = &mut callers[next];
         assert!(calls.calls(now));
         free = free.max(now) + each;
-        let (answered, until) = (free <= now + TURN_MAX, free.min(now + TURN_MAX));
+        let (answered, until) = (free <= now + QUEUE_WAIT_MAX, free.min(now + QUEUE_WAIT_MAX));
         let sends = (0..=until).step_by(10 * MS as usize).filter(|at| !calls.holds(*at)).last();
         unconfirmed = unconfirmed.max(sends.unwrap_or(0));
         if answered {
@@ -78,7 +78,10 @@
             let Start { unconfirmed, failed, .. } = start(routers, each);
             let work = Time::from(routers) * each;
             // Calls that take longer than this in all cannot all succeed, and those that fail are not waited for.
-            assert!(work > FIRST_SPAN_MAX + TURN_MAX - 100 * MS || failed == 0, "{routers} {each}: {failed}");
+            assert!(
+                work > FIRST_SPAN_MAX + QUEUE_WAIT_MAX - 100 * MS || failed == 0,
+                "{routers} {each}: {failed}"
+            );
             if failed > 0 {
                 continue;
             }
@@ -110,7 +113,7 @@
 
 #[test]
 fn few_routers_call_at_once_and_hold_nothing_back() {
-    for routers in [1, 4, LIST_FEW] {
+    for routers in [1, 4, UNSPREAD_CALLERS] {
         let Start { confirmed, unconfirmed, failed } = start(routers, 5 * MS);
         assert!(confirmed.iter().all(|at| *at < 100 * MS), "{confirmed:?}");
         assert!(unconfirmed < 100 * MS);
@@ -128,10 +131,10 @@
     assert!(calls.calls(made));
     // Failed, at once or after a wait: nobody can tell whether it is down, and has told nobody anything.
     let mut failed = calls;
-    failed.failed(made + TURN_MAX, &set);
+    failed.failed(made + QUEUE_WAIT_MAX, &set);
     assert!(!failed.holds(60_000 * MS));
     let again = failed.due().expect("the next call");
-    assert!(again <= made + TURN_MAX + FAILED_PAUSE + FAILED_SPAN_MAX, "{again}");
+    assert!(again <= made + QUEUE_WAIT_MAX + FAILED_PAUSE + FAILED_SPAN_MAX, "{again}");
     let mut answered = calls;
     answered.answered();
     assert!(!answered.holds(60_000 * MS) && answered.due().is_none());
@@ -149,7 +152,10 @@
             let mut calls = ListCalls::default();
             calls.failed(seed * 37 * MS, &set);
             let pause = calls.due().expect("the next call") - seed * 37 * MS;
-            assert!(pause >= FAILED_PAUSE && pause + TURN_MAX <= TOLD_AFTER, "{routers} {seed}: {pause}");
+            assert!(
+                pause >= FAILED_PAUSE && pause + QUEUE_WAIT_MAX <= TOLD_AFTER,
+                "{routers} {seed}: {pause}"
+            );
         }
     }
 }
--- a/src/policy/member_clock.rs
+++ b/src/policy/member_clock.rs
@@ -35,29 +35,29 @@
     }
 
     /// A time of theirs by this process's clock.
-    pub fn local(&self, told: Time) -> Time {
+    pub fn to_local(&self, told: Time) -> Time {
         told.saturating_add_signed(-self.offset)
     }
 
     /// A time of this process by theirs.
-    pub fn told(&self, local: Time) -> Time {
+    pub fn to_member(&self, local: Time) -> Time {
         local.saturating_add_signed(self.offset)
     }
 
     /// A position in an answer that came now to what was sent at `sent`, by this process's clock; none where that cannot be
     /// said: it lies ahead, or is a primary's and not the present.
-    pub fn hear(&mut self, told: Time, sent: Time, now: Time, primary: bool) -> Option<Time> {
+    pub fn observe_position(&mut self, told: Time, sent: Time, now: Time, primary: bool) -> Option<Time> {
         if primary && !self.settled {
             self.observe(told, sent, now);
         }
-        let local = self.local(told);
+        let local = self.to_local(told);
         let past = local > 0 && local <= now.saturating_add(SAME_WITHIN);
         let present = self.settled || !primary || self.is_present(told, sent, now);
         (past && present).then_some(local)
     }
 
     fn is_present(&self, told: Time, sent: Time, now: Time) -> bool {
-        let local = self.local(told);
+        let local = self.to_local(told);
         local.saturating_add(SAME_WITHIN) >= sent && local <= now.saturating_add(SAME_WITHIN)
     }
 
--- a/src/policy/member_clock_tests.rs
+++ b/src/policy/member_clock_tests.rs
@@ -10,7 +10,7 @@
 
 /// A primary answers at `now` by this process's clock, and its own is `off` us ahead of that.
 fn primary(clock: &mut MemberClock, now: Time, off: i64) -> Option<Time> {
-    clock.hear((now - TOOK / 2).saturating_add_signed(off), now - TOOK, now, true)
+    clock.observe_position((now - TOOK / 2).saturating_add_signed(off), now - TOOK, now, true)
 }
 
 #[test]
@@ -34,9 +34,9 @@
         assert_eq!(primary(&mut clock, NOW + 500, off), None, "nor do two");
         let local = primary(&mut clock, NOW + HOUR / 60, off).expect("three do");
         assert!(local.abs_diff(NOW + HOUR / 60) <= TOOK, "{off}: {local}");
-        assert_eq!(clock.local(clock.told(NOW)), NOW);
+        assert_eq!(clock.to_local(clock.to_member(NOW)), NOW);
         // Replicas are read by it, too: one that is 5 s behind is no more than that.
-        let behind = clock.hear(clock.told(NOW - 5_000_000), NOW, NOW, false);
+        let behind = clock.observe_position(clock.to_member(NOW - 5_000_000), NOW, NOW, false);
         assert_eq!(behind, Some(NOW - 5_000_000));
     }
 }
@@ -51,7 +51,7 @@
     assert_eq!(clock.offset(), 0);
     let mut clock = MemberClock::default();
     for n in 0..10 {
-        assert_eq!(clock.hear(Time::MAX, NOW, NOW + n, true), None);
+        assert_eq!(clock.observe_position(Time::MAX, NOW, NOW + n, true), None);
         // Noise does not agree with itself.
         primary(&mut clock, NOW + n, (n as i64 + 2) * 5_000_000);
     }
@@ -63,7 +63,7 @@
     let mut clock = MemberClock::default();
     for n in 0..5 {
         let (sent, heard) = (NOW + n, NOW + n + 30_000_000);
-        assert_eq!(clock.hear(sent + 1_000, sent, heard, true), Some(sent + 1_000));
+        assert_eq!(clock.observe_position(sent + 1_000, sent, heard, true), Some(sent + 1_000));
     }
     assert_eq!(clock.offset(), 0);
 }
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -21,7 +21,7 @@
             m.position = m.position.max(p);
             if exact {
                 m.told = Some(p);
-                m.heard = self.now;
+                m.position_at = self.now;
             }
         }
         let g = self.groups.entry(m.group).or_default();
--- a/src/policy/reads.rs
+++ b/src/policy/reads.rs
@@ -38,7 +38,7 @@
             return true;
         }
         let checked = self.set.when_behind != WhenBehind::Answers && !open.missed && !open.proven;
-        let since = self.now.saturating_sub(m.heard);
+        let since = self.now.saturating_sub(m.position_at);
         let estimate = match m.told {
             Some(told) if since <= ESTIMATE_TRUST => told.saturating_add(since),
             Some(_) => return false,
@@ -92,7 +92,7 @@
     /// Rank by slow answers lately. A cold member, new to it, ranks no better than all do together, or it
     /// would be everyone's first choice when the others are slow.
     pub(super) fn slow(&self, m: &Seen) -> u8 {
-        let common = if self.cold(m) { self.signs.pool.now(self.now, POOL_TIME) } else { 1.0 };
+        let common = if self.in_slow_start(m) { self.signs.pool.now(self.now, POOL_TIME) } else { 1.0 };
         ((1.0 - m.ease.now(self.now, EASE_TIME).min(common)) * SLOW_STEPS) as u8
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -151,7 +151,7 @@
         let listed = self.of_group(m.group).filter(|(_, m)| m.listed).count().max(1) as f64;
         let share = |m: &Seen| multiple * m.slow_start_weight(open.arrived, &self.set.rules) / listed;
         let others = self.of_group(m.group).take_while(|(other, _)| *other != id);
-        let cold = others.filter(|(id, m)| m.listed && self.cold(m) && Some(*id) != primary);
+        let cold = others.filter(|(id, m)| m.listed && self.in_slow_start(m) && Some(*id) != primary);
         let before: f64 = cold.map(|(_, m)| share(m)).sum();
         (hash_fraction(!self.set.seed, open.seq, READS) - before).rem_euclid(1.0) < share(m)
     }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -243,7 +243,7 @@
     pub position: Position,
     /// The position that an answer last told, and when that was.
     pub told: Option<Position>,
-    pub heard: Time,
+    pub position_at: Time,
     /// When it last showed itself to be a replica; 0: never.
     pub replica_at: Time,
     /// Position that came with the newest evidence of that.
@@ -412,7 +412,7 @@
     let dark = of_zone().filter_map(|m| m.doubt.as_ref()).filter(|d| !d.open && d.since >= after);
     let (count, first, refused) =
         dark.fold((0, Time::MAX, false), |(n, t, r), d| (n + 1, t.min(d.since), r || d.refused));
-    (count >= least && of_zone().all(|m| m.heard < first)).then_some(refused)
+    (count >= least && of_zone().all(|m| m.position_at < first)).then_some(refused)
 }
 
 /// A pause of half to one and a half times this length, by lot: what all routers begin at once, they repeat apart.
