--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -7,7 +7,7 @@
 //! moment, since whoever took it out is likely to have restarted it; a start since it went out that discovery knows of
 //! is better knowledge and wins.
 
-use crate::interface::{Condition, ListKind, Member, Time};
+use crate::interface::{ListKind, Member, ServiceState, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
             gone.into_iter().for_each(|name| self.leave(name, now));
         }
         for entry in &entries {
-            if entry.member.condition == Condition::Out {
+            if entry.member.service_state == ServiceState::Removed {
                 self.leave(entry.name.clone(), now);
             } else {
                 self.left.remove(&entry.name);
@@ -112,12 +112,12 @@
     /// An entry of discovery's as the module is to see it.
     fn told(&self, mut entry: ListedMember) -> ListedMember {
         let member = &mut entry.member;
-        if member.condition == Condition::In && self.fleet.contains(&entry.name) {
-            member.condition = Condition::Draining;
+        if member.service_state == ServiceState::Active && self.fleet.contains(&entry.name) {
+            member.service_state = ServiceState::Draining;
         }
         match self.hands.get(&entry.name) {
-            Some(Suspension { restored_at: None, .. }) if member.condition == Condition::In => {
-                member.condition = Condition::Draining;
+            Some(Suspension { restored_at: None, .. }) if member.service_state == ServiceState::Active => {
+                member.service_state = ServiceState::Draining;
             }
             Some(Suspension { suspended_at, restored_at: Some(restored_at) }) => {
                 let proven = member.up_since.filter(|start| start > suspended_at);
@@ -169,7 +169,7 @@
 
     /// Whether any member is listed that may be sent to.
     pub fn serves(&self) -> bool {
-        let usable = |e: &ListedMember| e.member.condition == Condition::In;
+        let usable = |e: &ListedMember| e.member.service_state == ServiceState::Active;
         self.listed.values().any(|entry| usable(&self.told(entry.clone())))
     }
 
--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -65,7 +65,7 @@
             client: None,
             client_seen: self.clock.now(),
         };
-        self.state.lock().gate.issue(key);
+        self.state.lock().gate.register(key);
         self.orders.send(MemberCommand::Attempt(attempt)).await.expect("the peer runs");
     }
 
--- a/src/net/member_actors.rs
+++ b/src/net/member_actors.rs
@@ -98,7 +98,7 @@
             report_violation(attempt.id, Some(member), Violation::SentToLeaving);
             return false;
         }
-        peer.state.lock().gate.issue(key);
+        peer.state.lock().gate.register(key);
         let taken = peer.order(MemberCommand::Attempt(attempt));
         if !taken {
             peer.state.lock().gate.end(key);
@@ -133,7 +133,7 @@
             return;
         }
         for ListedMember { member, address, .. } in entries {
-            if member.condition == Condition::Out {
+            if member.service_state == ServiceState::Removed {
                 self.gone(member.id);
                 continue;
             }
@@ -151,7 +151,7 @@
             if peer.state.moves_to(*address) {
                 peer.order(MemberCommand::Withdrawn);
             }
-            peer.leaves = member.condition == Condition::Draining;
+            peer.leaves = member.service_state == ServiceState::Draining;
             if peer.leaves {
                 peer.withdraw_all();
             }
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -67,8 +67,8 @@
 /// Attempts that find room, so that the next order does not.
 const ATTEMPTS: usize = MAILBOX;
 
-fn listed(condition: Condition, port: u16) -> ListedMember {
-    let member = Member { id: MEMBER, zone: 0, group: 1, condition, primary: true, up_since: None };
+fn listed(service_state: ServiceState, port: u16) -> ListedMember {
+    let member = Member { id: MEMBER, zone: 0, group: 1, service_state, primary: true, up_since: None };
     ListedMember { name: "m".into(), member, address: ([127, 0, 0, 1], port).into() }
 }
 
@@ -100,7 +100,7 @@
             (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
         let mut fleet = MemberActors::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
-        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        fleet.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
         let sent = (0..ATTEMPTS).filter(|n| fleet.start_attempt(MEMBER, attempt(*n, &clock))).count();
         assert!(!fleet.start_attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
         then(&mut fleet);
@@ -122,18 +122,18 @@
 
 #[test]
 fn a_member_that_leaves_while_its_mailbox_is_full_gets_nothing_new() {
-    for condition in [Condition::Draining, Condition::Out] {
+    for service_state in [ServiceState::Draining, ServiceState::Removed] {
         let (outcomes, written, _) =
-            play(|fleet| fleet.update_list(ListKind::Changes, &[listed(condition, 9)]));
-        assert_eq!(written, 0, "{condition:?}");
-        assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{condition:?}");
+            play(|fleet| fleet.update_list(ListKind::Changes, &[listed(service_state, 9)]));
+        assert_eq!(written, 0, "{service_state:?}");
+        assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{service_state:?}");
     }
 }
 
 #[test]
 fn a_member_that_moves_while_its_mailbox_is_full_gets_nothing_at_its_former_address() {
     let (outcomes, written, led) = play(|fleet| {
-        fleet.update_list(ListKind::Changes, &[listed(Condition::In, 10)]);
+        fleet.update_list(ListKind::Changes, &[listed(ServiceState::Active, 10)]);
     });
     assert!(led.iter().all(|address| address.port() == 10), "{led:?}");
     assert_eq!(written, 0);
@@ -161,9 +161,9 @@
             (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
         let mut fleet = MemberActors::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
-        fleet.update_list(ListKind::Full, &[listed(Condition::Draining, 9)]);
+        fleet.update_list(ListKind::Full, &[listed(ServiceState::Draining, 9)]);
         assert!(!fleet.start_attempt(MEMBER, attempt(1, &clock)));
-        fleet.update_list(ListKind::Full, &[listed(Condition::In, 9)]);
+        fleet.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
         assert!(fleet.start_attempt(MEMBER, attempt(2, &clock)));
     });
 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -118,7 +118,7 @@
                 let mut request = self.request(&class_table, facts, &key, None);
                 request.client = Some(client);
                 let deadline = request.deadline;
-                let safe = class_table.classes[request.class].repeat == Repeat::Safe;
+                let safe = class_table.classes[request.class].effect == Effect::Safe;
                 let answer = self.gathered(self.core.submit(request).await.await, safe).await;
                 reply::answer(form, Asked::Read(&key), answer, self.late(deadline))
             }
--- a/src/policy/invariants.rs
+++ b/src/policy/invariants.rs
@@ -1,13 +1,13 @@
 //! Rules that hold whatever the router decides, checked at run time where its decisions are carried out. A violation is a
 //! fault of this program: it is counted and told, and what would have broken the rule is not done.
 
-use crate::interface::{DedupGroup, GroupId, Repeat, Time};
+use crate::interface::{DedupScope, Effect, GroupId, Time};
 
 /// What has become of a request so far.
 #[derive(Debug, Clone, Copy)]
-pub struct Progress {
+pub struct RequestProgress {
     /// How it may be repeated.
-    pub repeat: Repeat,
+    pub effect: Effect,
     /// The group that it is for, to whose members alone it goes.
     pub group: GroupId,
     /// When the first attempt was sent that may have run, or of which the end is not known.
@@ -18,7 +18,7 @@
 
 /// Where a member stands, by which it may know a request for a repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct MemberLocation {
     /// Its zone.
     pub zone: u32,
     /// Its group.
@@ -44,15 +44,15 @@
     SentToLeaving,
 }
 
-impl Progress {
+impl RequestProgress {
     /// Whether one more attempt may be made.
     ///
     /// # Errors
     /// The rule that it would break.
     pub fn may_send(&self, now: Time) -> Result<(), Violation> {
-        match (self.repeat, self.first_possible_run) {
-            (Repeat::Unsafe, Some(_)) => Err(Violation::UnsafeResent),
-            _ if now >= self.known_until() => Err(Violation::KeyedResentLate),
+        match (self.effect, self.first_possible_run) {
+            (Effect::Unsafe, Some(_)) => Err(Violation::UnsafeResent),
+            _ if now >= self.dedup_until() => Err(Violation::KeyedResentLate),
             _ if now >= self.deadline => Err(Violation::SentTooLate),
             _ => Ok(()),
         }
@@ -63,14 +63,14 @@
     ///
     /// # Errors
     /// The rule that it would break.
-    pub fn may_go_to(&self, to: Option<Place>, first_zone: Option<u32>) -> Result<(), Violation> {
-        let (Repeat::Keyed { group, .. }, Some(_)) = (self.repeat, self.first_possible_run) else {
+    pub fn may_go_to(&self, to: Option<MemberLocation>, first_zone: Option<u32>) -> Result<(), Violation> {
+        let (Effect::Keyed { group, .. }, Some(_)) = (self.effect, self.first_possible_run) else {
             return Ok(());
         };
         let known = match group {
-            DedupGroup::All => true,
-            DedupGroup::Zone => to.is_some_and(|to| Some(to.zone) == first_zone),
-            DedupGroup::Group => to.is_some_and(|to| to.group == self.group),
+            DedupScope::All => true,
+            DedupScope::Zone => to.is_some_and(|to| Some(to.zone) == first_zone),
+            DedupScope::Group => to.is_some_and(|to| to.group == self.group),
         };
         if known {
             Ok(())
@@ -80,9 +80,9 @@
     }
 
     /// From then on members may not know one more attempt for a repeat: it must not even begin.
-    pub fn known_until(&self) -> Time {
-        match (self.repeat, self.first_possible_run) {
-            (Repeat::Keyed { window, .. }, Some(first)) => first.saturating_add(window),
+    pub fn dedup_until(&self) -> Time {
+        match (self.effect, self.first_possible_run) {
+            (Effect::Keyed { window, .. }, Some(first)) => first.saturating_add(window),
             _ => Time::MAX,
         }
     }
@@ -92,9 +92,9 @@
     /// # Errors
     /// The rule that it would break.
     pub fn may_refuse(&self) -> Result<(), Violation> {
-        match (self.repeat, self.first_possible_run) {
-            (Repeat::Unsafe, Some(_)) => Err(Violation::UnsafeRefused),
-            (Repeat::Keyed { group, .. }, Some(_)) if group != DedupGroup::All => {
+        match (self.effect, self.first_possible_run) {
+            (Effect::Unsafe, Some(_)) => Err(Violation::UnsafeRefused),
+            (Effect::Keyed { group, .. }, Some(_)) if group != DedupScope::All => {
                 Err(Violation::KeyedRefused)
             }
             _ => Ok(()),
