--- a/src/agreement/instance.rs
+++ b/src/agreement/instance.rs
@@ -317,7 +317,13 @@
     }
 
     /// A ballot of this proxy has gone on, or is over.
-    fn went(&mut self, kind: Kind, done: Result<Vec<(ProxyNumber, Message)>, End>, now: Time, out: &mut Vec<Out>) {
+    fn went(
+        &mut self,
+        kind: Kind,
+        done: Result<Vec<(ProxyNumber, Message)>, End>,
+        now: Time,
+        out: &mut Vec<Out>,
+    ) {
         match done {
             Ok(say) => say.into_iter().for_each(|(to, message)| self.send(to, message, now, out)),
             Err(end) => {
--- a/src/agreement/proposer.rs
+++ b/src/agreement/proposer.rs
@@ -209,7 +209,13 @@
     }
 
     /// A voter answers: what to say, or how it ends.
-    pub fn hear(&mut self, from: ProxyNumber, message: &Message, now: Time, times: &Timing) -> Result<Say, End> {
+    pub fn hear(
+        &mut self,
+        from: ProxyNumber,
+        message: &Message,
+        now: Time,
+        times: &Timing,
+    ) -> Result<Say, End> {
         if !self.voters.contains(&from) || now >= self.began + times.ballot() {
             return Ok(Vec::new());
         }
--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -63,8 +63,11 @@
     /// With what is wrong with it.
     pub fn read(json: &Value) -> Result<Self, String> {
         let pairs = FlatSettings::from_json(json);
-        let shared =
-            FleetSettings { names: pairs.names()?, settings: pairs.settings(0)?, times: pairs.socket_times()? };
+        let shared = FleetSettings {
+            names: pairs.names()?,
+            settings: pairs.settings(0)?,
+            times: pairs.socket_times()?,
+        };
         shared.settings.check().map_err(|e| e.to_string())?;
         let fault = shared.names.duplicates().next();
         if let Some(fault) = fault {
--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -258,7 +258,11 @@
     }
 
     /// Runs until the core has ended.
-    pub async fn run(mut self, mut calls: mpsc::Receiver<OperatorCall>, mut questions: mpsc::Receiver<Question>) {
+    pub async fn run(
+        mut self,
+        mut calls: mpsc::Receiver<OperatorCall>,
+        mut questions: mpsc::Receiver<Question>,
+    ) {
         let mut buffer = [0; 2048];
         loop {
             let now = self.with.clock.now();
--- a/src/dnssd/records.rs
+++ b/src/dnssd/records.rs
@@ -125,7 +125,12 @@
 
     /// The members that can be made of what is held. Those whose records are incomplete or cannot be acted on are
     /// skipped and counted.
-    pub fn members(&self, service: &Name, zones: &[String], numbers: &mut MemberNumbers) -> Vec<ListedMember> {
+    pub fn members(
+        &self,
+        service: &Name,
+        zones: &[String],
+        numbers: &mut MemberNumbers,
+    ) -> Vec<ListedMember> {
         let mut members: Vec<ListedMember> = Vec::new();
         for instance in self.instances(service) {
             match self.member(&instance, zones, numbers) {
--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -40,7 +40,8 @@
     async fn attempt(address: SocketAddr, statement: usize, patience: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
-        let state = SharedMemberState::new(address, SocketTimes { connect_timeout: PATIENCE, keepalive: PATIENCE });
+        let state =
+            SharedMemberState::new(address, SocketTimes { connect_timeout: PATIENCE, keepalive: PATIENCE });
         let (core, told) = mpsc::channel(8);
         let (orders, mailbox) = mpsc::channel(8);
         let wire = PgConnector::new(budget.bytes.clone());
--- a/tests/agreement_model.rs
+++ b/tests/agreement_model.rs
@@ -101,7 +101,13 @@
         }
     }
 
-    fn deliver(&self, state: &mut State, (from, to): (ProxyNumber, ProxyNumber), message: &Message, heard: bool) {
+    fn deliver(
+        &self,
+        state: &mut State,
+        (from, to): (ProxyNumber, ProxyNumber),
+        message: &Message,
+        heard: bool,
+    ) {
         let Some(voter) = state.voters.get_mut(&to) else { return };
         let said = match message {
             Message::Prepare { kind, ballot } => voter.prepare(from, *kind, *ballot),
