--- a/src/bin/linentrail-benchlink/main.rs
+++ b/src/bin/linentrail-benchlink/main.rs
@@ -1,4 +1,4 @@
-//! Adapter between the bench's wire and the decision module: it translates, nothing else.
+//! Adapter between the simulator's line protocol and the router. It translates and decides nothing.
 
 mod wire;
 
@@ -14,10 +14,10 @@
     loop {
         line.clear();
         if input.read_line(&mut line).map_err(|e| format!("input: {e}"))? == 0 {
-            return host.at_end();
+            return host.finish();
         }
         reply.clear();
-        if host.take(line.trim_end_matches(['\n', '\r']), &mut reply)? {
+        if host.accept_line(line.trim_end_matches(['\n', '\r']), &mut reply)? {
             output
                 .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
--- a/src/bin/linentrail-benchlink/wire.rs
+++ b/src/bin/linentrail-benchlink/wire.rs
@@ -1,20 +1,21 @@
-//! The wire: lines in, events out; actions in, lines out. One router per instance, sharing nothing.
+//! The simulator's line protocol: input lines become events, actions become output lines. Each instance has
+//! its own router and shares nothing with others.
 
 use linentrail::*;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 use std::str::FromStr;
 
-type Res<T> = Result<T, String>;
+type ParseResult<T> = Result<T, String>;
 
-/// One line, cut into its kind and its fields.
+/// A line, split into its kind and its fields.
 struct Line<'a> {
     kind: &'a str,
     fields: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Line<'a> {
-    fn cut(text: &'a str) -> Res<Self> {
+    fn parse(text: &'a str) -> ParseResult<Self> {
         let mut parts = text.split(' ').filter(|p| !p.is_empty());
         let kind = parts.next().ok_or("an empty line where a message was due")?;
         let mut fields = HashMap::new();
@@ -28,69 +29,69 @@
         Ok(Line { kind, fields })
     }
 
-    fn wrong(&self, name: &str, value: &str) -> String {
+    fn bad_value(&self, name: &str, value: &str) -> String {
         format!("{}: field {name} has the bad value '{value}'", self.kind)
     }
 
-    fn may<T: FromStr>(&self, name: &str) -> Res<Option<T>> {
+    fn optional<T: FromStr>(&self, name: &str) -> ParseResult<Option<T>> {
         match self.fields.get(name) {
             None => Ok(None),
-            Some(v) => v.parse().map(Some).map_err(|_| self.wrong(name, v)),
+            Some(v) => v.parse().map(Some).map_err(|_| self.bad_value(name, v)),
         }
     }
 
-    fn must<T: FromStr>(&self, name: &str) -> Res<T> {
-        self.may(name)?.ok_or_else(|| format!("{}: field {name} is missing", self.kind))
+    fn required<T: FromStr>(&self, name: &str) -> ParseResult<T> {
+        self.optional(name)?.ok_or_else(|| format!("{}: field {name} is missing", self.kind))
     }
 
-    fn word<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> Res<T> {
-        let v: String = self.must(name)?;
-        words.iter().find(|(w, _)| *w == v).map(|(_, t)| *t).ok_or_else(|| self.wrong(name, &v))
+    fn one_of<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> ParseResult<T> {
+        let v: String = self.required(name)?;
+        choices.iter().find(|(w, _)| *w == v).map(|(_, t)| *t).ok_or_else(|| self.bad_value(name, &v))
     }
 
-    fn flag(&self, name: &str) -> Res<bool> {
+    fn flag(&self, name: &str) -> ParseResult<bool> {
         match self.fields.get(name) {
             None => Ok(false),
             Some(&("1" | "true")) => Ok(true),
             Some(&("0" | "false")) => Ok(false),
-            Some(v) => Err(self.wrong(name, v)),
+            Some(v) => Err(self.bad_value(name, v)),
         }
     }
 
-    fn id(&self) -> Res<RequestId> {
-        let v: String = self.must("op_id")?;
-        let hex = v.len() == 16 && v.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    fn id(&self) -> ParseResult<RequestId> {
+        let v: String = self.required("op_id")?;
+        let valid = v.len() == 16 && v.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         match u64::from_str_radix(&v, 16) {
-            Ok(n) if hex => Ok(RequestId(n)),
-            _ => Err(self.wrong("op_id", &v)),
+            Ok(n) if valid => Ok(RequestId(n)),
+            _ => Err(self.bad_value("op_id", &v)),
         }
     }
 }
 
-/// The settings of an instance, and how its notes and reports count positions.
-fn settings(line: &Line) -> Res<(Settings, Time)> {
+/// The settings of an instance, and the time from which its notes and reports count positions.
+fn settings(line: &Line) -> ParseResult<(Settings, Time)> {
     let pairs: settings::FlatSettings =
         line.fields.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
     let read = || Ok((pairs.settings(pairs.entropy()?)?, pairs.position_origin()?));
     read().map_err(|e: String| format!("CONFIGURE: {e}"))
 }
 
-fn member(line: &Line) -> Res<Member> {
+fn member(line: &Line) -> ParseResult<Member> {
     Ok(Member {
-        id: MemberId(line.must("member")?),
-        zone: line.must("area")?,
-        group: line.must("group")?,
-        service_state: line.word(
+        id: MemberId(line.required("member")?),
+        zone: line.required("area")?,
+        group: line.required("group")?,
+        service_state: line.one_of(
             "condition",
             &[("IN", ServiceState::Active), ("LAME", ServiceState::Draining), ("OUT", ServiceState::Removed)],
         )?,
-        primary: line.may::<f64>("head")?.unwrap_or(0.0) >= 1.0,
-        up_since: line.may::<Time>("up_since_us")?.filter(|t| *t > 0),
+        primary: line.optional::<f64>("head")?.unwrap_or(0.0) >= 1.0,
+        up_since: line.optional::<Time>("up_since_us")?.filter(|t| *t > 0),
     })
 }
 
-fn note(line: &Line, zero: Time) -> Res<Option<Note>> {
-    let Some(v) = line.may::<u64>("note")? else {
+fn note(line: &Line, position_origin: Time) -> ParseResult<Option<Note>> {
+    let Some(v) = line.optional::<u64>("note")? else {
         return Ok(None);
     };
     let role = match v % 4 {
@@ -99,17 +100,17 @@
         _ => None,
     };
     let ms = v / 4;
-    let position = (ms > 0).then(|| zero.saturating_add(ms.saturating_mul(1000)));
+    let position = (ms > 0).then(|| position_origin.saturating_add(ms.saturating_mul(1000)));
     Ok(Some(Note { position, role }))
 }
 
-fn report(line: &Line, zero: Time) -> Res<Option<Report>> {
+fn report(line: &Line, position_origin: Time) -> ParseResult<Option<Report>> {
     let Some(text) = line.fields.get("telemetry").filter(|t| !t.is_empty() && **t != "-") else {
         return Ok(None);
     };
     let mut report = Report::default();
     for part in text.split(',') {
-        let (name, value) = part.split_once(':').ok_or_else(|| line.wrong("telemetry", part))?;
+        let (name, value) = part.split_once(':').ok_or_else(|| line.bad_value("telemetry", part))?;
         if !matches!(name, "x0" | "x1" | "busy") {
             continue;
         }
@@ -117,9 +118,9 @@
             .parse()
             .ok()
             .filter(|v: &f64| v.is_finite())
-            .ok_or_else(|| line.wrong("telemetry", part))?;
+            .ok_or_else(|| line.bad_value("telemetry", part))?;
         match name {
-            "x0" => report.position = Some(zero.saturating_add_signed((v * 1e6) as i64)),
+            "x0" => report.position = Some(position_origin.saturating_add_signed((v * 1e6) as i64)),
             "x1" => report.primary = Some(v >= 1.0),
             _ => report.busy = Some(v),
         }
@@ -129,61 +130,61 @@
 
 struct Instance {
     router: Router,
-    zero: Time,
+    position_origin: Time,
 }
 
-/// Hosts the instances of one process and gathers a batch until its end.
+/// Holds the instances of one process and collects the lines of a batch until its end.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
-    lists: HashMap<u32, Vec<Member>>,
-    filling: Option<(u32, usize)>,
-    clock: Option<Time>,
-    who: Option<String>,
+    list_buffers: HashMap<u32, Vec<Member>>,
+    pending_rows: Option<(u32, usize)>,
+    batch_time: Option<Time>,
+    current: Option<String>,
     batch: Vec<(String, Vec<Event>)>,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// End of input: fine between batches, malformed within one.
-    pub fn at_end(&self) -> Res<()> {
-        match self.clock {
+    /// Ends the input: valid between batches, malformed within one.
+    pub fn finish(&self) -> ParseResult<()> {
+        match self.batch_time {
             None => Ok(()),
             Some(_) => Err("TURN: the input ends before its EOF_BATCH".to_string()),
         }
     }
 
-    /// Takes one line; true when the batch is complete and `reply` holds the answer.
-    pub fn take(&mut self, text: &str, reply: &mut String) -> Res<bool> {
-        if text.trim().is_empty() && self.clock.is_none() {
+    /// Accepts one line. Returns true when the batch is complete and `reply` holds the answer.
+    pub fn accept_line(&mut self, text: &str, reply: &mut String) -> ParseResult<bool> {
+        if text.trim().is_empty() && self.batch_time.is_none() {
             return Ok(false);
         }
-        let line = Line::cut(text)?;
-        if let Some((number, left)) = self.filling {
+        let line = Line::parse(text)?;
+        if let Some((number, left)) = self.pending_rows {
             if line.kind != "ROW" {
                 return Err(format!("ROSTER: {left} more ROW lines were due, '{}' came", line.kind));
             }
-            self.lists.entry(number).or_default().push(member(&line)?);
-            self.filling = (left > 1).then_some((number, left - 1));
+            self.list_buffers.entry(number).or_default().push(member(&line)?);
+            self.pending_rows = (left > 1).then_some((number, left - 1));
             return Ok(false);
         }
-        if self.clock.is_none() != (line.kind == "TURN") {
+        if self.batch_time.is_none() != (line.kind == "TURN") {
             return Err(format!("{}: out of place, batches run from TURN to EOF_BATCH", line.kind));
         }
         match line.kind {
-            "TURN" => self.clock = Some(line.must("now_us")?),
-            "FOR" => self.who = Some(line.must("who")?),
+            "TURN" => self.batch_time = Some(line.required("now_us")?),
+            "FOR" => self.current = Some(line.required("who")?),
             "ROSTER" => {
-                let number: u32 = line.must("buffer")?;
+                let number: u32 = line.required("buffer")?;
                 if number > 15 {
-                    return Err(line.wrong("buffer", &number.to_string()));
+                    return Err(line.bad_value("buffer", &number.to_string()));
                 }
-                let rows: usize = line.must("members_list")?;
-                self.lists.insert(number, Vec::new());
-                self.filling = (rows > 0).then_some((number, rows));
+                let rows: usize = line.required("members_list")?;
+                self.list_buffers.insert(number, Vec::new());
+                self.pending_rows = (rows > 0).then_some((number, rows));
             }
             "EOF_BATCH" => {
-                self.answer(reply);
+                self.finish_batch(reply);
                 return Ok(true);
             }
             _ => self.event(&line)?,
@@ -191,15 +192,15 @@
         Ok(false)
     }
 
-    fn event(&mut self, line: &Line) -> Res<()> {
-        let who = self.who.clone().ok_or_else(|| format!("{}: no FOR line before it", line.kind))?;
+    fn event(&mut self, line: &Line) -> ParseResult<()> {
+        let who = self.current.clone().ok_or_else(|| format!("{}: no FOR line before it", line.kind))?;
         match line.kind {
             "CONFIGURE" => {
-                let (settings, zero) = settings(line)?;
+                let (settings, position_origin) = settings(line)?;
                 let router = Router::new(settings).map_err(|e| format!("CONFIGURE: {e}"))?;
                 self.batch.retain(|(w, _)| *w != who);
                 self.batch.push((who.clone(), Vec::new()));
-                self.instances.insert(who, Instance { router, zero });
+                self.instances.insert(who, Instance { router, position_origin });
                 return Ok(());
             }
             "DETACH" => {
@@ -211,10 +212,10 @@
         }
         let instance =
             self.instances.get(&who).ok_or_else(|| format!("{}: {who} has had no CONFIGURE", line.kind))?;
-        let zero = instance.zero;
+        let position_origin = instance.position_origin;
         let event = match line.kind {
             "DISCOVERY" => {
-                let kind = line.word(
+                let kind = line.one_of(
                     "mode",
                     &[
                         ("diff", ListKind::Changes),
@@ -226,49 +227,49 @@
                 let members = if kind == ListKind::Failed {
                     Vec::new()
                 } else {
-                    let number: u32 = line.must("buffer")?;
-                    self.lists
+                    let number: u32 = line.required("buffer")?;
+                    self.list_buffers
                         .get(&number)
                         .cloned()
-                        .ok_or_else(|| line.wrong("buffer", &number.to_string()))?
+                        .ok_or_else(|| line.bad_value("buffer", &number.to_string()))?
                 };
                 Event::List { kind, members }
             }
             "REQUEST" => {
-                let token: Option<f64> = line.may("token_ms")?;
+                let token: Option<f64> = line.optional("token_ms")?;
                 if token.is_some_and(|t| !t.is_finite() || t < 0.0) {
-                    return Err(line.wrong("token_ms", line.fields["token_ms"]));
+                    return Err(line.bad_value("token_ms", line.fields["token_ms"]));
                 }
-                let now = self.clock.unwrap_or_default();
-                // An age of 0 says that the session has never written.
+                let now = self.batch_time.unwrap_or_default();
+                // An age of 0 means that the session has never written.
                 let age = token.map(|ms| (ms * 1000.0) as Time).filter(|age| *age > 0);
                 Event::Request {
                     id: line.id()?,
-                    class: line.must("priority")?,
-                    group: line.must("cluster")?,
-                    deadline: line.must("client_deadline_us")?,
-                    session: line.may::<String>("session")?.map(Into::into),
+                    class: line.required("priority")?,
+                    group: line.required("cluster")?,
+                    deadline: line.required("client_deadline_us")?,
+                    session: line.optional::<String>("session")?.map(Into::into),
                     session_position: age.map(|age| now.saturating_sub(age)),
                     proven_position: None,
                     repeat: line.flag("repeat")?,
                 }
             }
             "HANGUP" => Event::Disconnected { id: line.id()? },
-            "DUE" => Event::Wake { tag: line.must("ref")? },
+            "DUE" => Event::Wake { tag: line.required("ref")? },
             "PROBED" => Event::Probed {
-                member: MemberId(line.must("member")?),
+                member: MemberId(line.required("member")?),
                 ok: outcome(line)? == Outcome::Completed,
-                report: report(line, zero)?,
+                report: report(line, position_origin)?,
             },
-            "UNDER_WAY" => Event::Started { id: line.id()?, attempt: line.must("leg")? },
+            "UNDER_WAY" => Event::Started { id: line.id()?, attempt: line.required("leg")? },
             "ATTEMPT_END" => Event::Ended {
                 id: line.id()?,
-                attempt: line.must("leg")?,
+                attempt: line.required("leg")?,
                 outcome: outcome(line)?,
                 complete: line.flag("complete")?,
-                spent: line.must("spent_us")?,
-                note: note(line, zero)?,
-                report: report(line, zero)?,
+                spent: line.required("spent_us")?,
+                note: note(line, position_origin)?,
+                report: report(line, position_origin)?,
             },
             "MAIL" => return Ok(()),
             other => return Err(format!("{other}: no such message")),
@@ -280,9 +281,9 @@
         Ok(())
     }
 
-    fn answer(&mut self, reply: &mut String) {
-        let now = self.clock.take().unwrap_or_default();
-        self.who = None;
+    fn finish_batch(&mut self, reply: &mut String) {
+        let now = self.batch_time.take().unwrap_or_default();
+        self.current = None;
         for (who, events) in self.batch.drain(..) {
             let Some(instance) = self.instances.get_mut(&who) else {
                 continue;
@@ -293,16 +294,16 @@
                 let _ = writeln!(reply, "INSTANCE who={who}");
             }
             for action in &self.actions {
-                print(action, reply);
+                write_action(action, reply);
             }
         }
         reply.push_str("EOR\n");
     }
 }
 
-fn outcome(line: &Line) -> Res<Outcome> {
+fn outcome(line: &Line) -> ParseResult<Outcome> {
     use Outcome::*;
-    line.word(
+    line.one_of(
         "code",
         &[
             ("completed", Completed),
@@ -318,7 +319,7 @@
     )
 }
 
-fn print(action: &Action, reply: &mut String) {
+fn write_action(action: &Action, reply: &mut String) {
     // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, member, stop_at: Some(t) } => {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,177 +1,180 @@
-//! The types that go in and out of the decision module: settings, events and actions.
+//! The interface of the decision modules: settings, events and actions.
 //!
-//! Nothing here decides anything. All times are microseconds on the embedding driver's clock.
+//! Nothing is decided here. All times are in microseconds on the clock of the embedding driver.
 
 use std::sync::Arc;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Time = u64;
 
-/// A log position: the moment up to which a member has applied every commit.
+/// A position in the log: the time up to which a member has applied every commit.
 pub type Position = Time;
 
-/// The driver's name for one client request. Never reused.
+/// The driver's id of one client request. Never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The member list's name for one database server.
+/// The member list's id of one database server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u32);
 
-/// One group: a primary and the replicas that hold the same data.
+/// The id of a group: a primary and the replicas that hold the same data.
 pub type GroupId = u64;
 
-/// What the data behind an answer of a class must show.
+/// The consistency that a request of a class requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write, which only the primary can serve.
     Write,
-    /// A read that must show every commit made before it arrived.
+    /// A read that must see every commit made before it arrived.
     Fresh,
-    /// A read that must show what its session has written.
+    /// A read that must see what its session has written.
     Session,
     /// A read of data no older than this when it is sent.
     Bounded(Time),
-    /// Any member may answer.
+    /// A read that any member may serve.
     Any,
 }
 
-/// Where the duplicates of a keyed request are discarded.
+/// The members that recognize and discard duplicates of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// At every member.
+    /// All members.
     All,
-    /// At the members of the zone that the first attempt went to.
+    /// The members of the zone that the first attempt went to.
     Zone,
-    /// At the members of the request's own group.
+    /// The members of the request's group.
     Group,
 }
 
-/// What a repeated attempt of a class may do.
+/// The effect of running a request of a class more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to run any number of times.
+    /// None: it may run any number of times.
     Safe,
-    /// Carries a key, by which duplicates are discarded.
+    /// Members discard duplicates by the key that the request carries.
     Keyed {
         /// The members that discard them.
         group: DedupScope,
-        /// For how long, counted from the send of the first attempt that may have run.
+        /// How long they do, counted from the sending of the first attempt that may have run.
         window: Time,
     },
-    /// Must never run twice.
+    /// Not allowed: it must never run twice.
     Unsafe,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// What its data must show.
+    /// The consistency that its requests require.
     pub consistency: Consistency,
-    /// What a repeat may do.
+    /// The effect of repeating its requests.
     pub effect: Effect,
-    /// An answer within this time has its full worth.
+    /// Target latency; an answer within it has its full value.
     pub aim: Time,
-    /// How long a client waits over all of its tries.
+    /// How long a client waits for an answer.
     pub deadline: Time,
-    /// What an answer within the aim is worth, against other classes.
+    /// Value of an answer within the aim, relative to other classes.
     pub importance: f64,
-    /// Share of the worth that an answer after the aim still has.
+    /// Share of that value that an answer after the aim still has.
     pub late_value: f64,
 }
 
-/// What a member does with a read for which it lags too far.
+/// What a member does with a read that requires a position it has not reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WhenBehind {
-    /// It answers from the data it has.
+    /// Serves it from the data it has.
     #[default]
     Answers,
-    /// It turns the read away untouched.
+    /// Refuses it without running it.
     Refuses,
-    /// It waits for its log up to this long, then turns the read away untouched.
+    /// Waits up to this long for its log to catch up, then refuses the read without running it.
     Waits(Time),
 }
 
-/// How well the member list knows the primary.
+/// What the member list tells about the primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ListedRole {
-    /// It follows, some seconds late.
+    /// The current primary, a few seconds late.
     Delayed,
-    /// It says what was true when the day began.
+    /// The primary at the start of the day.
     AtStart,
-    /// It does not say.
+    /// Nothing.
     #[default]
     Absent,
 }
 
-/// What tells the driver of a session's writes.
+/// How the router learns of a session's writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SessionTokenSource {
     /// Each session read carries the position of its session's last write.
     #[default]
     Carried,
-    /// The router must remember the writes that it has seen through.
+    /// The router must remember the writes that it has completed.
     Remembered,
 }
 
-/// The figures of the rules that bind a driver; the settings of the operators fill them in.
+/// Limits of the platform's rules that bind every driver, as set by the operators.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Rules {
-    /// A cold member starts with at least this share of its capacity.
+    /// Least share of its full capacity that a cold member starts with.
     pub cold_share: f64,
-    /// And is warm no later than this after its start.
+    /// Time after its start by which a member has its full capacity.
     pub warm_after: Time,
-    /// A cold member that is sent more than so many times what it can do, for `fall_span`, falls over.
+    /// A cold member that gets more than this multiple of its present capacity during `fall_span` becomes
+    /// overloaded and fails.
     pub fall_multiple: f64,
-    /// A cold member's work counts against its budget for this long, by all drivers together.
+    /// How long work at a cold member counts against its budget, over all drivers together.
     pub fall_span: Time,
-    /// A member that drains or is gone may still get requests for this long after the driver counts as told. One that
-    /// has heard of it sends nothing more; the grace is for hearing of it.
+    /// How long a member that drains or is removed may still get requests after the change counts as known to
+    /// the driver. A driver that has learned of the change sends nothing more; the grace only covers the time
+    /// to learn of it.
     pub drain_grace: Time,
-    /// Where true, only a member listed as draining is closed; one called gone, or left out, is not.
+    /// If true, only draining closes a member; one that is listed as removed, or not listed any more, stays
+    /// in use.
     pub removal_not_binding: bool,
 }
 
-/// What a router is told at its start.
+/// The settings of a router.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Seed of all randomness.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// Drivers in service, this one included.
+    /// Number of drivers in service, including this one.
     pub instances: u32,
-    /// This driver's zone.
+    /// The zone of this driver.
     pub zone: u32,
-    /// The classes, in the order that requests refer to.
+    /// The classes, in the order of the indices that requests use.
     pub classes: Vec<Class>,
     /// Shortest time between two calls of the router.
     pub period: Time,
-    /// True where the list must be asked for.
+    /// Whether the router must subscribe to the member list.
     pub subscribe: bool,
-    /// What the list knows of roles.
+    /// What the member list tells about the primary.
     pub list_role: ListedRole,
-    /// What members do with a read that they are too far behind for.
+    /// What members do with a read that requires a position they have not reached.
     pub when_behind: WhenBehind,
-    /// How session tokens reach the router.
+    /// How the router learns of a session's writes.
     pub session_marks: SessionTokenSource,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Members may be probed.
+    /// Whether members may be probed.
     pub probing: bool,
-    /// Clients get retry-after advice.
+    /// Whether refused clients get retry-after advice.
     pub retry_after: bool,
-    /// Longest advice that a client honours.
+    /// Longest retry-after advice that clients honour.
     pub max_retry_after: Time,
     /// Most attempts for one request.
     pub max_attempts: u32,
-    /// The figures of the rules.
+    /// Limits of the platform's rules.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// Whether a router can act on them.
+    /// Checks that a router can work with these settings.
     ///
     /// # Errors
-    /// What is wrong with them.
+    /// What is wrong with the settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         let share = self.rules.cold_share;
         let fits = |c: &Class| c.aim > 0 && c.deadline >= c.aim && c.importance > 0.0;
@@ -189,44 +192,44 @@
     }
 }
 
-/// What the list says of a member's service.
+/// The service state of a member by the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceState {
     /// In service.
     Active,
     /// Finishing its work; nothing new may be sent.
     Draining,
-    /// Gone.
+    /// Removed from service.
     Removed,
 }
 
-/// One entry of the member list.
+/// An entry of the member list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The member.
+    /// The id.
     pub id: MemberId,
-    /// Its zone.
+    /// The zone.
     pub zone: u32,
-    /// Its group.
+    /// The group.
     pub group: GroupId,
-    /// Its service.
+    /// The service state.
     pub service_state: ServiceState,
-    /// Whether the list holds it to be the primary.
+    /// Whether the list names it as the primary.
     pub primary: bool,
-    /// Its latest start, if that was not long ago.
+    /// Its last start, if it is recent.
     pub up_since: Option<Time>,
 }
 
-/// What kind of word from the member list this is.
+/// The kind of an update from the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The list as last held before a restart, perhaps stale.
+    /// The list as stored before a restart, possibly stale.
     Disk,
     /// The complete list.
     Full,
-    /// Changed entries.
+    /// The entries that have changed.
     Changes,
-    /// Entries that the operators' word has changed; discovery has said nothing.
+    /// Entries changed by the operators' orders, without an answer from discovery.
     Operator,
     /// A call failed or the subscription broke; no entries.
     Failed,
@@ -235,44 +238,44 @@
 /// A member's role in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Takes the writes.
+    /// Accepts writes.
     Primary,
     /// Follows the primary's log.
     Replica,
 }
 
-/// What an answer says of the member that gave it, as of the answer.
+/// What an answer tells about its member, exact at the time of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Note {
-    /// Its position, or the commit of a write that went through.
+    /// The member's position, or the commit of a completed write.
     pub position: Option<Position>,
-    /// Its role.
+    /// The member's role.
     pub role: Option<Role>,
 }
 
-/// A member's report on itself, as old as its last refresh.
+/// A member's report on itself, as of the report's last refresh.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
-    /// Its position then.
+    /// Its position.
     pub position: Option<Position>,
-    /// Whether it was the primary then.
+    /// Whether it is the primary.
     pub primary: Option<bool>,
-    /// Share of its processor in use then.
+    /// Share of its processor time in use.
     pub busy: Option<f64>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Completed,
-    /// The member answered with an error; it may have run.
+    /// The member answered with an error; the attempt may have run.
     Errored,
-    /// Turned away unseen, the member being full or draining; it never ran.
+    /// Refused because the member was full or draining; it never ran.
     Saturated,
     /// No answer in time; it may have run or may still run.
     Overdue,
-    /// No connection; it never ran.
+    /// The connection failed; it never ran.
     Refused,
     /// The connection broke; it may have run.
     Reset,
@@ -280,67 +283,69 @@
     Cancelled,
     /// Never sent.
     Superseded,
-    /// Turned away untouched for the member's role or position; it never ran.
+    /// Refused for the member's role or position; it never ran.
     Miss,
-    /// Served, but perhaps from older data than the request must see: it ran, and its answer is not used.
+    /// Served, but possibly from older data than the request must see: it ran, and its answer is not used.
     Stale,
 }
 
 impl Outcome {
-    /// The member has answered, whatever it said.
+    /// Whether the member gave any answer.
     pub fn answered(self) -> bool {
         use Outcome::*;
         matches!(self, Completed | Errored | Saturated | Miss | Stale)
     }
 
-    /// It proves that the attempt has not run, and will not.
+    /// Whether the outcome proves that the attempt has not run and will not.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Saturated | Outcome::Refused | Outcome::Superseded | Outcome::Miss)
     }
 }
 
-/// What happened, in the order in which it happened.
+/// An event. Events are passed in the order in which they happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Word from the member list.
+    /// An update from the member list.
     List {
-        /// What kind of word.
+        /// The kind of update.
         kind: ListKind,
         /// The entries.
         members: Vec<Member>,
     },
     /// A client's request, to be answered exactly once.
     Request {
-        /// Its name.
+        /// The id of the request.
         id: RequestId,
         /// Index of its class.
         class: usize,
         /// The group that it is for.
         group: GroupId,
-        /// When the client gives up this try.
+        /// When the client stops waiting for this try.
         deadline: Time,
         /// The session, for writes and session reads.
         session: Option<Arc<str>>,
-        /// The commit of the session's last write, where reads carry that; members see it, and can check it.
+        /// The commit of the session's last write, if the read carries it; members see and check it.
         session_position: Option<Position>,
-        /// What this session read must see beyond what members can check: only a member that has surely reached it will do.
+        /// A position that this session read must see and that members cannot check: only a member that has
+        /// provably reached it may serve the read.
         proven_position: Option<Position>,
-        /// The client has tried before.
+        /// The client has sent this request before.
         repeat: bool,
     },
-    /// New settings, with classes by the numbers that requests refer to. What is open keeps its own.
+    /// New settings; requests refer to their classes by index. Open requests keep the class that they arrived
+    /// with, under its own index.
     Settings(
         /// The settings.
         Box<Settings>,
     ),
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected; no answer is owed any more.
     Disconnected {
         /// The request.
         id: RequestId,
     },
-    /// A wake-up asked for has come due.
+    /// A scheduled wake-up is due.
     Wake {
-        /// The value that the router chose.
+        /// The tag that the router chose.
         tag: u64,
     },
     /// The result of a probe.
@@ -352,7 +357,7 @@
         /// Its report, if any.
         report: Option<Report>,
     },
-    /// A streamed answer has started; the request now lives as long as its stream.
+    /// A streamed answer has started; the request now lasts as long as its stream.
     Started {
         /// The request.
         id: RequestId,
@@ -365,29 +370,29 @@
         id: RequestId,
         /// Number of the attempt, counted from 0 in order of sending.
         attempt: u32,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
-        /// The request is over, through this outcome or before it.
+        /// The request is complete, by this outcome or before it.
         complete: bool,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         spent: Time,
-        /// What the answer says of the member.
+        /// What the answer tells about the member.
         note: Option<Note>,
         /// The member's report on itself.
         report: Option<Report>,
     },
 }
 
-/// What the driver is to do, in this order.
+/// An action for the driver. Actions are carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The member to send it to.
         member: MemberId,
-        /// When to abandon the attempt; none means when the client gives up.
+        /// When to abandon the attempt; none: at the client's deadline.
         stop_at: Option<Time>,
     },
     /// Stop waiting for an attempt.
@@ -397,23 +402,23 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: not done, trying again is harmless.
+    /// Final answer: not done; trying again is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it tries again.
         retry_after: Option<Time>,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed; the request may have taken effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Why a request is refused or failed now; told before that answer, for the log and the counters alone.
+    /// Why a request is refused or failed; precedes that answer and is meant for the log and counters only.
     Explain {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         reason: GiveUpReason,
     },
     /// Probe a member.
@@ -421,7 +426,7 @@
         /// The member.
         member: MemberId,
     },
-    /// Close the driver's idle connections to a member; the next request there opens a new one.
+    /// Close the driver's idle connections to a member, so that the next request there opens a new one.
     CloseIdle {
         /// The member.
         member: MemberId,
@@ -430,12 +435,12 @@
     Subscribe,
     /// Deliver [`Event::Wake`] with this tag after this time.
     Wake {
-        /// How long from now.
+        /// The time from now.
         after: Time,
         /// Returned with the event.
         tag: u64,
     },
-    /// Tell on-call staff something that happens rarely.
+    /// Log a rare event for the on-call staff.
     Log(
         /// The text.
         String,
@@ -445,21 +450,21 @@
 /// Why a request is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// Its client leaves before another answer could come.
+    /// No answer could reach the client before its deadline.
     NoTime,
-    /// A write of which nothing has reached a member, while its client can still come back.
+    /// A write that reached no member, at a time at which the client can still retry.
     HalfTimeOver,
-    /// Too little time is left for the work that it is.
+    /// The time left is too short to do the work.
     InVain,
-    /// It may not be sent again, or has been as often as it may.
+    /// It may not be sent again, or has used up its attempts.
     NotRepeatable,
-    /// Discovery has not confirmed the list, and the list may count as overruled.
+    /// Discovery has not confirmed the member list, which may be out of date by the platform's rules.
     ListUnconfirmed,
-    /// Members that would do have had no room, or none would do.
+    /// No suitable member had capacity, or no member was suitable.
     NoRoom,
 }
 
-/// Why a router could not be built.
+/// Why a router could not be created.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(
     /// What is wrong with the settings.
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,10 +1,10 @@
-//! The adapter's binary on the wire: transcripts in, transcripts out.
+//! The adapter's binary: input transcripts and the expected output.
 #![allow(missing_docs)]
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn drill(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_linentrail-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -52,7 +52,7 @@
         configure("driver-0"),
         write_request("00000000000000aa")
     );
-    let out = drill(&input);
+    let out = run_adapter(&input);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let lines = text(&out.stdout);
     let lines: Vec<&str> = lines.lines().filter(|l| !l.starts_with("SLEEP")).collect();
@@ -76,23 +76,23 @@
             input += &configure(w);
             input += &write_request("00000000000000aa");
         }
-        text(&drill(&(input + "EOF_BATCH\n")).stdout).replace("EOR\n", "")
+        text(&run_adapter(&(input + "EOF_BATCH\n")).stdout).replace("EOR\n", "")
     };
     assert_eq!(batch(&["driver-0", "driver-1"]), batch(&["driver-0"]) + &batch(&["driver-1"]));
 }
 
 #[test]
-fn a_killed_instance_says_nothing_more() {
+fn a_detached_instance_writes_nothing_more() {
     let input = format!(
         "TURN now_us=5000000\n{}{}DETACH\nEOF_BATCH\n",
         configure("driver-0"),
         write_request("00000000000000aa")
     );
-    assert_eq!(text(&drill(&input).stdout), "EOR\n");
+    assert_eq!(text(&run_adapter(&input).stdout), "EOR\n");
 }
 
 #[test]
-fn malformed_lines_end_with_one_plain_message() {
+fn malformed_lines_end_the_adapter_with_one_message() {
     let start = format!("TURN now_us=5000000\n{}", configure("driver-0"));
     for (line, words) in [
         ("REQUEST op_id=zz priority=1 client_deadline_us=9 cluster=4", ["REQUEST", "op_id", "zz"]),
@@ -105,7 +105,7 @@
         ("NONSENSE a=1", ["NONSENSE", "no such", "message"]),
         ("TURN now_us=1", ["TURN", "out of", "place"]),
     ] {
-        let out = drill(&format!("{start}{line}\nEOF_BATCH\n"));
+        let out = run_adapter(&format!("{start}{line}\nEOF_BATCH\n"));
         assert_eq!(out.status.code(), Some(1), "{line}");
         assert!(out.stdout.is_empty(), "{line}: a partial reply");
         let message = text(&out.stderr);
@@ -119,18 +119,18 @@
     let with = |value: &str| {
         let configure = configure("driver-0")
             .replace("rules.cold_share", &format!("rules.removal_not_binding={value} rules.cold_share"));
-        // The primary is called gone; only where that does not bind does a write still go there.
+        // The primary is listed as removed; a write still goes to it only where removal is not binding.
         let gone = "ROSTER buffer=1 members_list=1\nROW member=7 area=0 sku=0 group=4 condition=OUT head=1\n\
                     DISCOVERY buffer=1 seq_no=2 mode=diff\n";
-        drill(&format!(
+        run_adapter(&format!(
             "TURN now_us=4000000\n{configure}{gone}EOF_BATCH\n\
              TURN now_us=5000000\nFOR who=driver-0\n{}EOF_BATCH\n",
             write_request("00000000000000aa")
         ))
     };
-    let to_primary = |out: &Output| text(&out.stdout).contains("member=7\n");
-    assert!(to_primary(&with("true")) && to_primary(&with("1")));
-    assert!(!to_primary(&with("false")) && with("0").status.success());
+    let sent_to_primary = |out: &Output| text(&out.stdout).contains("member=7\n");
+    assert!(sent_to_primary(&with("true")) && sent_to_primary(&with("1")));
+    assert!(!sent_to_primary(&with("false")) && with("0").status.success());
     let bad = with("perhaps");
     assert_eq!(bad.status.code(), Some(1));
     assert!(text(&bad.stderr).contains("removal_not_binding") && bad.stdout.is_empty());
@@ -138,7 +138,7 @@
 
 #[test]
 fn the_end_of_input_is_clean_between_batches_only() {
-    assert!(drill("").status.success());
-    assert!(drill("TURN now_us=1\nEOF_BATCH\n").status.success());
-    assert!(!drill("TURN now_us=1\n").status.success());
+    assert!(run_adapter("").status.success());
+    assert!(run_adapter("TURN now_us=1\nEOF_BATCH\n").status.success());
+    assert!(!run_adapter("TURN now_us=1\n").status.success());
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! The module alone: the ordinary path, the rules, and each failure found.
+//! Tests of the router alone: the ordinary path, the rules, and regressions.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,7 +7,7 @@
 use linentrail::*;
 
 #[test]
-fn reads_go_to_the_replica_with_fewest_out_and_spill_to_the_primary_then_wait() {
+fn reads_go_to_the_least_loaded_replica_then_to_the_primary_and_then_wait() {
     let mut d = Driver::new(settings());
     let mut per = [0usize; 4];
     let mut ids = Vec::new();
@@ -17,23 +17,23 @@
             per[m as usize] += 1;
             ids.push((id, m));
             assert!(per[2].abs_diff(per[3]) <= 1, "uneven: {per:?}");
-            assert!(m != 1 || per[2] == per[3], "primary before the replicas were full");
+            assert!(m != 1 || per[2] == per[3], "sent to the primary before the replicas reached their limit");
         }
     }
     assert!(per[2] == per[3] && per[2] > 1 && per[1] > 0 && per[1] < per[2], "{per:?}");
-    assert!(ids.len() < 40, "no bound");
-    // The slot that is freed takes the oldest held read.
+    assert!(ids.len() < 40, "there is no limit");
+    // A freed slot goes to the oldest held read.
     let (done, freed) = ids[0];
     let actions = d.ended(done, 0, Outcome::Completed, None);
     assert_eq!(sent(&actions), vec![(RequestId(ids.len() as u64 + 1), freed)]);
 }
 
 #[test]
-fn a_crowded_read_leaves_early_but_one_that_waits_for_a_position_stays() {
+fn a_read_that_waits_for_capacity_is_refused_early_but_one_that_waits_for_a_position_is_not() {
     let mut d = Driver::new(settings());
     let last = (0..40).map(|_| d.request(ANY, None).0).last().unwrap();
     let actions = d.after(100 * MS);
-    assert!(refused(&actions, last), "a full fleet: give up well before the aim");
+    assert!(refused(&actions, last), "no member has capacity: give up well before the aim");
     let mut d = Driver::new(settings());
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     let (id, actions) = d.request(BOUNDED, None);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_gate_is_exact_for_bounded_reads() {
+fn the_freshness_check_is_exact_for_bounded_reads() {
     for (age, qualifies) in [(500 * MS, true), (500 * MS + 1, false)] {
         let mut d = Driver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_gate_is_exact_for_session_reads() {
+fn the_freshness_check_is_exact_for_session_reads() {
     for (lead, qualifies) in [(0, true), (1, false)] {
         let mut d = Driver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
@@ -76,8 +76,8 @@
     d.hear(3, d.now - 100 * MS, Role::Replica);
     d.ended(write, 0, Outcome::Completed, note(d.now, Role::Primary));
     let (read, actions) = d.request(SESSION, Some(0));
-    assert!(sent(&actions).is_empty(), "no replica has shown the write");
-    assert_eq!(probes(&actions).len(), 1, "they are asked first");
+    assert!(sent(&actions).is_empty(), "no replica is known to have the write");
+    assert_eq!(probes(&actions).len(), 1, "a replica is probed first");
     assert_eq!(sent(&d.after(50 * MS)), vec![(read, 1)]);
     d.hear(3, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(0));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn members_that_check_are_tried_on_their_usual_lag_but_not_twice() {
+fn members_that_check_positions_are_tried_on_an_estimate_but_not_after_a_miss() {
     let mut d = Driver::new(Settings { when_behind: WhenBehind::Refuses, ..settings() });
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     for _ in 0..2 {
@@ -97,26 +97,26 @@
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert_eq!(sent(&actions).len(), 1, "expected to have caught up by now");
     let actions = d.ended(read, 0, Outcome::Miss, note(d.now - 70 * MS, Role::Replica));
-    assert!(sent(&actions).is_empty(), "after a miss only proof will do");
+    assert!(sent(&actions).is_empty(), "after a miss a proven position is required");
 }
 
 #[test]
-fn members_that_check_are_tried_though_little_is_heard_of_them_and_others_are_not() {
+fn only_members_that_check_positions_are_tried_on_old_or_missing_positions() {
     for (when_behind, tried) in [(WhenBehind::Refuses, true), (WhenBehind::Answers, false)] {
         let mut d = Driver::new(Settings { when_behind, instances: 100, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
-        // Never heard of: 100 ms after the session's write any sound replica has it, but not at once.
+        // No position is known: a healthy replica has the session's write after 100 ms, but not at once.
         let (id, actions) = d.request(SESSION, Some(100 * MS));
         assert_eq!((!sent(&actions).is_empty(), probes(&actions).is_empty()), (tried, tried));
         if tried {
             d.ended(id, 0, Outcome::Completed, note(d.now - 20 * MS, Role::Replica));
             d.now += 8_000 * MS;
             let (_, actions) = d.request(SESSION, Some(30 * MS));
-            assert_eq!(sent(&actions).len(), 1, "heard of 8 s ago, 20 ms behind");
+            assert_eq!(sent(&actions).len(), 1, "position known from 8 s ago, 20 ms behind");
         }
         let mut d = Driver::new(Settings { when_behind, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
-        assert!(sent(&d.request(SESSION, Some(20 * MS)).1).is_empty(), "too soon to try");
+        assert!(sent(&d.request(SESSION, Some(20 * MS)).1).is_empty(), "the replica may not have the write yet");
     }
 }
 
@@ -159,21 +159,21 @@
     assert!(sent(&actions).is_empty() && failed(&actions, id));
 }
 
-/// A class of requests that only members of one zone know again.
-fn known_in_its_zone(need: Consistency) -> Settings {
+/// Settings with a keyed class whose duplicates only members of the zone of the first attempt discard.
+fn zone_deduplicated(consistency: Consistency) -> Settings {
     let mut settings = settings();
     let keyed = Effect::Keyed { group: DedupScope::Zone, window: 2_000 * MS };
-    settings.classes[KEYED] = Class { consistency: need, effect: keyed, ..settings.classes[KEYED].clone() };
+    settings.classes[KEYED] = Class { consistency, effect: keyed, ..settings.classes[KEYED].clone() };
     settings
 }
 
-/// A member of another zone than `member` makes.
-fn elsewhere(id: u32, primary: bool) -> Member {
+/// A member in another zone than those of `member`.
+fn in_other_zone(id: u32, primary: bool) -> Member {
     Member { zone: 1, ..member(id, primary) }
 }
 
-/// The members that a request goes to first from these actions on; none where it fails before.
-fn sent_again(d: &mut Driver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
+/// The members that get the request's next attempt from these actions on; none if the request fails first.
+fn next_attempts(d: &mut Driver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
     let mut members = Vec::new();
     let deadline = d.now + settings().classes[KEYED].deadline;
     loop {
@@ -182,80 +182,80 @@
         if failed(&actions, id) || !members.is_empty() {
             return members;
         }
-        assert!(d.now < deadline, "nobody has answered it");
+        assert!(d.now < deadline, "the request was not answered");
         actions = d.after(10 * MS);
     }
 }
 
 #[test]
-fn a_keyed_read_is_sent_again_to_a_zone_that_does_not_know_it() {
-    for need in [Consistency::Any, Consistency::Bounded(500 * MS), Consistency::Session, Consistency::Fresh] {
-        let mut d = Driver::new(known_in_its_zone(need));
-        let primary_is_near = need == Consistency::Fresh;
+fn a_keyed_read_is_not_repeated_in_a_zone_that_does_not_deduplicate_it() {
+    for consistency in [Consistency::Any, Consistency::Bounded(500 * MS), Consistency::Session, Consistency::Fresh] {
+        let mut d = Driver::new(zone_deduplicated(consistency));
+        let primary_is_near = consistency == Consistency::Fresh;
         d.list(
             ListKind::Full,
             vec![
                 Member { zone: u32::from(!primary_is_near), ..member(1, true) },
                 member(2, false),
-                elsewhere(3, false),
+                in_other_zone(3, false),
             ],
         );
         d.hear(2, d.now, Role::Replica);
         d.hear(3, d.now, Role::Replica);
         let (id, actions) = d.request(KEYED, None);
         let first = if primary_is_near { 1 } else { 2 };
-        assert_eq!(sent(&actions), vec![(id, first)], "{need:?}");
+        assert_eq!(sent(&actions), vec![(id, first)], "{consistency:?}");
         if primary_is_near {
             // The role moves to another zone before the first attempt ends.
             d.hear(3, d.now + MS, Role::Primary);
         }
         let actions = d.ended(id, 0, Outcome::Reset, None);
-        assert!(sent_again(&mut d, id, actions).is_empty(), "{need:?}");
+        assert!(next_attempts(&mut d, id, actions).is_empty(), "{consistency:?}");
     }
 }
 
 #[test]
-fn a_keyed_write_is_taken_back_for_a_new_primary_that_does_not_know_it() {
-    let mut d = Driver::new(known_in_its_zone(Consistency::Write));
-    d.list(ListKind::Full, vec![member(1, true), member(2, false), elsewhere(3, false)]);
+fn a_keyed_write_is_not_cancelled_for_a_new_primary_that_does_not_deduplicate_it() {
+    let mut d = Driver::new(zone_deduplicated(Consistency::Write));
+    d.list(ListKind::Full, vec![member(1, true), member(2, false), in_other_zone(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.now += 500 * MS;
     let actions = d.hear(3, d.now, Role::Primary);
-    assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "it can be answered nowhere else");
-    // The role comes back to a member of its zone.
+    assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "no other member may take it");
+    // The role returns to a member of its zone.
     let actions = d.hear(2, d.now + 10 * MS, Role::Primary);
     assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "member 3 lost the role, not member 1");
     assert!(d.ended(id, 0, Outcome::Completed, None).iter().all(|a| !matches!(a, Action::Fail { .. })));
 }
 
 #[test]
-fn a_keyed_read_at_a_quiet_member_is_taken_back_where_no_other_knows_it() {
-    for (zone, taken_back) in [(0, true), (1, false)] {
-        let mut d = Driver::new(known_in_its_zone(Consistency::Any));
+fn a_keyed_read_at_a_silent_member_is_cancelled_only_if_another_member_deduplicates_it() {
+    for (zone, cancelled) in [(0, true), (1, false)] {
+        let mut d = Driver::new(zone_deduplicated(Consistency::Any));
         let other = Member { zone, ..member(3, false) };
-        d.list(ListKind::Full, vec![elsewhere(1, true), member(2, false), other]);
+        d.list(ListKind::Full, vec![in_other_zone(1, true), member(2, false), other]);
         let (id, actions) = d.request(KEYED, None);
         assert_eq!(sent(&actions).len(), 1);
         let actions: Vec<Action> = (0..150).flat_map(|_| d.after(10 * MS)).collect();
-        assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), taken_back, "zone {zone}");
+        assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), cancelled, "zone {zone}");
     }
 }
 
 #[test]
-fn a_keyed_write_looks_for_the_primary_in_a_zone_that_does_not_know_it() {
-    let mut d = Driver::new(known_in_its_zone(Consistency::Write));
-    d.list(ListKind::Full, vec![member(1, true), elsewhere(2, false), elsewhere(3, false)]);
+fn a_keyed_write_is_not_tried_in_a_zone_that_does_not_deduplicate_it() {
+    let mut d = Driver::new(zone_deduplicated(Consistency::Write));
+    d.list(ListKind::Full, vec![member(1, true), in_other_zone(2, false), in_other_zone(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.hear(1, d.now + MS, Role::Replica);
     let actions = d.ended(id, 0, Outcome::Reset, None);
-    let again = sent_again(&mut d, id, actions);
+    let again = next_attempts(&mut d, id, actions);
     assert!(again.iter().all(|member| *member == 1), "{again:?}");
 }
 
 #[test]
-fn a_keyed_write_at_a_replaced_primary_is_taken_back_and_sent_to_the_new_one() {
+fn a_keyed_write_at_a_replaced_primary_is_cancelled_and_sent_to_the_new_one() {
     let mut d = Driver::new(settings());
     let (id, _) = d.request(KEYED, None);
     d.now += 500 * MS;
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_member_called_gone_serves_on_where_that_does_not_bind_unless_it_drained_before() {
+fn a_removed_member_stays_in_use_where_removal_is_not_binding_unless_it_drained_before() {
     for (not_binding, drained) in [(true, false), (true, true), (false, false)] {
         let rules = Rules { removal_not_binding: not_binding, ..settings().rules };
         let mut d = Driver::new(Settings { rules, ..settings() });
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_cold_member_gets_little_and_what_it_turned_away_counts() {
+fn a_cold_member_gets_few_requests_and_failed_ones_count() {
     let mut d = Driver::new(settings());
     let cold = Member { up_since: Some(d.now - MS), ..member(2, false) };
     d.list(ListKind::Full, vec![cold]);
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_full_primary_is_not_asked_again_every_round() {
+fn a_saturated_primary_is_not_tried_again_in_every_step() {
     let mut d = Driver::new(settings());
     let (id, _) = d.request(KEYED, None);
     assert!(sent(&d.ended(id, 0, Outcome::Saturated, note(d.now, Role::Primary))).is_empty());
@@ -347,8 +347,8 @@
 }
 
 #[test]
-fn slow_answers_narrow_a_members_bound_and_quick_ones_restore_it() {
-    let room = |slow: usize, quick: usize| {
+fn slow_answers_lower_a_members_limit_and_quick_ones_restore_it() {
+    let sent_until_full = |slow: usize, quick: usize| {
         let mut d = Driver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
         for n in 0..slow + quick {
@@ -359,13 +359,13 @@
         }
         (0..40).filter(|_| !sent(&d.request(ANY, None).1).is_empty()).count()
     };
-    let full = room(0, 0);
-    assert!(room(6, 0) < full);
-    assert_eq!(room(6, 60), full);
+    let full = sent_until_full(0, 0);
+    assert!(sent_until_full(6, 0) < full);
+    assert_eq!(sent_until_full(6, 60), full);
 }
 
 #[test]
-fn in_a_large_fleet_one_attempt_without_an_answer_tells_much_and_few_answers_restore_a_member() {
+fn in_a_large_fleet_one_unanswered_attempt_weighs_much_and_few_answers_restore_a_member() {
     let admitted_after = |bad: Outcome, quick: usize| {
         let one = |seed| {
             let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn a_quiet_member_gets_nothing_new_whatever_its_probe_says_and_a_failed_probe_moves_its_reads() {
+fn a_silent_member_gets_nothing_new_despite_an_answered_probe_and_a_failed_probe_moves_its_reads() {
     for ok in [true, false] {
         let classes = vec![Class { aim: 700 * MS, deadline: 2_000 * MS, ..settings().classes[ANY].clone() }];
         let mut d = Driver::new(Settings { classes, ..settings() });
@@ -406,7 +406,7 @@
         for _ in 0..4 {
             assert_ne!(sent(&d.request(ANY, None).1)[0].1, at);
         }
-        // An answer to work brings it back at once.
+        // An answer to work ends the suspicion at once.
         d.ended(read, 0, Outcome::Completed, None);
         assert_eq!(sent(&d.request(ANY, None).1)[0].1, at);
     }
@@ -424,23 +424,23 @@
     d.ended(id, 0, Outcome::Overdue, None);
     d.step(&[Event::Probed { member: MemberId(1), ok: true, report: None }]);
     let tried = |d: &mut Driver| (0..5).map(|_| sent(&d.request(UNSAFE, None).1).len()).sum::<usize>();
-    assert_eq!(tried(&mut d), 1, "a hung primary must not swallow a whole bound of writes again");
+    assert_eq!(tried(&mut d), 1, "a hung primary must not hold up its full limit of writes again");
 }
 
 #[test]
-fn a_zone_whose_members_go_silent_together_is_left_alone_before_each_has_cost_a_request() {
-    let lost = |heard_between: bool| {
+fn a_zone_whose_members_go_silent_together_is_suspected_before_each_member_costs_a_request() {
+    let lose_zone = |heard_between: bool| {
         let mut d = Driver::new(Settings { instances: 100, ..settings() });
         let far = |id| Member { zone: 1, ..member(id, false) };
         d.list(ListKind::Full, (2..10).map(far).collect());
-        let mut struck = 0;
+        let mut failures = 0;
         for _ in 0..40 {
             d.now += 20 * MS;
             let (id, mut actions) = d.request(ANY, None);
             let mut attempt = 0;
             while !sent(&actions).is_empty() {
                 let alive = heard_between && attempt % 2 == 1;
-                struck += usize::from(!alive);
+                failures += usize::from(!alive);
                 let outcome = if alive { Outcome::Completed } else { Outcome::Refused };
                 let told = note(d.now - MS, Role::Replica).filter(|_| alive);
                 actions = d.ended(id, attempt, outcome, told);
@@ -448,27 +448,29 @@
             }
             d.step(&[Event::Disconnected { id }]);
         }
-        (d, struck)
+        (d, failures)
     };
-    let (mut d, struck) = lost(false);
-    assert_eq!(struck, 3, "three of eight tell that the zone is lost");
+    let (mut d, failures) = lose_zone(false);
+    assert_eq!(failures, 3, "three of eight members show that the zone is lost");
     let (id, actions) = d.request(ANY, None);
     assert!(sent(&actions).is_empty());
     d.step(&[Event::Disconnected { id }]);
-    // One that answers a probe tells that the zone is back: those left alone for its sake alone may be tried.
+    // A member that answers a probe shows that the zone is back: members that were suspected only because of
+    // the zone may be tried.
     d.now += 1_000 * MS;
     let asked = probes(&d.request(ANY, None).1)[0];
     let mut actions = d.hear(asked, d.now, Role::Replica);
     (0..8).for_each(|_| actions.extend(d.request(ANY, None).1));
     let tried: std::collections::BTreeSet<u32> = sent(&actions).into_iter().map(|(_, to)| to).collect();
-    assert!((5..=6).contains(&tried.len()), "the five, and the one that answered: {tried:?}");
-    let (_, struck) = lost(true);
-    assert!(struck > 3, "a zone that is heard of is not lost: {struck}");
+    assert!((5..=6).contains(&tried.len()), "the five inferred ones, and the one that answered: {tried:?}");
+    let (_, failures) = lose_zone(true);
+    assert!(failures > 3, "a zone with an answering member is not lost: {failures}");
 }
 
 #[test]
-fn the_trials_of_a_large_fleet_do_not_push_over_a_zone_that_comes_back() {
-    // Each of 100 routers has found six members out of reach; 3 s later one answers a probe of each.
+fn the_trials_of_a_large_fleet_do_not_overload_a_zone_that_comes_back() {
+    // Each of 100 routers has found six members unreachable; 3 s later one member answers a probe of each
+    // router.
     let (mut trials, mut asked) = (0, 0);
     for seed in 0..100 {
         let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
@@ -487,7 +489,8 @@
             trials += sent(&d.request(ANY, None).1).len();
         }
     }
-    // Together no more than the members' warmth of 0.2 by the rule's 2, however many routers there are.
+    // In total no more than the members' initial capacity share of 0.2 times the rule's multiple of 2,
+    // however many routers there are.
     let most = f64::from(asked + 100) * 0.2 * 2.0;
     assert!((60..most as usize + 30).contains(&trials), "{trials} trials, at most {most}");
 }
@@ -506,11 +509,11 @@
             attempt += 1;
         }
     }
-    assert!(late <= 1, "{late} of the last reads went there first");
+    assert!(late <= 1, "{late} of the last reads went to the failing member");
 }
 
 #[test]
-fn quick_errors_at_all_members_alike_shut_none_of_them_out() {
+fn quick_errors_at_all_members_alike_exclude_none_of_them() {
     let mut d = Driver::new(settings());
     let mut sends = [0usize; 4];
     for n in 0..200 {
@@ -522,25 +525,25 @@
             actions = d.ended(id, attempt, outcome, None);
             attempt += 1;
         }
-        assert!(attempt <= 2, "two errors tell of the request");
+        assert!(attempt <= 2, "no third attempt after two errors");
         d.now += MS;
     }
     assert!(sends[2] > 40 && sends[3] > 40, "{sends:?}");
 }
 
 #[test]
-fn a_reset_among_answers_that_arrive_does_not_shut_the_member_out() {
+fn a_reset_while_others_are_in_flight_does_not_exclude_the_member() {
     let mut d = Driver::new(settings());
     d.list(ListKind::Full, vec![member(2, false)]);
     let (first, _) = d.request(ANY, None);
     let (second, _) = d.request(ANY, None);
     d.ended(first, 0, Outcome::Reset, None);
-    assert_eq!(sent(&d.request(ANY, None).1).len(), 1, "others are still out there");
+    assert_eq!(sent(&d.request(ANY, None).1).len(), 1, "others are still in flight");
     d.ended(second, 0, Outcome::Reset, None);
     d.step(&[Event::Disconnected { id: RequestId(3) }]);
     d.ended(RequestId(3), 0, Outcome::Reset, None);
     let tried = (0..4).map(|_| sent(&d.request(ANY, None).1).len()).sum::<usize>();
-    assert_eq!(tried, 1, "all are lost: one at a time");
+    assert_eq!(tried, 1, "all attempts are lost: one at a time");
 }
 
 #[test]
@@ -561,7 +564,8 @@
 
 #[test]
 fn cold_members_get_their_share_of_a_groups_reads_from_any_number_of_routers_together() {
-    // Members: a primary, two warm replicas and one cold, or a whole zone of cold ones come back at once.
+    // The group: a primary, two warm replicas, and one cold replica or a whole zone of them that came back at
+    // once.
     for (routers, cold) in [(100, 1), (300, 1), (100, 3)] {
         let (per_router, listed) = (20, 3 + cold);
         let mut got = vec![0; cold as usize];
@@ -574,7 +578,7 @@
             for _ in 0..per_router {
                 let (id, actions) = d.request(ANY, None);
                 for (_, to) in sent(&actions) {
-                    // The warm ones are slow, so that the cold are everyone's first choice.
+                    // The warm replicas are slow, so that the cold ones are every router's first choice.
                     d.now += if to < 4 { 150 * MS } else { 10 * MS };
                     d.ended(id, 0, Outcome::Completed, None);
                     if to >= 4 {
@@ -584,19 +588,21 @@
                 d.step(&[Event::Disconnected { id }]);
             }
         }
-        // An even share of the reads, times the warmth of 0.2 to 0.5 that they reach, times the rule's 2.
+        // An even share of the reads, times the capacity share of 0.2 to 0.5 that the members reach, times
+        // the rule's multiple of 2.
         let even = f64::from(routers as u32 * per_router) / f64::from(listed);
         for got in got.into_iter().map(f64::from) {
-            assert!(got <= even * 0.45 * 2.0, "{got} of {even} are too many with {routers} routers");
-            assert!(got >= even * 0.15, "{got} of {even} warm nobody with {routers} routers");
+            assert!(got <= even * 0.45 * 2.0, "{got} reads, more than the budget from an even share of {even}, with {routers} routers");
+            assert!(got >= even * 0.15, "{got} reads, too few to warm up, of an even share of {even}, with {routers} routers");
         }
     }
 }
 
 #[test]
-fn what_all_send_to_a_cold_member_stays_within_its_budget_and_what_chance_may_add() {
-    // Twenty and thirty processes, a primary and four replicas with 60 reads a second each, at all that the group can do
-    // when warm. One replica has just started; some processes have, too, and know of no warmth but by the list.
+fn the_load_of_all_routers_on_a_cold_member_stays_within_its_budget_and_random_variation() {
+    // Twenty and thirty processes; a primary and four replicas with 60 reads a second each, the full load of
+    // the warm group. One replica has just started. In the third case half of the processes have, too, and
+    // know the members' starts from the list only.
     const SPAN: Time = 1_500 * MS;
     for (routers, fresh) in [(20u64, 0), (30, 0), (24, 12)] {
         let fleet = |seed| Settings { seed, instances: routers as u32, ..settings() };
@@ -622,7 +628,7 @@
                 }
                 *until > now
             });
-            // 300 a second: one and a half each step.
+            // 300 requests a second: one and a half per step.
             for _ in 0..1 + step % 2 {
                 seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
                 let router = (seed >> 33) as usize % all.len();
@@ -630,25 +636,25 @@
                 let (id, actions) = all[router].request(ANY, None);
                 match sent(&actions)[..] {
                     [(_, to)] => {
-                        // The warm ones are slow, so that the cold one is everybody's first choice.
+                        // The warm replicas are slow, so that the cold one is every router's first choice.
                         busy.push((now + if to == 5 { 15 } else { 150 } * MS, router, id));
                         given.extend((to == 5).then_some(now));
                     }
                     _ => drop(all[router].step(&[Event::Disconnected { id }])),
                 }
             }
-            let warmth = 0.2 + 0.8 * (now - start) as f64 / settings().rules.warm_after as f64;
-            let budget = 2.0 * 60.0 * warmth * SPAN as f64 / 1e6;
+            let capacity = 0.2 + 0.8 * (now - start) as f64 / settings().rules.warm_after as f64;
+            let budget = 2.0 * 60.0 * capacity * SPAN as f64 / 1e6;
             let got = given.iter().rev().take_while(|t| **t + SPAN > now).count() as f64;
             worst = worst.max(got - budget - 2.0 * budget.sqrt() - 2.0);
         }
-        assert!(worst <= 0.0, "{routers} routers: {worst:.1} more than chance may add");
-        assert!(given.len() > 150, "{routers} routers: {} warm nobody", given.len());
+        assert!(worst <= 0.0, "{routers} routers: {worst:.1} more than random variation may add");
+        assert!(given.len() > 150, "{routers} routers: {} reads are too few to warm up", given.len());
     }
 }
 
 #[test]
-fn where_a_whole_group_is_half_warm_hardly_a_read_finds_nobody_and_repeats_find_some_too() {
+fn in_a_half_warm_group_nearly_all_reads_and_retries_find_a_member() {
     let found = |age: Time, repeat: bool| {
         let one = |seed| {
             let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
@@ -671,16 +677,16 @@
         };
         (0..300).map(one).sum::<usize>()
     };
-    // 6 replicas of 7 members, each with a share of 2 x 0.6 / 7: together they hold nearly all.
+    // 6 replicas of 7 members, each with a share of 2 x 0.6 / 7: together they cover nearly all reads.
     assert!(found(5_000 * MS, false) > 290, "{} of 300", found(5_000 * MS, false));
     assert!(found(5_000 * MS, true) > 290, "{} of 300", found(5_000 * MS, true));
-    // A fifth warm: together 2 x 0.2 x 6 / 7, and no repeats.
+    // A fifth of the capacity: together 2 x 0.2 x 6 / 7, and no retries.
     assert!((75..130).contains(&found(0, false)), "{} of 300", found(0, false));
     assert_eq!(found(0, true), 0);
 }
 
 #[test]
-fn a_cold_primary_gets_writes_by_twice_its_warmth_and_no_reads() {
+fn a_cold_primary_gets_writes_up_to_twice_its_capacity_and_no_reads() {
     let count = |class| {
         let one = |seed| {
             let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
@@ -695,7 +701,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_where_they_lose_requests_and_only_there() {
+fn idle_connections_are_closed_only_where_they_lose_requests() {
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle { .. }));
     for (idle_lost, used_lost, expected) in [(2, 0, true), (2, 4, false), (1, 0, false)] {
         let mut d = Driver::new(settings());
@@ -721,18 +727,18 @@
 }
 
 #[test]
-fn an_unknown_replica_is_asked_before_the_primary_takes_a_read() {
+fn a_replica_of_unknown_position_is_probed_before_the_primary_takes_a_read() {
     let mut d = Driver::new(settings());
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
-    assert_eq!(probes(&actions).len(), 1, "hundreds of drivers must not ask them all");
+    assert_eq!(probes(&actions).len(), 1, "one probe, as hundreds of drivers must not probe all replicas");
     let asked = probes(&actions)[0];
     let report = Report { position: Some(d.now), primary: Some(false), busy: None };
     let actions = d.step(&[Event::Probed { member: MemberId(asked), ok: true, report: Some(report) }]);
     assert_eq!(sent(&actions), vec![(id, asked)]);
 }
 
-/// How many of `count` reads are sent at once, one after another, each answered after `spent`.
+/// How many of `count` consecutive reads are sent at once, each answered after `spent`.
 fn admitted(d: &mut Driver, spent: Time, count: usize) -> usize {
     let mut sent_now = 0;
     for _ in 0..count {
@@ -746,30 +752,30 @@
 }
 
 #[test]
-fn overload_seen_at_many_members_thins_requests_to_all_of_them() {
+fn slow_answers_of_many_members_reduce_the_requests_to_all_of_them() {
     let mut d = Driver::new(Settings { instances: 300, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
     assert_eq!(admitted(&mut d, 10 * MS, 40), 40);
     admitted(&mut d, 250 * MS, 40);
-    let thinned = admitted(&mut d, 250 * MS, 40);
-    assert!((1..30).contains(&thinned), "{thinned} of 40");
+    let reduced = admitted(&mut d, 250 * MS, 40);
+    assert!((1..30).contains(&reduced), "{reduced} of 40");
     for _ in 0..6 {
         admitted(&mut d, 10 * MS, 40);
     }
-    assert_eq!(admitted(&mut d, 10 * MS, 40), 40, "and quick answers let them in again");
+    assert_eq!(admitted(&mut d, 10 * MS, 40), 40, "quick answers admit all requests again");
 }
 
 #[test]
-fn in_a_large_fleet_slow_answers_within_the_aim_turn_no_read_away_from_members_that_hold_nothing() {
+fn in_a_large_fleet_slow_answers_within_the_aim_refuse_no_read_while_other_members_are_idle() {
     let mut d = Driver::new(Settings { instances: 100, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
-    // Slow ones at half of the members; the other half holds nothing and was never slow.
+    // Half of the members answer slowly; the other half has nothing in flight and was never slow.
     assert_eq!(admitted(&mut d, 150 * MS, 19), 19);
     assert_eq!(admitted(&mut d, 10 * MS, 40), 40);
 }
 
 #[test]
-fn odd_lists_change_nothing_that_the_rules_do_not_demand() {
+fn repeated_empty_and_foreign_list_entries_change_nothing() {
     let mut d = Driver::new(settings());
     d.list(ListKind::Changes, vec![member(2, false), member(2, false)]);
     d.list(ListKind::Changes, Vec::new());
@@ -781,7 +787,7 @@
 }
 
 #[test]
-fn a_member_listed_under_another_group_gets_nothing_of_its_old_one() {
+fn a_member_listed_under_another_group_gets_nothing_for_its_old_one() {
     let mut d = Driver::new(settings());
     d.list(ListKind::Changes, vec![Member { group: 77, ..member(2, false) }]);
     for _ in 0..20 {
@@ -792,19 +798,20 @@
 #[test]
 fn a_failed_list_call_is_repeated_after_a_pause() {
     let mut d = Driver::new(Settings { subscribe: true, ..settings() });
-    let follow = |a: &[Action]| a.contains(&Action::Subscribe);
-    assert!(!follow(&d.list(ListKind::Failed, Vec::new())), "at once");
+    let subscribes = |a: &[Action]| a.contains(&Action::Subscribe);
+    assert!(!subscribes(&d.list(ListKind::Failed, Vec::new())), "the call is not repeated at once");
     let mut asked = false;
     for _ in 0..15 {
-        asked |= follow(&d.after(100 * MS));
+        asked |= subscribes(&d.after(100 * MS));
     }
     assert!(asked);
 }
 
 #[test]
-fn a_fleet_cut_off_from_discovery_spreads_its_calls_and_each_is_in_time_for_what_counts_as_told() {
-    // Routers start at one moment and every call fails for 30 s: what may all together do in any second, and how long
-    // may one go without a call? `took`: a discovery that is down refuses at once, one that is overbooked after 2 s.
+fn a_fleet_without_discovery_spreads_its_calls_and_each_router_calls_in_time() {
+    // All routers start at the same time and every call fails for 30 s: limits the calls of all routers in
+    // any second and the longest gap between the calls of one router. `took` is the duration of a failed
+    // call: a discovery that is down refuses at once, an overloaded one after 2 s.
     let spread = |instances: u32, took: Time| {
         let (mut firsts, mut calls) = (Vec::new(), Vec::new());
         for seed in 0..u64::from(instances) {
@@ -819,9 +826,10 @@
                 }
                 asks = d.after(10 * MS).contains(&Action::Subscribe);
             }
-            // What has changed before the start counts as told soon after it, and the answer may take 2 s.
+            // A change from before the start counts as known soon after the start, and the answer may take 2
+            // s.
             assert!(own[0] <= 2_010 * MS, "{}", own[0]);
-            // A change counts as told 6 s after discovery can be reached again, and its answer may take 2 s.
+            // A change counts as known 6 s after discovery is reachable again, and its answer may take 2 s.
             let gap = own.windows(2).map(|w| w[1] - w[0] - took).max();
             assert!(gap.is_some_and(|gap| gap <= 4_050 * MS), "{gap:?}");
             let most = if instances > 18 { 9 } else { 31 };
@@ -838,23 +846,24 @@
     for took in [0, 2_000 * MS] {
         for (routers, first_most, most) in [(100, 64, 40), (300, 180, 120)] {
             let (first, later) = spread(routers, took);
-            // First calls are spread over 2 s and no call fails for it; what fails is spread over more.
+            // First calls are spread over 2 s so that none fails by their number; failed calls are spread
+            // over longer.
             assert!(first <= first_most, "{first} first calls of {routers} routers within one second");
             assert!(later <= most, "{later} calls of {routers} routers within one second");
         }
         spread(6, took);
     }
     let mut d = Driver::new(Settings { subscribe: true, ..settings() });
-    assert!(d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe), "few ask at once");
+    assert!(d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe), "a small fleet calls at once");
 }
 
 #[test]
-fn unknown_and_finished_things_are_ignored() {
+fn events_for_unknown_or_finished_requests_and_members_are_ignored() {
     let mut d = Driver::new(settings());
     let (id, _) = d.request(ANY, None);
     d.ended(id, 0, Outcome::Completed, None);
-    let stray = RequestId(77);
-    for id in [id, stray] {
+    let unknown = RequestId(77);
+    for id in [id, unknown] {
         assert!(sent(&d.ended(id, 0, Outcome::Errored, None)).is_empty());
         assert!(sent(&d.step(&[Event::Disconnected { id }, Event::Started { id, attempt: 3 }])).is_empty());
     }
@@ -893,20 +902,20 @@
 }
 
 #[test]
-fn each_router_takes_its_even_share_of_a_members_bound() {
-    let room = |instances, class| {
+fn each_router_takes_its_even_share_of_a_members_limit() {
+    let sent_until_full = |instances, class| {
         let mut d = Driver::new(Settings { instances, ..settings() });
         d.list(ListKind::Full, vec![if class == UNSAFE { member(1, true) } else { member(2, false) }]);
         (0..60).filter(|_| !sent(&d.request(class, None).1).is_empty()).count()
     };
     for class in [ANY, UNSAFE] {
-        let (two, eight) = (room(2, class), room(8, class));
+        let (two, eight) = (sent_until_full(2, class), sent_until_full(8, class));
         assert!(eight > 0 && eight * 3 <= two, "{eight} of {two}");
     }
 }
 
 #[test]
-fn an_attempt_is_given_up_early_only_where_a_repeat_is_allowed_and_still_in_time() {
+fn an_attempt_is_stopped_early_only_if_a_repeat_is_allowed_and_still_in_time() {
     let stop = |class, after: Time| {
         let mut d = Driver::new(settings());
         for _ in 0..200 {
@@ -924,14 +933,15 @@
         actions.iter().find_map(pick).expect("sent")
     };
     assert!(stop(KEYED, 0).is_some());
-    assert!(stop(KEYED, 199 * MS).is_none(), "too late to go again");
+    assert!(stop(KEYED, 199 * MS).is_none(), "too late for another attempt");
     assert!(stop(UNSAFE, 0).is_none());
 }
 
 #[test]
-fn attempts_cut_off_as_lost_do_not_make_the_next_ones_be_cut_off_sooner() {
-    // Work takes 20 ms, and then members jam: what does not find them idle takes 150 ms, still within the aim. Of answers
-    // alone the mean would be that of the few quick ones, and all others would end within 16 ms, run all the same.
+fn attempts_cut_off_as_lost_do_not_shorten_the_next_ones() {
+    // Requests take 20 ms until the members become congested; then those that find a member busy take 150 ms,
+    // still within the aim. If the mean followed answers alone, it would be that of the few quick requests,
+    // and all others would be cut off within 16 ms although they run to their end.
     let mut d = Driver::new(settings());
     let mut early = 0;
     for n in 0..600u64 {
@@ -958,12 +968,13 @@
         d.step(&[Event::Ended { id, attempt: 0, outcome, complete: true, spent, note, report }]);
         d.now += 50 * MS;
     }
-    assert!((1..=40).contains(&early), "{early} cut off: the jam is learned from the first few");
+    assert!((1..=40).contains(&early), "{early} cut off: the longer service time is learned from the first few");
 }
 
 #[test]
-fn a_read_with_too_little_time_for_an_answer_is_refused_at_once_but_for_a_few() {
-    // Work takes 40 ms; clients that give up after 30 ms would have members work in vain, those with 400 ms would not.
+fn a_read_with_too_little_time_for_an_answer_is_refused_at_once_except_for_a_few() {
+    // Requests take 40 ms: members would work in vain for clients that wait 30 ms, but not for those that
+    // wait 400 ms.
     let mut d = Driver::new(settings());
     let mut ask = |left: Time| {
         let id = RequestId(1_000_000 + d.now);
@@ -988,21 +999,21 @@
         d.now += 50 * MS;
         (sent, refused)
     };
-    let mut tell = |left: Time, count: usize| {
-        let told: Vec<(bool, bool)> = (0..count).map(|_| ask(left)).collect();
-        assert!(told.iter().all(|(sent, refused)| sent != refused), "one or the other, at once");
-        told.iter().filter(|(sent, _)| *sent).count()
+    let mut count_sent = |left: Time, count: usize| {
+        let results: Vec<(bool, bool)> = (0..count).map(|_| ask(left)).collect();
+        assert!(results.iter().all(|(sent, refused)| sent != refused), "each read is sent or refused at once");
+        results.iter().filter(|(sent, _)| *sent).count()
     };
-    assert_eq!(tell(30 * MS, 10), 10, "a guess refuses nobody");
-    assert_eq!(tell(400 * MS, 100), 100);
-    let few = tell(30 * MS, 300);
-    assert!((10..=60).contains(&few), "{few} of 300: a few tell how long work takes now");
-    assert_eq!(tell(400 * MS, 100), 100);
+    assert_eq!(count_sent(30 * MS, 10), 10, "the initial estimate refuses nothing");
+    assert_eq!(count_sent(400 * MS, 100), 100);
+    let few = count_sent(30 * MS, 300);
+    assert!((10..=60).contains(&few), "{few} of 300: a few show the current service time");
+    assert_eq!(count_sent(400 * MS, 100), 100);
 }
 
 #[test]
 fn a_write_that_reached_no_member_is_given_up_before_half_of_its_time() {
-    // Late refusals of what was never tried cost more than the chance of a new primary is worth.
+    // A late refusal of a write that was never tried costs more than the chance of a new primary is worth.
     let mut d = Driver::new(settings());
     d.list(ListKind::Full, vec![]);
     let (id, actions) = d.request(UNSAFE, None);
@@ -1011,7 +1022,7 @@
     let actions = d.after(90 * MS);
     let away = Some(500 * MS);
     assert!(actions.contains(&Action::Refuse { id, retry_after: away }), "{actions:?}");
-    // One that a member has turned away was tried: it may wait until its client leaves.
+    // A write that a member refused was tried, and may wait until its client's deadline.
     let mut d = Driver::new(settings());
     d.list(ListKind::Full, vec![member(1, true)]);
     let (id, actions) = d.request(UNSAFE, None);
@@ -1023,25 +1034,25 @@
 }
 
 #[test]
-fn members_that_are_gone_are_forgotten_and_prove_everything_anew_when_they_return() {
+fn removed_members_are_forgotten_and_prove_their_position_again_when_they_return() {
     let mut d = Driver::new(settings());
     d.hear(2, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert_eq!(sent(&actions), vec![(read, 2)]);
     let gone = |id| Member { service_state: ServiceState::Removed, ..member(id, false) };
-    // While something is out at it, its end must still be understood.
+    // While an attempt is in flight at the removed member, its end must still be processed.
     d.list(ListKind::Changes, vec![gone(2)]);
     d.ended(read, 0, Outcome::Completed, note(d.now, Role::Replica));
     d.list(ListKind::Changes, vec![gone(2), gone(7)]);
     d.list(ListKind::Full, vec![member(1, true), member(2, false)]);
     let (read, actions) = d.request(SESSION, Some(50 * MS));
-    assert!(sent(&actions).is_empty(), "what it had proved is forgotten");
+    assert!(sent(&actions).is_empty(), "its proven position is forgotten");
     assert_eq!(probes(&actions), vec![2]);
     assert_eq!(sent(&d.hear(2, d.now, Role::Replica)), vec![(read, 2)]);
 }
 
 #[test]
-fn most_members_replaced_within_seconds_leave_nothing_behind() {
+fn replacing_most_members_within_seconds_leaves_no_state_behind() {
     let mut d = Driver::new(Settings { instances: 100, ..settings() });
     let of = |id: u32| Member { group: u64::from(id % 10), ..member(id, id < 10) };
     d.list(ListKind::Full, (0..60).map(of).collect());
@@ -1063,8 +1074,8 @@
 }
 
 #[test]
-fn a_member_that_refuses_connections_is_not_asked_by_a_whole_fleet_at_once() {
-    // 100 routers find it out at one moment and have a read for its group every 10 ms.
+fn a_member_that_refuses_connections_is_not_probed_by_a_whole_fleet_at_once() {
+    // 100 routers find the member unreachable at the same time and each has a read for its group every 10 ms.
     let mut probed = Vec::new();
     for seed in 0..100 {
         let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
@@ -1091,14 +1102,14 @@
 }
 
 #[test]
-fn what_comes_and_goes_leaves_nothing_behind() {
+fn short_lived_members_and_unknown_groups_leave_no_state_behind() {
     let mut d = Driver::new(settings());
     let before = d.router.entry_count();
     for i in 100..200 {
         d.list(ListKind::Changes, vec![member(i, false)]);
         let gone = Member { service_state: ServiceState::Removed, ..member(i, false) };
         d.list(ListKind::Changes, vec![gone]);
-        // A group that there is not.
+        // A group without members.
         let id = RequestId(u64::from(i));
         let deadline = d.now + 100 * MS;
         d.step(&[Event::Request {
@@ -1117,12 +1128,12 @@
 }
 
 #[test]
-fn new_settings_change_neither_what_is_known_nor_how_an_open_request_is_judged() {
+fn new_settings_keep_the_router_state_and_the_rules_of_open_requests() {
     let mut d = Driver::new(settings());
     d.hear(1, d.now, Role::Primary);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), [(id, 1)]);
-    // Fewer attempts than before, and a slot more, which has the former class made safe.
+    // Fewer attempts than before, and one more class index, under which the former class is safe.
     let mut new = settings();
     new.max_attempts = 2;
     new.classes.push(Class { effect: Effect::Safe, ..new.classes[UNSAFE].clone() });
@@ -1130,9 +1141,9 @@
     let actions = d.ended(id, 0, Outcome::Reset, None);
     assert!(
         failed(&actions, id) && sent(&actions).is_empty(),
-        "it came as one that must not run twice: {actions:?}"
+        "it arrived as an unsafe request: {actions:?}"
     );
-    // Sent anew, the primary is still known; and a request has two attempts from now on.
+    // For a new request the primary is still known, and two attempts are allowed from now on.
     d.hear(1, d.now, Role::Primary);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), [(id, 1)]);
@@ -1145,7 +1156,7 @@
 }
 
 #[test]
-fn attempts_allowed_later_are_not_for_a_request_that_came_before() {
+fn a_request_keeps_the_attempt_limit_that_it_arrived_with() {
     let mut few = settings();
     few.max_attempts = 1;
     let mut d = Driver::new(few);
@@ -1158,7 +1169,7 @@
 }
 
 #[test]
-fn the_operators_word_on_a_member_leaves_a_call_to_discovery_due() {
+fn an_operators_change_of_a_member_leaves_a_call_to_discovery_due() {
     let mut d = Driver::new(Settings { subscribe: true, ..settings() });
     let out = Member { service_state: ServiceState::Draining, ..member(2, false) };
     let first = d.list(ListKind::Operator, vec![out]);
@@ -1167,8 +1178,8 @@
 }
 
 #[test]
-fn a_long_request_costs_a_quiet_member_few_probes_and_where_work_takes_long_none() {
-    // Nothing is answered while it runs: a member that hangs looks the same.
+fn a_long_request_causes_few_probes_of_a_silent_member_and_none_where_work_takes_long() {
+    // Nothing is answered while it runs, as at a member that hangs.
     let asked = |d: &mut Driver, span: Time| {
         let mut asked = 0;
         for _ in 0..span / (50 * MS) {
@@ -1182,7 +1193,7 @@
     assert!(asked(&mut d, 450 * MS) <= 1);
     let more = asked(&mut d, 1_000 * MS);
     assert!((1..=3).contains(&more), "{more} probes in a second");
-    // The same where a write takes 700 ms as a rule.
+    // The same where a write usually takes 700 ms.
     let mut long = settings();
     long.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (2_800 * MS, 9_000 * MS));
     let mut d = Driver::new(long);
@@ -1192,39 +1203,39 @@
 }
 
 #[test]
-fn what_is_worth_more_goes_first_where_room_is_short() {
-    // One router of 96 has one read out at a member at a time.
-    let order = |worth: f64| {
+fn the_more_important_class_goes_first_if_capacity_is_short() {
+    // One router of 96 has at most one read in flight at a member.
+    let order = |importance: f64| {
         let mut set = Settings { instances: 96, ..settings() };
-        set.classes[BOUNDED] = Class { importance: worth, ..set.classes[ANY].clone() };
+        set.classes[BOUNDED] = Class { importance, ..set.classes[ANY].clone() };
         let mut driver = Driver::new(set);
         let mut out = Vec::new();
-        // Until none has room any more.
-        let cheap = loop {
+        // Until no member has capacity.
+        let less_important = loop {
             let (id, actions) = driver.request(ANY, None);
             if sent(&actions).is_empty() {
                 break id;
             }
             out.push(id);
         };
-        let (dear, actions) = driver.request(BOUNDED, None);
+        let (more_important, actions) = driver.request(BOUNDED, None);
         assert!(!out.is_empty() && sent(&actions).is_empty(), "both wait");
         let position = driver.now - MS;
         let actions = driver.ended(out[0], 0, Outcome::Completed, note(position, Role::Replica));
         let went: Vec<RequestId> = sent(&actions).into_iter().map(|(id, _)| id).collect();
-        assert_eq!(went.len(), 1, "there is room for one");
-        (went[0], cheap, dear)
+        assert_eq!(went.len(), 1, "there is capacity for one");
+        (went[0], less_important, more_important)
     };
-    let (went, _, dear) = order(2.0);
-    assert_eq!(went, dear);
-    let (went, cheap, _) = order(1.0);
-    assert_eq!(went, cheap, "of equals the oldest");
+    let (went, _, more_important) = order(2.0);
+    assert_eq!(went, more_important);
+    let (went, less_important, _) = order(1.0);
+    assert_eq!(went, less_important, "the oldest of equals goes first");
 }
 
 #[test]
-fn a_router_that_started_sends_nothing_by_a_list_that_discovery_has_not_confirmed_in_time() {
+fn a_started_router_sends_nothing_on_a_list_that_discovery_has_not_confirmed_in_time() {
     let set = Settings { subscribe: true, instances: 300, ..settings() };
-    // One of those whose first call is late: its turn comes after the list may count as overruled.
+    // A router whose first call is late: its slot comes after the list may be out of date.
     let late = |seed: &u64| {
         let mut d = Driver::blank(Settings { seed: *seed, ..set.clone() });
         let began = d.now;
@@ -1241,27 +1252,27 @@
 
     let mut d = start();
     d.now += 1_900 * MS;
-    assert_eq!(sent(&d.request(ANY, None).1).len(), 1, "until then the list of the start will do");
+    assert_eq!(sent(&d.request(ANY, None).1).len(), 1, "the list from before the start may be used until then");
     d.now += 200 * MS;
     let (read, actions) = d.request(ANY, None);
     let (write, written) = d.request(UNSAFE, None);
     assert!(sent(&actions).is_empty() && sent(&written).is_empty(), "{actions:?} {written:?}");
-    assert!(!actions.iter().chain(&written).any(|a| matches!(a, Action::Probe { .. })), "nor probed");
-    // Discovery says that member 2 has gone: what was held goes to the other.
+    assert!(!actions.iter().chain(&written).any(|a| matches!(a, Action::Probe { .. })), "nothing is probed either");
+    // Discovery reports member 2 as removed: what was held goes to the other one.
     let gone = Member { service_state: ServiceState::Removed, ..member(2, false) };
     let actions = d.list(ListKind::Changes, vec![gone]);
     let mut to = sent(&actions);
     to.extend(sent(&d.after(600 * MS)));
     assert!(to.contains(&(write, 1)) && !to.iter().any(|(_, member)| *member == 2), "{read:?} {to:?}");
 
-    // What waits too long is refused, in time for its client to come back.
+    // A request that waits too long is refused in time for its client to retry.
     let mut d = start();
     d.now += 2_100 * MS;
     let (read, _) = d.request(ANY, None);
     let waited: Vec<Action> = (0..20).flat_map(|_| d.after(10 * MS)).collect();
     assert!(refused(&waited, read) && sent(&waited).is_empty(), "{waited:?}");
 
-    // A discovery that is down has told nobody anything.
+    // If discovery is down, no other router has learned of a change either.
     let mut d = start();
     d.now += 2_100 * MS;
     d.list(ListKind::Failed, Vec::new());
@@ -1269,7 +1280,7 @@
 }
 
 #[test]
-fn a_remembered_session_read_goes_by_proof_also_of_a_write_that_the_router_was_only_told_of() {
+fn a_remembered_session_read_requires_a_proven_position_for_a_write_that_it_carries() {
     let mut d = Driver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
     d.list(ListKind::Full, vec![member(2, false)]);
     d.hear(2, d.now - 100 * MS, Role::Replica);
@@ -1283,7 +1294,7 @@
         proven_position: Some(d.now - 50 * MS),
         repeat: false,
     };
-    assert_eq!(sent(&d.step(&[read])), [], "its position is 50 ms older than what the read must see");
+    assert_eq!(sent(&d.step(&[read])), [], "the replica's position is 50 ms behind the required one");
 }
 
 #[test]
@@ -1299,7 +1310,7 @@
     d.hear(1, d.now - 300 * MS, Role::Primary);
     let (read, actions) = d.request(SESSION, Some(10 * MS));
     let actions = [actions, d.after(100 * MS)].concat();
-    assert!(!sent(&actions).contains(&(read, 1)), "it has told that it is a replica, and behind");
+    assert!(!sent(&actions).contains(&(read, 1)), "it has shown that it is a replica, and is behind");
 }
 
 #[test]
