--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -216,7 +216,7 @@
 
 impl FleetStats {
     /// Records whether an attempt was lost. Idle connections are at fault only if they lose more than others do: a
-    /// hung member or a network jam loses attempts on both.
+    /// hung member or a congested network loses attempts on both.
     pub fn record_connection_result(&mut self, connection: ConnectionState, lost: bool, outcome: Outcome) {
         if lost || outcome == Outcome::Completed {
             let loss = if connection == ConnectionState::Idle {
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -38,11 +38,11 @@
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
-    let asked = probes(&actions)[0];
+    let probed = probes(&actions)[0];
     assert!(!refused(&d.after(100 * MS), id));
     let report = Report { position: Some(d.now), primary: Some(false), busy: None };
-    let actions = d.step(&[Event::Probed { member: MemberId(asked), ok: true, report: Some(report) }]);
-    assert_eq!(sent(&actions), vec![(id, asked)]);
+    let actions = d.step(&[Event::Probed { member: MemberId(probed), ok: true, report: Some(report) }]);
+    assert_eq!(sent(&actions), vec![(id, probed)]);
 }
 
 #[test]
@@ -394,13 +394,13 @@
         let mut d = Driver::new(Settings { classes, ..settings() });
         let (read, actions) = d.request(ANY, None);
         let at = sent(&actions)[0].1;
-        let mut asked = Vec::new();
-        while asked.is_empty() {
+        let mut probed = Vec::new();
+        while probed.is_empty() {
             let actions = d.after(10 * MS);
             assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "before any probe");
-            asked = probes(&actions);
+            probed = probes(&actions);
         }
-        assert_eq!(asked, vec![at]);
+        assert_eq!(probed, vec![at]);
         let actions = d.step(&[Event::Probed { member: MemberId(at), ok, report: None }]);
         assert_eq!(actions.contains(&Action::Cancel { id: read, attempt: 0 }), !ok);
         for _ in 0..4 {
@@ -442,8 +442,8 @@
                 let alive = heard_between && attempt % 2 == 1;
                 failures += usize::from(!alive);
                 let outcome = if alive { Outcome::Completed } else { Outcome::Refused };
-                let told = note(d.now - MS, Role::Replica).filter(|_| alive);
-                actions = d.ended(id, attempt, outcome, told);
+                let answer_note = note(d.now - MS, Role::Replica).filter(|_| alive);
+                actions = d.ended(id, attempt, outcome, answer_note);
                 attempt += 1;
             }
             d.step(&[Event::Disconnected { id }]);
@@ -458,8 +458,8 @@
     // A member that answers a probe shows that the zone is back: members that were suspected only because of
     // the zone may be tried.
     d.now += 1_000 * MS;
-    let asked = probes(&d.request(ANY, None).1)[0];
-    let mut actions = d.hear(asked, d.now, Role::Replica);
+    let probed = probes(&d.request(ANY, None).1)[0];
+    let mut actions = d.hear(probed, d.now, Role::Replica);
     (0..8).for_each(|_| actions.extend(d.request(ANY, None).1));
     let tried: std::collections::BTreeSet<u32> = sent(&actions).into_iter().map(|(_, to)| to).collect();
     assert!((5..=6).contains(&tried.len()), "the five inferred ones, and the one that answered: {tried:?}");
@@ -471,7 +471,7 @@
 fn the_trials_of_a_large_fleet_do_not_overload_a_zone_that_comes_back() {
     // Each of 100 routers has found six members unreachable; 3 s later one member answers a probe of each
     // router.
-    let (mut trials, mut asked) = (0, 0);
+    let (mut trials, mut requests) = (0, 0);
     for seed in 0..100 {
         let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
         d.list(ListKind::Full, (2..8).map(|id| Member { zone: 1, ..member(id, false) }).collect());
@@ -485,13 +485,13 @@
         let probed = probes(&d.request(ANY, None).1)[0];
         trials += sent(&d.hear(probed, d.now, Role::Replica)).len();
         for _ in 0..5 {
-            asked += 1;
+            requests += 1;
             trials += sent(&d.request(ANY, None).1).len();
         }
     }
     // In total no more than the members' initial capacity share of 0.2 times the rule's multiple of 2,
     // however many routers there are.
-    let most = f64::from(asked + 100) * 0.2 * 2.0;
+    let most = f64::from(requests + 100) * 0.2 * 2.0;
     assert!((60..most as usize + 30).contains(&trials), "{trials} trials, at most {most}");
 }
 
@@ -732,10 +732,10 @@
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
     assert_eq!(probes(&actions).len(), 1, "one probe, as hundreds of drivers must not probe all replicas");
-    let asked = probes(&actions)[0];
+    let probed = probes(&actions)[0];
     let report = Report { position: Some(d.now), primary: Some(false), busy: None };
-    let actions = d.step(&[Event::Probed { member: MemberId(asked), ok: true, report: Some(report) }]);
-    assert_eq!(sent(&actions), vec![(id, asked)]);
+    let actions = d.step(&[Event::Probed { member: MemberId(probed), ok: true, report: Some(report) }]);
+    assert_eq!(sent(&actions), vec![(id, probed)]);
 }
 
 /// How many of `count` consecutive reads are sent at once, each answered after `spent`.
@@ -800,11 +800,11 @@
     let mut d = Driver::new(Settings { subscribe: true, ..settings() });
     let subscribes = |a: &[Action]| a.contains(&Action::Subscribe);
     assert!(!subscribes(&d.list(ListKind::Failed, Vec::new())), "the call is not repeated at once");
-    let mut asked = false;
+    let mut called = false;
     for _ in 0..15 {
-        asked |= subscribes(&d.after(100 * MS));
+        called |= subscribes(&d.after(100 * MS));
     }
-    assert!(asked);
+    assert!(called);
 }
 
 #[test]
@@ -1180,18 +1180,18 @@
 #[test]
 fn a_long_request_causes_few_probes_of_a_silent_member_and_none_where_work_takes_long() {
     // Nothing is answered while it runs, as at a member that hangs.
-    let asked = |d: &mut Driver, span: Time| {
-        let mut asked = 0;
+    let probe_count = |d: &mut Driver, span: Time| {
+        let mut probe_count = 0;
         for _ in 0..span / (50 * MS) {
-            asked += probes(&d.after(50 * MS)).len();
+            probe_count += probes(&d.after(50 * MS)).len();
         }
-        asked
+        probe_count
     };
     let mut d = Driver::new(settings());
     d.hear(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
-    assert!(asked(&mut d, 450 * MS) <= 1);
-    let more = asked(&mut d, 1_000 * MS);
+    assert!(probe_count(&mut d, 450 * MS) <= 1);
+    let more = probe_count(&mut d, 1_000 * MS);
     assert!((1..=3).contains(&more), "{more} probes in a second");
     // The same where a write usually takes 700 ms.
     let mut long = settings();
@@ -1199,7 +1199,7 @@
     let mut d = Driver::new(long);
     d.hear(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
-    assert_eq!(asked(&mut d, 1_500 * MS), 0);
+    assert_eq!(probe_count(&mut d, 1_500 * MS), 0);
 }
 
 #[test]
