--- a/src/agreement/document.rs
+++ b/src/agreement/document.rs
@@ -1,9 +1,9 @@
-//! A document: one version of the settings that all share, or of which members are out by hand for the whole fleet. It
-//! names the version that it follows on and who proposed it, and is authenticated with the fleet's key: what no operator
-//! has proposed nobody acts on, whoever may have sent it.
+//! A document: one version of the shared settings, or of the list of members that operators have suspended for the
+//! whole fleet. A document names its author and the version that it replaces, and carries a MAC by one of the
+//! fleet's keys, so that no proxy acts on a document that a holder of the keys has not made, whoever sent it.
 
 use super::rules::FleetSettings;
-use super::seal::{Bad, Keys};
+use super::seal::{Keys, RejectReason};
 use super::{Hash, Kind, Version};
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
@@ -11,44 +11,44 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Longest document, in bytes with all that is around it.
-pub const LONGEST: usize = 1024 * 1024;
-/// Most members that may be out.
-pub const OUT_MOST: usize = crate::effective_list::MAX_SUSPENDED;
+/// The maximum size of an encoded document with its MAC, in bytes.
+pub const MAX_BYTES: usize = 1024 * 1024;
+/// The maximum number of members that may be suspended.
+pub const MAX_SUSPENDED: usize = crate::effective_list::MAX_SUSPENDED;
 const PURPOSE: &str = "linentrail document 1";
 
-/// A document as it is agreed on.
+/// A document as the proxies agree on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// What it is about.
+    /// The kind.
     pub kind: Kind,
-    /// Its number among all of its kind, from 1.
+    /// The version number within the kind, from 1.
     pub number: u64,
-    /// The hash of the version before it; that of the first is zero.
+    /// The hash of the previous version; zero for the first.
     pub parent: Hash,
-    /// Who proposed it, as the operators name themselves.
+    /// The operator who proposed it, by the name that the operator gave.
     pub author: String,
-    /// When, in us of Unix time by the clock of the proxy that it was proposed at.
-    pub at: Time,
-    /// What it says: settings as JSON, members by id, a line each.
+    /// When it was proposed, in us of Unix time by the clock of the proposing proxy.
+    pub proposed_at: Time,
+    /// The content: settings as JSON, or ids of suspended members, one in each line.
     pub body: String,
 }
 
-/// What a document says.
+/// The parsed body of a document.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Content {
-    /// Settings.
+    /// The shared settings.
     Settings(Box<FleetSettings>),
-    /// Members that are out.
-    Hands(BTreeSet<Arc<str>>),
+    /// The ids of the suspended members.
+    Suspensions(BTreeSet<Arc<str>>),
 }
 
-/// A document with its code.
+/// A document with its MAC, as it is stored and sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Sealed {
+struct SignedDocument {
     document: Document,
-    key: u8,
-    code: Vec<u8>,
+    key_id: u8,
+    mac: Vec<u8>,
 }
 
 impl Document {
@@ -56,63 +56,65 @@
         postcard::to_extend(self, Vec::new()).unwrap_or_default()
     }
 
-    /// Its version: the hash is of what it says, not of the key that signed it.
+    /// The version of this document. The hash covers the document alone, so that signing it with another key makes no
+    /// other version.
     pub fn version(&self) -> Version {
         Version { number: self.number, hash: Hash(Sha256::digest(self.bytes()).into()) }
     }
 
-    /// Its bytes, with a code by the fleet's key.
+    /// Encodes the document with a MAC by the signing key.
     pub fn seal(&self, keys: &Keys) -> Vec<u8> {
-        let (key, code) = keys.sign(PURPOSE, &self.bytes());
-        let sealed = Sealed { document: self.clone(), key, code: code.to_vec() };
-        postcard::to_extend(&sealed, Vec::new()).unwrap_or_default()
+        let (key_id, mac) = keys.sign(PURPOSE, &self.bytes());
+        let signed = SignedDocument { document: self.clone(), key_id, mac: mac.to_vec() };
+        postcard::to_extend(&signed, Vec::new()).unwrap_or_default()
     }
 
-    /// Reads one that a holder of the fleet's key has made.
+    /// Decodes a document and verifies its MAC.
     ///
     /// # Errors
-    /// Why it is not used.
-    pub fn open(bytes: &[u8], keys: &Keys) -> Result<Self, Bad> {
-        if bytes.len() > LONGEST {
-            return Err(Bad::Unreadable);
+    /// When it cannot be decoded, or its MAC is not valid.
+    pub fn open(bytes: &[u8], keys: &Keys) -> Result<Self, RejectReason> {
+        if bytes.len() > MAX_BYTES {
+            return Err(RejectReason::Unreadable);
         }
-        let (sealed, rest): (Sealed, _) = postcard::take_from_bytes(bytes).map_err(|_| Bad::Unreadable)?;
-        keys.check(PURPOSE, &sealed.document.bytes(), (sealed.key, &sealed.code))?;
+        let (signed, rest): (SignedDocument, _) =
+            postcard::take_from_bytes(bytes).map_err(|_| RejectReason::Unreadable)?;
+        keys.check(PURPOSE, &signed.document.bytes(), (signed.key_id, &signed.mac))?;
         if rest.is_empty() {
-            Ok(sealed.document)
+            Ok(signed.document)
         } else {
-            Err(Bad::Unreadable)
+            Err(RejectReason::Unreadable)
         }
     }
 
-    /// What it says.
+    /// Parses the body.
     ///
     /// # Errors
-    /// With all that is wrong with it.
+    /// With a description of what is wrong with the body.
     pub fn content(&self) -> Result<Content, String> {
         match self.kind {
             Kind::Settings => {
                 let json = serde_json::from_str(&self.body).map_err(|e| format!("settings: {e}"))?;
                 Ok(Content::Settings(Box::new(FleetSettings::read(&json)?)))
             }
-            Kind::Hands => {
-                let out: BTreeSet<Arc<str>> = self.body.lines().map(Arc::from).collect();
-                let odd = |id: &Arc<str>| id.is_empty() || id.contains(char::is_whitespace);
-                match out.iter().find(|id| odd(id)) {
+            Kind::Suspensions => {
+                let suspended: BTreeSet<Arc<str>> = self.body.lines().map(Arc::from).collect();
+                let invalid = |id: &Arc<str>| id.is_empty() || id.contains(char::is_whitespace);
+                match suspended.iter().find(|id| invalid(id)) {
                     Some(id) => Err(format!("hands: '{id}' is no member's id")),
-                    None if out.len() > OUT_MOST => {
-                        Err(format!("hands: {} are out, {OUT_MOST} may be", out.len()))
+                    None if suspended.len() > MAX_SUSPENDED => {
+                        Err(format!("hands: {} are out, {MAX_SUSPENDED} may be", suspended.len()))
                     }
-                    None => Ok(Content::Hands(out)),
+                    None => Ok(Content::Suspensions(suspended)),
                 }
             }
         }
     }
 }
 
-/// The body of a document of the members that are out.
-pub fn hands(out: &BTreeSet<Arc<str>>) -> String {
-    out.iter().map(|id| &**id).collect::<Vec<&str>>().join("\n")
+/// The body of a document that suspends these members.
+pub fn suspensions_body(suspended: &BTreeSet<Arc<str>>) -> String {
+    suspended.iter().map(|id| &**id).collect::<Vec<&str>>().join("\n")
 }
 
 #[cfg(test)]
@@ -120,40 +122,42 @@
     use super::*;
 
     fn keys(id: u8) -> Keys {
-        Keys::new(vec![(id, vec![id; 32])]).expect("sound")
+        Keys::new(vec![(id, vec![id; 32])]).expect("valid keys")
     }
 
     fn document(body: &str) -> Document {
-        let (kind, parent) = (Kind::Hands, Hash::default());
-        Document { kind, number: 1, parent, author: "on call".into(), at: 5, body: body.into() }
+        let (kind, parent) = (Kind::Suspensions, Hash::default());
+        Document { kind, number: 1, parent, author: "on call".into(), proposed_at: 5, body: body.into() }
     }
 
     #[test]
-    fn a_document_comes_back_as_it_was_and_no_bit_of_it_can_be_changed() {
+    fn sealed_document_round_trips_and_any_changed_bit_is_detected() {
         let document = document("s-1\ns-2");
         let sealed = document.seal(&keys(1));
         assert_eq!(Document::open(&sealed, &keys(1)), Ok(document.clone()));
-        assert_eq!(Document::open(&sealed, &keys(2)), Err(Bad::Key));
+        assert_eq!(Document::open(&sealed, &keys(2)), Err(RejectReason::Key));
         for bit in 0..sealed.len() * 8 {
-            let mut spoilt = sealed.clone();
-            spoilt[bit / 8] ^= 1 << (bit % 8);
-            assert!(Document::open(&spoilt, &keys(1)).is_err(), "bit {bit}");
+            let mut corrupted = sealed.clone();
+            corrupted[bit / 8] ^= 1 << (bit % 8);
+            assert!(Document::open(&corrupted, &keys(1)).is_err(), "bit {bit}");
         }
         for length in 0..sealed.len() {
             assert!(Document::open(&sealed[..length], &keys(1)).is_err());
         }
-        let other = Keys::new(vec![(7, vec![9; 32]), (1, vec![1; 32])]).expect("sound");
-        let again = document.seal(&other);
-        assert_ne!(again, sealed);
-        let opened = Document::open(&again, &other).expect("sound");
+        let rotated = Keys::new(vec![(7, vec![9; 32]), (1, vec![1; 32])]).expect("valid keys");
+        let resealed = document.seal(&rotated);
+        assert_ne!(resealed, sealed);
+        let opened = Document::open(&resealed, &rotated).expect("an authentic document");
         assert_eq!(opened.version(), document.version(), "another key makes no other version");
     }
 
     #[test]
-    fn what_it_says_is_read_strictly() {
-        let Ok(Content::Hands(out)) = document("s-1\ns-2\ns-1").content() else { panic!("hands") };
-        assert_eq!(hands(&out), "s-1\ns-2");
-        assert_eq!(document("").content(), Ok(Content::Hands(BTreeSet::new())));
+    fn invalid_bodies_are_rejected() {
+        let Ok(Content::Suspensions(suspended)) = document("s-1\ns-2\ns-1").content() else {
+            panic!("a list of suspended members")
+        };
+        assert_eq!(suspensions_body(&suspended), "s-1\ns-2");
+        assert_eq!(document("").content(), Ok(Content::Suspensions(BTreeSet::new())));
         assert!(document("s-1\n\ns-2").content().is_err());
         assert!(document("s 1").content().is_err());
         let settings = Document { kind: Kind::Settings, ..document("{\"services\":") };
--- a/src/agreement/holder.rs
+++ b/src/agreement/holder.rs
@@ -1,127 +1,130 @@
-//! The lease of one proxy: what it may act on, and until when. It asks the voters again and again; where a majority of
-//! them tells the same standing of the same ballot in answer to one question, that standing was chosen, and had not been
-//! followed by another when the first of them answered: not before the question was asked.
+//! The lease of one proxy: which values it may act on, and until when. The proxy queries the voters at intervals.
+//! When a majority reports the same value of the same ballot in answer to one query, that value was chosen, and no
+//! later value had been chosen when the first of them answered, hence none before the query was sent.
 
-use super::{majority, Accepted, Kind, ProxyNumber, Standing, Timing, KINDS};
+use super::{majority, AcceptedValue, Kind, ProxyNumber, RegisterValue, Timing, KINDS};
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// Questions whose answers still count.
-const QUESTIONS: usize = 8;
+/// Answers are counted for this many of the latest queries.
+const MAX_OPEN_QUERIES: usize = 8;
 
 #[derive(Debug, Clone)]
-struct Question {
+struct Query {
     nonce: u64,
-    at: Time,
-    told: Vec<(ProxyNumber, [Accepted; 2])>,
+    sent_at: Time,
+    answers: Vec<(ProxyNumber, [AcceptedValue; 2])>,
 }
 
-/// A standing that was seen chosen.
+/// A lease on a value that was seen chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// The ballot in which it was.
-    pub accepted: Accepted,
-    /// When it was first seen chosen here.
+    /// The value, with the ballot in which it was chosen.
+    pub accepted: AcceptedValue,
+    /// When this proxy first saw the value chosen.
     pub since: Time,
-    /// It may be acted on until then.
+    /// When the lease expires.
     pub until: Time,
 }
 
-/// What the voters' answers to one question say of a kind.
+/// What the answers to one query show for one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
-    /// Not enough have answered.
-    Few,
-    /// So many tell the same that it is chosen.
-    Chosen(Accepted),
-    /// A majority has answered, and they differ: a ballot is under way, or was left in its middle.
+pub enum QueryResult {
+    /// Too few voters have answered.
+    Pending,
+    /// A majority reports the same accepted value: it is chosen.
+    Chosen(AcceptedValue),
+    /// A majority has answered without such a value: a ballot is under way, or was abandoned halfway.
     Split,
 }
 
-/// The leases of one proxy.
+/// The leases of one proxy, one for each kind.
 #[derive(Debug, Clone)]
-pub struct Holder {
+pub struct LeaseHolder {
     voters: Vec<ProxyNumber>,
-    times: Timing,
+    timing: Timing,
     nonce: u64,
-    questions: VecDeque<Question>,
+    queries: VecDeque<Query>,
     leases: [Option<Lease>; 2],
-    /// Since when answers have differed, by kind.
-    split: [Option<Time>; 2],
+    /// Since when the voters' answers have been split, by kind.
+    split_since: [Option<Time>; 2],
 }
 
-impl Holder {
-    /// One that holds nothing; `first` begins its nonces, which a later start must not repeat.
-    pub fn new(voters: Vec<ProxyNumber>, times: Timing, first: u64) -> Self {
-        Holder {
+impl LeaseHolder {
+    /// Creates a holder without leases. Nonces count up from `first_nonce`; no later incarnation may repeat them.
+    pub fn new(voters: Vec<ProxyNumber>, timing: Timing, first_nonce: u64) -> Self {
+        LeaseHolder {
             voters,
-            times,
-            nonce: first,
-            questions: VecDeque::new(),
+            timing,
+            nonce: first_nonce,
+            queries: VecDeque::new(),
             leases: [None; 2],
-            split: [None; 2],
+            split_since: [None; 2],
         }
     }
 
-    /// Asks all voters now: the question's nonce.
-    pub fn ask(&mut self, now: Time) -> u64 {
+    /// Begins a query to all voters and returns its nonce.
+    pub fn start_query(&mut self, now: Time) -> u64 {
         self.nonce += 1;
-        self.questions.push_back(Question { nonce: self.nonce, at: now, told: Vec::new() });
-        if self.questions.len() > QUESTIONS {
-            self.questions.pop_front();
+        self.queries.push_back(Query { nonce: self.nonce, sent_at: now, answers: Vec::new() });
+        if self.queries.len() > MAX_OPEN_QUERIES {
+            self.queries.pop_front();
         }
         self.nonce
     }
 
-    /// When a question was asked, while its answers still count.
-    pub fn asked(&self, nonce: u64) -> Option<Time> {
-        self.questions.iter().find(|q| q.nonce == nonce).map(|q| q.at)
+    /// When the query with this nonce was sent, if its answers still count.
+    pub fn query_sent_at(&self, nonce: u64) -> Option<Time> {
+        self.queries.iter().find(|q| q.nonce == nonce).map(|q| q.sent_at)
     }
 
-    /// A voter answers. What that shows of each kind, where it is an answer to a question of this proxy.
-    pub fn told(
+    /// Handles a voter's answer and returns what the query shows so far, by kind. Returns `None` for an answer that
+    /// does not count: no open query has its nonce, the sender is no voter, or the voter has answered this query
+    /// already.
+    pub fn handle_answer(
         &mut self,
         from: ProxyNumber,
         nonce: u64,
-        accepted: [Accepted; 2],
+        accepted: [AcceptedValue; 2],
         now: Time,
-    ) -> Option<[Seen; 2]> {
-        let needed = majority(self.voters.len());
-        let question = self.questions.iter_mut().find(|q| q.nonce == nonce)?;
-        if !self.voters.contains(&from) || question.told.iter().any(|(other, _)| *other == from) {
+    ) -> Option<[QueryResult; 2]> {
+        let quorum = majority(self.voters.len());
+        let query = self.queries.iter_mut().find(|q| q.nonce == nonce)?;
+        if !self.voters.contains(&from) || query.answers.iter().any(|(other, _)| *other == from) {
             return None;
         }
-        question.told.push((from, accepted));
-        let (at, told) = (question.at, question.told.clone());
-        let seen = KINDS.map(|kind| {
-            let of = |a: &(ProxyNumber, [Accepted; 2])| a.1[kind.at()];
-            let same = |a: &Accepted| told.iter().filter(|other| of(other) == *a).count();
-            match told.iter().map(of).find(|a| same(a) >= needed) {
-                Some(accepted) => Seen::Chosen(accepted),
-                None if told.len() >= needed => Seen::Split,
-                None => Seen::Few,
+        query.answers.push((from, accepted));
+        let (sent_at, answers) = (query.sent_at, query.answers.clone());
+        let results = KINDS.map(|kind| {
+            let accepted_by = |a: &(ProxyNumber, [AcceptedValue; 2])| a.1[kind.index()];
+            let count_same =
+                |a: &AcceptedValue| answers.iter().filter(|other| accepted_by(other) == *a).count();
+            match answers.iter().map(accepted_by).find(|a| count_same(a) >= quorum) {
+                Some(accepted) => QueryResult::Chosen(accepted),
+                None if answers.len() >= quorum => QueryResult::Split,
+                None => QueryResult::Pending,
             }
         });
-        for (kind, seen) in KINDS.into_iter().zip(seen) {
-            match seen {
-                Seen::Chosen(accepted) => {
-                    self.split[kind.at()] = None;
-                    self.hold(kind, accepted, at, now);
+        for (kind, result) in KINDS.into_iter().zip(results) {
+            match result {
+                QueryResult::Chosen(accepted) => {
+                    self.split_since[kind.index()] = None;
+                    self.extend_lease(kind, accepted, sent_at, now);
                 }
-                Seen::Split => drop(self.split[kind.at()].get_or_insert(now)),
-                Seen::Few => {}
+                QueryResult::Split => drop(self.split_since[kind.index()].get_or_insert(now)),
+                QueryResult::Pending => {}
             }
         }
-        Some(seen)
+        Some(results)
     }
 
-    fn hold(&mut self, kind: Kind, accepted: Accepted, asked: Time, now: Time) {
-        let until = asked + self.times.lease;
-        let order = |a: &Accepted| (a.ballot.epoch, a.standing.turn);
-        let lease = &mut self.leases[kind.at()];
+    fn extend_lease(&mut self, kind: Kind, accepted: AcceptedValue, sent_at: Time, now: Time) {
+        let until = sent_at + self.timing.lease;
+        let order = |a: &AcceptedValue| (a.ballot.epoch, a.value.revision);
+        let lease = &mut self.leases[kind.index()];
         match lease {
             Some(held) if order(&held.accepted) > order(&accepted) => {}
-            Some(held) if held.accepted.standing == accepted.standing => {
+            Some(held) if held.accepted.value == accepted.value => {
                 held.accepted = accepted;
                 held.until = held.until.max(until);
             }
@@ -129,86 +132,91 @@
         }
     }
 
-    /// The last lease of a kind, whether it has run out or not.
-    pub fn last(&self, kind: Kind) -> Option<Lease> {
-        self.leases[kind.at()]
+    /// The latest lease on a kind, even if it has expired.
+    pub fn last_lease(&self, kind: Kind) -> Option<Lease> {
+        self.leases[kind.index()]
     }
 
-    /// What may be acted on now, of each kind, and until when; none once any of the leases has run out, as what is agreed
-    /// on is agreed on together.
-    pub fn holds(&self, now: Time) -> Option<([Standing; 2], Time)> {
-        let [Some(one), Some(other)] = self.leases else { return None };
-        let until = one.until.min(other.until);
-        (now < until).then_some(([one.accepted.standing, other.accepted.standing], until))
+    /// The values of both kinds that may be acted on now, and until when. Returns `None` once either lease has
+    /// expired, as both values are acted on together.
+    pub fn leased_values(&self, now: Time) -> Option<([RegisterValue; 2], Time)> {
+        let [Some(first), Some(second)] = self.leases else { return None };
+        let until = first.until.min(second.until);
+        (now < until).then_some(([first.accepted.value, second.accepted.value], until))
     }
 
-    /// Since when the answers on a kind have differed.
-    pub fn split(&self, kind: Kind) -> Option<Time> {
-        self.split[kind.at()]
+    /// Since when the voters' answers on a kind have been split.
+    pub fn split_since(&self, kind: Kind) -> Option<Time> {
+        self.split_since[kind.index()]
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::{Ballot, Hash, Holds, Version};
+    use crate::agreement::{ActiveVersions, Ballot, Hash, Version};
 
-    const TIMES: Timing = Timing { lease: 800, drift_ppm: 10_000, round: 50 };
+    const TIMING: Timing = Timing { lease: 800, drift_ppm: 10_000, round: 50 };
 
-    fn accepted(round: u32, turn: u64) -> [Accepted; 2] {
-        let version = Version { number: turn, hash: Hash::default() };
-        let ballot = Ballot { epoch: 0, round, by: 1, start: 1 };
-        [Accepted { ballot, standing: Standing { turn, holds: Holds::One(version) } }; 2]
+    fn accepted(round: u32, revision: u64) -> [AcceptedValue; 2] {
+        let version = Version { number: revision, hash: Hash::default() };
+        let ballot = Ballot { epoch: 0, round, proposer: 1, incarnation: 1 };
+        [AcceptedValue { ballot, value: RegisterValue { revision, active: ActiveVersions::Single(version) } };
+            2]
     }
 
-    fn holder() -> Holder {
-        Holder::new(vec![1, 2, 3], TIMES, 0)
+    fn holder() -> LeaseHolder {
+        LeaseHolder::new(vec![1, 2, 3], TIMING, 0)
     }
 
     #[test]
-    fn a_lease_counts_from_the_question_and_needs_a_majority_of_one_ballot() {
+    fn lease_counts_from_the_query_and_needs_a_majority_of_one_ballot() {
         let mut holder = holder();
-        let first = holder.ask(100);
-        assert_eq!(holder.told(1, first, accepted(1, 1), 300), Some([Seen::Few; 2]));
-        assert_eq!(holder.told(1, first, accepted(1, 1), 300), None, "one voter counts once");
-        assert_eq!(holder.told(9, first, accepted(1, 1), 300), None, "it is no voter");
-        assert_eq!(holder.holds(300), None);
-        // The same standing of another ballot may be one that was never chosen.
-        assert_eq!(holder.told(2, first, accepted(2, 1), 310), Some([Seen::Split; 2]));
-        assert_eq!((holder.holds(310), holder.split(Kind::Hands)), (None, Some(310)));
-        holder.told(3, first, accepted(2, 1), 320);
-        let (standings, until) = holder.holds(320).expect("two of three");
-        assert_eq!((standings[0].turn, until), (1, 900));
-        assert_eq!((holder.holds(899).is_some(), holder.holds(900)), (true, None));
+        let first = holder.start_query(100);
+        assert_eq!(holder.handle_answer(1, first, accepted(1, 1), 300), Some([QueryResult::Pending; 2]));
+        assert_eq!(holder.handle_answer(1, first, accepted(1, 1), 300), None, "a voter counts once");
+        assert_eq!(holder.handle_answer(9, first, accepted(1, 1), 300), None, "proxy 9 is no voter");
+        assert_eq!(holder.leased_values(300), None);
+        // The same value reported for different ballots may never have been chosen.
+        assert_eq!(holder.handle_answer(2, first, accepted(2, 1), 310), Some([QueryResult::Split; 2]));
+        assert_eq!((holder.leased_values(310), holder.split_since(Kind::Suspensions)), (None, Some(310)));
+        holder.handle_answer(3, first, accepted(2, 1), 320);
+        let (values, until) = holder.leased_values(320).expect("two of three");
+        assert_eq!((values[0].revision, until), (1, 900));
+        assert_eq!((holder.leased_values(899).is_some(), holder.leased_values(900)), (true, None));
     }
 
     #[test]
-    fn an_answer_to_an_old_question_prolongs_nothing_and_an_older_turn_changes_nothing() {
+    fn answers_to_old_queries_and_older_revisions_change_nothing() {
         let mut holder = holder();
-        let first = holder.ask(100);
-        let second = holder.ask(400);
-        (1..3).for_each(|voter| assert!(holder.told(voter, second, accepted(2, 2), 450).is_some()));
-        assert_eq!(holder.holds(500).map(|h| h.1), Some(1_200));
-        (1..3).for_each(|voter| assert!(holder.told(voter, first, accepted(2, 2), 460).is_some()));
-        assert_eq!(holder.holds(500).map(|h| h.1), Some(1_200));
-        let third = holder.ask(500);
-        (1..3).for_each(|voter| assert!(holder.told(voter, third, accepted(1, 1), 550).is_some()));
-        assert_eq!(holder.holds(600).map(|h| (h.0[0].turn, h.1)), Some((2, 1_200)));
+        let first = holder.start_query(100);
+        let second = holder.start_query(400);
+        (1..3).for_each(|voter| assert!(holder.handle_answer(voter, second, accepted(2, 2), 450).is_some()));
+        assert_eq!(holder.leased_values(500).map(|h| h.1), Some(1_200));
+        (1..3).for_each(|voter| assert!(holder.handle_answer(voter, first, accepted(2, 2), 460).is_some()));
+        assert_eq!(holder.leased_values(500).map(|h| h.1), Some(1_200));
+        let third = holder.start_query(500);
+        (1..3).for_each(|voter| assert!(holder.handle_answer(voter, third, accepted(1, 1), 550).is_some()));
+        assert_eq!(holder.leased_values(600).map(|h| (h.0[0].revision, h.1)), Some((2, 1_200)));
         for n in 0..100 {
-            holder.ask(600 + n);
+            holder.start_query(600 + n);
         }
-        assert!(holder.questions.len() <= QUESTIONS);
-        assert_eq!(holder.told(1, third, accepted(2, 2), 700), None, "that question is forgotten");
+        assert!(holder.queries.len() <= MAX_OPEN_QUERIES);
+        assert_eq!(
+            holder.handle_answer(1, third, accepted(2, 2), 700),
+            None,
+            "answers to that query no longer count"
+        );
     }
 
     #[test]
-    fn both_kinds_must_hold_for_anything_to_be_acted_on() {
+    fn nothing_is_leased_until_both_kinds_are() {
         let mut holder = holder();
-        let nonce = holder.ask(0);
-        let [one, other] = [accepted(1, 1)[0], accepted(2, 2)[0]];
-        holder.told(1, nonce, [one, one], 10);
-        holder.told(2, nonce, [one, other], 10);
-        assert_eq!(holder.last(Kind::Settings).map(|l| l.accepted), Some(one));
-        assert_eq!((holder.last(Kind::Hands), holder.holds(20)), (None, None));
+        let nonce = holder.start_query(0);
+        let [first, second] = [accepted(1, 1)[0], accepted(2, 2)[0]];
+        holder.handle_answer(1, nonce, [first, first], 10);
+        holder.handle_answer(2, nonce, [first, second], 10);
+        assert_eq!(holder.last_lease(Kind::Settings).map(|l| l.accepted), Some(first));
+        assert_eq!((holder.last_lease(Kind::Suspensions), holder.leased_values(20)), (None, None));
     }
 }
--- a/src/agreement/instance.rs
+++ b/src/agreement/instance.rs
@@ -1,449 +1,483 @@
-//! One proxy of a fleet that agrees: its lease, its vote if it has one, and the ballots that it holds. It is told what comes
-//! and what time it is, and says what to send, what to write down and which documents to get.
+//! The agreement protocol of one proxy: its lease, its voter if it has one, and its proposers. An [`Instance`] is
+//! sans I/O: it is given received messages and the time, and returns what to send, what to write to disk and which
+//! documents to fetch.
 
-use super::holder::{Holder, Lease, Seen};
+use super::holder::{Lease, LeaseHolder, QueryResult};
 use super::message::Message;
-use super::proposer::{End, Goal, Moot, Proposer};
-use super::voter::{Said, Voter, Votes};
-use super::{Accepted, Ballot, Hash, Holds, Kind, ProxyNumber, Standing, Timing, KINDS};
+use super::proposer::{Proposal, ProposalEnd, ProposalError, Proposer};
+use super::voter::{Response, Voter, Votes};
+use super::{AcceptedValue, ActiveVersions, Ballot, Hash, Kind, ProxyNumber, RegisterValue, Timing, KINDS};
 use crate::interface::Time;
 use crate::policy::state::hash_fraction;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a change may take until its proposer gives it up, in leases.
-const GIVES_UP: u64 = 5;
-/// Two clocks are compared over at least this, in us.
-const COMPARED: Time = 2_000_000;
+/// A proposal is given up after this many lease lengths.
+const PROPOSAL_TIMEOUT_LEASES: u64 = 5;
+/// The shortest time over which two clocks are compared, in us.
+const MIN_CLOCK_COMPARISON: Time = 2_000_000;
 
-/// Who takes part.
+/// The configuration of an instance.
 #[derive(Debug, Clone)]
-pub struct Fleet {
-    /// This proxy.
+pub struct InstanceConfig {
+    /// The number of this proxy.
     pub me: ProxyNumber,
-    /// The number of its start: higher than that of any start before.
-    pub start: u64,
-    /// Those that vote.
+    /// The incarnation of this proxy: higher than that of any earlier start.
+    pub incarnation: u64,
+    /// The proxies that vote.
     pub voters: Vec<ProxyNumber>,
-    /// The times that all have alike.
-    pub times: Timing,
-    /// Of its lots.
+    /// Protocol timing.
+    pub timing: Timing,
+    /// The seed of random delays.
     pub seed: u64,
 }
 
-/// What is to be done.
+/// What the caller must do for an instance.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
-    /// Say this.
+pub enum Action {
+    /// Send this message.
     Send(ProxyNumber, Message),
-    /// Write these votes down, then call [`Instance::written`] with the number.
-    Write(u64, Box<Votes>),
-    /// Write these votes down, then call [`Instance::learned`].
-    Relearn(Box<Votes>),
-    /// Get this document from there.
-    Fetch(ProxyNumber, Hash),
-    /// A ballot that this proxy held is over.
-    Ended(Kind, Goal, End),
+    /// Write these votes, then call [`Instance::votes_written`] with the number.
+    WriteVotes(u64, Box<Votes>),
+    /// Write these votes, then call [`Instance::recovery_written`].
+    WriteRecovery(Box<Votes>),
+    /// Fetch this document from that proxy.
+    FetchDocument(ProxyNumber, Hash),
+    /// A proposal of this proxy has ended.
+    ProposalEnded(Kind, Proposal, ProposalEnd),
 }
 
 /// What is known of another proxy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// Its start.
-    pub start: u64,
-    /// When it last said anything.
-    pub at: Time,
-    /// The turns that it acts on, where it has said so here.
-    pub turns: [u64; 2],
-    /// Version of the member list that it holds.
-    pub list: u64,
-    /// It cannot vote yet, as it may have forgotten what it promised.
-    pub forgot: bool,
-    /// Its clock and this one's when they were first compared, and how long that answer took.
-    clocks: Option<(Time, Time, Time)>,
-    /// Its clock runs apart from this one's by more than is allowed.
-    pub drifts: bool,
+pub struct PeerState {
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// When its last message was received.
+    pub last_heard: Time,
+    /// The revisions that it acts on, by kind, if it has queried this voter.
+    pub revisions: [u64; 2],
+    /// The version of its member list.
+    pub list_version: u64,
+    /// It cannot vote yet, as it may have lost promises.
+    pub recovering: bool,
+    /// Its clock, this proxy's clock and the round-trip time when the clocks were first compared.
+    clock_baseline: Option<(Time, Time, Time)>,
+    /// The rates of its clock and this proxy's differ by more than the configured maximum.
+    pub clock_drifts: bool,
 }
 
-/// The proxy.
+/// The protocol state of one proxy.
 pub struct Instance {
-    fleet: Fleet,
+    config: InstanceConfig,
     voter: Option<Voter>,
-    holder: Holder,
-    /// When the voters are asked next.
-    asks: Time,
-    tasks: [Option<Proposer>; 2],
-    highest: [Ballot; 2],
-    /// A change that was seen chosen: its turn, since when, and whether this proxy brought it about.
-    changes: [Option<(u64, Time, bool)>; 2],
+    holder: LeaseHolder,
+    /// When the voters are queried next.
+    next_query: Time,
+    proposers: [Option<Proposer>; 2],
+    highest_ballots: [Ballot; 2],
+    /// A change that was seen chosen and is not finished: its revision, since when, and whether this proxy proposed
+    /// it.
+    pending_changes: [Option<(u64, Time, bool)>; 2],
     documents: BTreeSet<Hash>,
-    /// Versions between which there is no middle.
-    clashes: BTreeSet<(Hash, Hash)>,
-    heard: BTreeMap<ProxyNumber, Heard>,
-    list: u64,
-    newest: (u64, ProxyNumber),
+    /// Pairs of versions that have no common rules, in both orders.
+    incompatible: BTreeSet<(Hash, Hash)>,
+    peers: BTreeMap<ProxyNumber, PeerState>,
+    list_version: u64,
+    newest_list: (u64, ProxyNumber),
 }
 
 impl Instance {
-    /// One that begins now; `voter` where it votes.
-    pub fn new(fleet: Fleet, voter: Option<Voter>, now: Time) -> Self {
-        // Nonces of a later start must not be those of this one.
-        let holder = Holder::new(fleet.voters.clone(), fleet.times, fleet.start << 20);
+    /// Creates an instance; `voter` is given where this proxy votes.
+    pub fn new(config: InstanceConfig, voter: Option<Voter>, now: Time) -> Self {
+        // Nonces of different incarnations must differ.
+        let holder = LeaseHolder::new(config.voters.clone(), config.timing, config.incarnation << 20);
         Instance {
             voter,
             holder,
-            asks: now,
-            tasks: [None, None],
-            highest: [Ballot::default(); 2],
-            changes: [None; 2],
+            next_query: now,
+            proposers: [None, None],
+            highest_ballots: [Ballot::default(); 2],
+            pending_changes: [None; 2],
             documents: BTreeSet::new(),
-            clashes: BTreeSet::new(),
-            heard: BTreeMap::new(),
-            list: 0,
-            newest: (0, fleet.me),
-            fleet,
+            incompatible: BTreeSet::new(),
+            peers: BTreeMap::new(),
+            list_version: 0,
+            newest_list: (0, config.me),
+            config,
         }
     }
 
-    /// What may be acted on now, and until when.
-    pub fn holds(&self, now: Time) -> Option<([Standing; 2], Time)> {
-        self.holder.holds(now)
+    /// The values that may be acted on now, and until when.
+    pub fn leased_values(&self, now: Time) -> Option<([RegisterValue; 2], Time)> {
+        self.holder.leased_values(now)
     }
 
-    /// The last lease of a kind, even if it is over.
-    pub fn last(&self, kind: Kind) -> Option<Lease> {
-        self.holder.last(kind)
+    /// The latest lease on a kind, even if it has expired.
+    pub fn last_lease(&self, kind: Kind) -> Option<Lease> {
+        self.holder.last_lease(kind)
     }
 
-    /// What is known of the others.
-    pub fn heard(&self) -> &BTreeMap<ProxyNumber, Heard> {
-        &self.heard
+    /// What is known of the other proxies.
+    pub fn peers(&self) -> &BTreeMap<ProxyNumber, PeerState> {
+        &self.peers
     }
 
-    /// Whether it votes, and remembers what it promised.
-    pub fn votes(&self) -> Option<bool> {
-        self.voter.as_ref().map(Voter::remembers)
+    /// Whether this voter may vote: false while it recovers lost votes, `None` where this proxy is no voter.
+    pub fn can_vote(&self) -> Option<bool> {
+        self.voter.as_ref().map(Voter::can_vote)
     }
 
-    /// Whom a ballot of this proxy waits for.
-    pub fn awaits(&self, kind: Kind) -> Vec<ProxyNumber> {
-        self.tasks[kind.at()].as_ref().map_or_else(Vec::new, Proposer::awaits)
+    /// The voters that a ballot of this proxy waits for.
+    pub fn awaited_voters(&self, kind: Kind) -> Vec<ProxyNumber> {
+        self.proposers[kind.index()].as_ref().map_or_else(Vec::new, Proposer::awaited_voters)
     }
 
-    /// A document is here, whole and sound.
-    pub fn document(&mut self, hash: Hash) {
+    /// A valid document has become available.
+    pub fn document_added(&mut self, hash: Hash) {
         self.documents.insert(hash);
     }
 
-    /// A document is gone.
-    pub fn forget(&mut self, hash: &Hash) {
+    /// A document is no longer available.
+    pub fn document_removed(&mut self, hash: &Hash) {
         self.documents.remove(hash);
-        self.clashes.retain(|(one, other)| one != hash && other != hash);
+        self.incompatible.retain(|(one, other)| one != hash && other != hash);
     }
 
-    /// Between these two documents there is no middle: this voter accepts no change from one to the other.
-    pub fn clash(&mut self, one: Hash, other: Hash) {
-        self.clashes.extend([(one, other), (other, one)]);
+    /// Records that two documents have no common rules: this voter accepts no change from one to the other.
+    pub fn mark_incompatible(&mut self, one: Hash, other: Hash) {
+        self.incompatible.extend([(one, other), (other, one)]);
     }
 
-    /// The hashes that anything still rests on, as far as is known here.
-    pub fn needs(&self) -> BTreeSet<Hash> {
-        let leases = KINDS.into_iter().filter_map(|kind| self.holder.last(kind)).map(|l| l.accepted.standing);
-        let votes = self.voter.iter().flat_map(|v| v.durable().iter().map(|vote| vote.accepted.standing));
-        leases.chain(votes).flat_map(|s| s.holds.versions().map(|v| v.hash).collect::<Vec<_>>()).collect()
+    /// The hashes of the documents that the leases and the votes on disk refer to.
+    pub fn referenced_documents(&self) -> BTreeSet<Hash> {
+        let leases =
+            KINDS.into_iter().filter_map(|kind| self.holder.last_lease(kind)).map(|l| l.accepted.value);
+        let votes = self.voter.iter().flat_map(|v| v.durable().iter().map(|vote| vote.accepted.value));
+        leases.chain(votes).flat_map(|v| v.active.versions().map(|v| v.hash).collect::<Vec<_>>()).collect()
     }
 
-    /// This proxy holds this version of the member list.
-    pub fn listed(&mut self, version: u64) {
-        self.list = version;
-        if version > self.newest.0 {
-            self.newest = (version, self.fleet.me);
+    /// Sets the version of the member list that this proxy holds.
+    pub fn set_list_version(&mut self, version: u64) {
+        self.list_version = version;
+        if version > self.newest_list.0 {
+            self.newest_list = (version, self.config.me);
         }
     }
 
-    /// A later version of the member list than this proxy's, and who holds it.
+    /// The newest version of the member list, and a proxy that holds it, if it is newer than this proxy's own.
     pub fn newer_list(&self) -> Option<(u64, ProxyNumber)> {
-        Some(self.newest).filter(|(version, by)| *version > self.list && *by != self.fleet.me)
+        Some(self.newest_list)
+            .filter(|(version, holder)| *version > self.list_version && *holder != self.config.me)
     }
 
-    /// Begins a ballot; false while another one of this proxy is under way.
-    pub fn propose(&mut self, kind: Kind, goal: Goal, now: Time) -> bool {
-        if self.tasks[kind.at()].is_some() {
+    /// Starts a proposer. Returns false if another one of this kind is already running here.
+    pub fn propose(&mut self, kind: Kind, proposal: Proposal, now: Time) -> bool {
+        if self.proposers[kind.index()].is_some() {
             return false;
         }
-        let own = self.voter.as_ref().map_or(Ballot::default(), |v| v.highest(kind));
-        let seen = self.holder.last(kind).map_or(Ballot::default(), |l| l.accepted.ballot);
-        let highest = self.highest[kind.at()].max(own).max(seen);
-        let until = now + GIVES_UP * self.fleet.times.lease;
-        let Fleet { me, start, voters, .. } = &self.fleet;
-        let proposer = Proposer::new((kind, *me, *start), voters.clone(), goal, highest, (now, until));
-        self.tasks[kind.at()] = Some(proposer);
+        let promised = self.voter.as_ref().map_or(Ballot::default(), |v| v.highest_ballot(kind));
+        let seen = self.holder.last_lease(kind).map_or(Ballot::default(), |l| l.accepted.ballot);
+        let highest = self.highest_ballots[kind.index()].max(promised).max(seen);
+        let until = now + PROPOSAL_TIMEOUT_LEASES * self.config.timing.lease;
+        let InstanceConfig { me, incarnation, voters, .. } = &self.config;
+        let proposer =
+            Proposer::new((kind, *me, *incarnation), voters.clone(), proposal, highest, (now, until));
+        self.proposers[kind.index()] = Some(proposer);
         true
     }
 
-    fn send(&mut self, to: ProxyNumber, message: Message, now: Time, out: &mut Vec<Out>) {
-        if to == self.fleet.me {
-            // Its own vote needs no network, and no trust in one.
-            self.take(to, message, now, out);
+    fn send(&mut self, to: ProxyNumber, message: Message, now: Time, actions: &mut Vec<Action>) {
+        if to == self.config.me {
+            // Messages to itself are handled at once, without the network and without authentication.
+            self.handle(to, message, now, actions);
         } else {
-            out.push(Out::Send(to, message));
+            actions.push(Action::Send(to, message));
         }
     }
 
-    /// What another proxy says, in which of its starts.
-    pub fn hear(&mut self, from: ProxyNumber, start: u64, message: Message, now: Time) -> Vec<Out> {
-        let heard = self.heard.entry(from).or_default();
-        if heard.start != start {
-            *heard = Heard { start, ..Heard::default() };
+    /// Handles a message from another proxy, with the sender's incarnation.
+    pub fn receive(
+        &mut self,
+        from: ProxyNumber,
+        incarnation: u64,
+        message: Message,
+        now: Time,
+    ) -> Vec<Action> {
+        let peer = self.peers.entry(from).or_default();
+        if peer.incarnation != incarnation {
+            *peer = PeerState { incarnation, ..PeerState::default() };
         }
-        heard.at = now;
-        let mut out = Vec::new();
-        self.take(from, message, now, &mut out);
-        out
+        peer.last_heard = now;
+        let mut actions = Vec::new();
+        self.handle(from, message, now, &mut actions);
+        actions
     }
 
-    fn take(&mut self, from: ProxyNumber, message: Message, now: Time, out: &mut Vec<Out>) {
+    fn handle(&mut self, from: ProxyNumber, message: Message, now: Time, actions: &mut Vec<Action>) {
         match message {
-            Message::Ask { nonce, list, turns } => {
-                if let Some(heard) = self.heard.get_mut(&from) {
-                    (heard.turns, heard.list) = (turns, list);
+            Message::Query { nonce, list_version, revisions } => {
+                if let Some(peer) = self.peers.get_mut(&from) {
+                    (peer.revisions, peer.list_version) = (revisions, list_version);
                 }
-                if list > self.newest.0 {
-                    self.newest = (list, from);
+                if list_version > self.newest_list.0 {
+                    self.newest_list = (list_version, from);
                 }
                 let Some(voter) = &self.voter else { return };
-                let say = match voter.accepted() {
-                    Some(accepted) => Message::Told { nonce, accepted, list: self.newest, clock: now },
-                    None => Message::Forgot { nonce },
+                let answer = match voter.accepted() {
+                    Some(accepted) => {
+                        Message::Report { nonce, accepted, newest_list: self.newest_list, clock: now }
+                    }
+                    None => Message::Recovering { nonce },
                 };
-                self.send(from, say, now, out);
+                self.send(from, answer, now, actions);
             }
-            Message::Told { nonce, accepted, list, clock } => {
-                self.told(from, (nonce, accepted, list, clock), now, out)
+            Message::Report { nonce, accepted, newest_list, clock } => {
+                self.handle_report(from, (nonce, accepted, newest_list, clock), now, actions)
             }
-            Message::Forgot { .. } => {
-                if let Some(heard) = self.heard.get_mut(&from) {
-                    heard.forgot = true;
+            Message::Recovering { .. } => {
+                if let Some(peer) = self.peers.get_mut(&from) {
+                    peer.recovering = true;
                 }
             }
             Message::Prepare { kind, ballot } => {
-                self.highest[kind.at()] = self.highest[kind.at()].max(ballot);
-                let said = self.voter.as_mut().map_or(Said::Nothing, |v| v.prepare(from, kind, ballot));
-                self.say(from, said, now, out);
+                self.highest_ballots[kind.index()] = self.highest_ballots[kind.index()].max(ballot);
+                let response =
+                    self.voter.as_mut().map_or(Response::Ignore, |v| v.prepare(from, kind, ballot));
+                self.respond(from, response, now, actions);
             }
-            Message::Accept { kind, ballot, standing } => {
-                // What a voter helps to bring about it must be able to act on, and to hand on.
-                if let Holds::Between { from: old, to: new } = standing.holds {
-                    if self.clashes.contains(&(old.hash, new.hash)) {
+            Message::Accept { kind, ballot, value } => {
+                // A voter accepts only what it could itself act on, and only documents that it can pass on to others.
+                if let ActiveVersions::Transition { from: old, to: new } = value.active {
+                    if self.incompatible.contains(&(old.hash, new.hash)) {
                         return;
                     }
                 }
-                let lacks = standing.holds.versions().find(|v| !self.documents.contains(&v.hash));
-                let said = match lacks {
+                let missing = value.active.versions().find(|v| !self.documents.contains(&v.hash));
+                let response = match missing {
                     Some(version) if self.voter.is_some() => {
-                        if from != self.fleet.me {
-                            out.push(Out::Fetch(from, version.hash));
+                        if from != self.config.me {
+                            actions.push(Action::FetchDocument(from, version.hash));
                         }
-                        Said::Now(Box::new(Message::Lacks { kind, ballot, hash: version.hash }))
+                        Response::Send(Box::new(Message::MissingDocument {
+                            kind,
+                            ballot,
+                            hash: version.hash,
+                        }))
                     }
                     _ => {
-                        self.voter.as_mut().map_or(Said::Nothing, |v| v.accept(from, kind, ballot, standing))
+                        self.voter.as_mut().map_or(Response::Ignore, |v| v.accept(from, kind, ballot, value))
                     }
                 };
-                self.say(from, said, now, out);
+                self.respond(from, response, now, actions);
             }
-            Message::Promised { kind, .. } | Message::Accepts { kind, .. } | Message::Denied { kind, .. } => {
-                let Some(proposer) = self.tasks[kind.at()].as_mut() else { return };
-                let done = proposer.hear(from, &message, now, &self.fleet.times);
-                self.went(kind, done, now, out);
+            Message::Promise { kind, .. }
+            | Message::Accepted { kind, .. }
+            | Message::Rejected { kind, .. } => {
+                let Some(proposer) = self.proposers[kind.index()].as_mut() else { return };
+                let progress = proposer.receive(from, &message, now, &self.config.timing);
+                self.proposer_advanced(kind, progress, now, actions);
             }
-            // It has asked for the document, and is asked again in its turn.
-            Message::Lacks { .. } => {}
+            // The voter fetches the document itself; the proposer repeats its message after a round trip.
+            Message::MissingDocument { .. } => {}
         }
     }
 
-    fn say(&mut self, to: ProxyNumber, said: Said, now: Time, out: &mut Vec<Out>) {
-        match said {
-            Said::Now(message) => self.send(to, *message, now, out),
-            Said::Write(number, votes) => out.push(Out::Write(number, votes)),
-            Said::Nothing => {}
+    fn respond(&mut self, to: ProxyNumber, response: Response, now: Time, actions: &mut Vec<Action>) {
+        match response {
+            Response::Send(message) => self.send(to, *message, now, actions),
+            Response::Write(number, votes) => actions.push(Action::WriteVotes(number, votes)),
+            Response::Ignore => {}
         }
     }
 
-    fn told(
+    fn handle_report(
         &mut self,
         from: ProxyNumber,
-        (nonce, accepted, list, clock): (u64, [Accepted; 2], (u64, ProxyNumber), Time),
+        (nonce, accepted, newest_list, clock): (u64, [AcceptedValue; 2], (u64, ProxyNumber), Time),
         now: Time,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
-        if list.0 > self.newest.0 {
-            self.newest = list;
+        if newest_list.0 > self.newest_list.0 {
+            self.newest_list = newest_list;
         }
-        if let Some(at) = self.holder.asked(nonce) {
-            let took = now - at;
-            if let Some(heard) = self.heard.get_mut(&from) {
-                heard.forgot = false;
-                heard.compare(clock, now, took, &self.fleet.times);
+        if let Some(sent_at) = self.holder.query_sent_at(nonce) {
+            let round_trip = now - sent_at;
+            if let Some(peer) = self.peers.get_mut(&from) {
+                peer.recovering = false;
+                peer.compare_clocks(clock, now, round_trip, &self.config.timing);
             }
         }
-        let all = (self.fleet.voters.len(), &self.fleet.times, now);
-        if from != self.fleet.me {
-            let learned = self.voter.as_mut().and_then(|v| v.learn(from, accepted, all));
-            out.extend(learned.map(|votes| Out::Relearn(Box::new(votes))));
+        let voters_and_time = (self.config.voters.len(), &self.config.timing, now);
+        if from != self.config.me {
+            let recovered = self.voter.as_mut().and_then(|v| v.learn_from(from, accepted, voters_and_time));
+            actions.extend(recovered.map(|votes| Action::WriteRecovery(Box::new(votes))));
         }
-        let Some(seen) = self.holder.told(from, nonce, accepted, now) else { return };
-        for (kind, seen) in KINDS.into_iter().zip(seen) {
-            if let Seen::Chosen(accepted) = seen {
-                self.chosen(kind, accepted, now, false);
-                for version in accepted.standing.holds.versions() {
-                    if !self.documents.contains(&version.hash) && from != self.fleet.me {
-                        out.push(Out::Fetch(from, version.hash));
+        let Some(results) = self.holder.handle_answer(from, nonce, accepted, now) else { return };
+        for (kind, result) in KINDS.into_iter().zip(results) {
+            if let QueryResult::Chosen(accepted) = result {
+                self.value_chosen(kind, accepted, now, false);
+                for version in accepted.value.active.versions() {
+                    if !self.documents.contains(&version.hash) && from != self.config.me {
+                        actions.push(Action::FetchDocument(from, version.hash));
                     }
                 }
             }
         }
     }
 
-    fn chosen(&mut self, kind: Kind, accepted: Accepted, now: Time, own: bool) {
-        let Standing { turn, holds } = accepted.standing;
-        let change = &mut self.changes[kind.at()];
-        match (holds, &change) {
-            (Holds::Between { .. }, Some((known, ..))) if *known >= turn => {}
-            (Holds::Between { .. }, _) => *change = Some((turn, now, own)),
-            // One that was seen before this change says nothing of it.
-            (_, Some((known, ..))) if turn < *known => {}
+    fn value_chosen(&mut self, kind: Kind, accepted: AcceptedValue, now: Time, own: bool) {
+        let RegisterValue { revision, active } = accepted.value;
+        let change = &mut self.pending_changes[kind.index()];
+        match (active, &change) {
+            (ActiveVersions::Transition { .. }, Some((pending, ..))) if *pending >= revision => {}
+            (ActiveVersions::Transition { .. }, _) => *change = Some((revision, now, own)),
+            // A value from before the pending change does not end it.
+            (_, Some((pending, ..))) if revision < *pending => {}
             _ => *change = None,
         }
     }
 
-    /// A ballot of this proxy has gone on, or is over.
-    fn went(
+    /// Handles what a proposer of this proxy returned: messages to be sent, or how the proposal ended.
+    fn proposer_advanced(
         &mut self,
         kind: Kind,
-        done: Result<Vec<(ProxyNumber, Message)>, End>,
+        progress: Result<Vec<(ProxyNumber, Message)>, ProposalEnd>,
         now: Time,
-        out: &mut Vec<Out>,
+        actions: &mut Vec<Action>,
     ) {
-        match done {
-            Ok(say) => say.into_iter().for_each(|(to, message)| self.send(to, message, now, out)),
+        match progress {
+            Ok(outgoing) => {
+                outgoing.into_iter().for_each(|(to, message)| self.send(to, message, now, actions))
+            }
             Err(end) => {
-                let Some(proposer) = self.tasks[kind.at()].take() else { return };
-                let goal = proposer.goal();
-                self.highest[kind.at()] = self.highest[kind.at()].max(proposer.highest());
-                if let End::Chosen(accepted) = end {
-                    let own = matches!(goal, Goal::Change { .. });
-                    self.chosen(kind, accepted, now, own);
-                    // It asks at once: whoever waits for this is to see it soon.
-                    self.asks = now;
+                let Some(proposer) = self.proposers[kind.index()].take() else { return };
+                let proposal = proposer.proposal();
+                self.highest_ballots[kind.index()] =
+                    self.highest_ballots[kind.index()].max(proposer.highest_ballot());
+                if let ProposalEnd::Chosen(accepted) = end {
+                    let own = matches!(proposal, Proposal::Change { .. });
+                    self.value_chosen(kind, accepted, now, own);
+                    // Queries at once, so that this proxy sees the result soon.
+                    self.next_query = now;
                 }
-                if matches!(goal, Goal::Finish(_)) && matches!(end, End::Moot(Moot::Over(_))) {
-                    self.changes[kind.at()] = None;
+                if matches!(proposal, Proposal::Finish(_))
+                    && matches!(end, ProposalEnd::Failed(ProposalError::StaleRevision(_)))
+                {
+                    self.pending_changes[kind.index()] = None;
                 }
-                out.push(Out::Ended(kind, goal, end));
+                actions.push(Action::ProposalEnded(kind, proposal, end));
             }
         }
     }
 
-    /// Votes of this number are on the disk.
-    pub fn written(&mut self, number: u64, now: Time) -> Vec<Out> {
-        let mut out = Vec::new();
-        let say = self.voter.as_mut().map_or_else(Vec::new, |v| v.written(number));
-        say.into_iter().for_each(|(to, message)| self.send(to, message, now, &mut out));
-        out
+    /// The votes with this number are on disk.
+    pub fn votes_written(&mut self, number: u64, now: Time) -> Vec<Action> {
+        let mut actions = Vec::new();
+        let replies = self.voter.as_mut().map_or_else(Vec::new, |v| v.votes_written(number));
+        replies.into_iter().for_each(|(to, message)| self.send(to, message, now, &mut actions));
+        actions
     }
 
-    /// What was learned anew is on the disk.
-    pub fn learned(&mut self) {
-        self.voter.iter_mut().for_each(Voter::learned);
+    /// The votes of [`Action::WriteRecovery`] are on disk.
+    pub fn recovery_written(&mut self) {
+        self.voter.iter_mut().for_each(Voter::recovery_written);
     }
 
-    /// The operators begin a new epoch: what to write first; nothing where this is no voter or the epoch no later one.
-    pub fn start_over(&mut self, epoch: u32) -> Option<Out> {
-        let votes = self.voter.as_mut()?.start_over(epoch)?;
-        self.highest = [Ballot { epoch, ..Ballot::default() }; 2];
-        self.tasks = [None, None];
-        Some(Out::Relearn(Box::new(votes)))
+    /// Operators begin a new epoch. Returns the write that must come first, or `None` if this proxy is no voter or
+    /// the epoch is not later than the current one.
+    pub fn begin_epoch(&mut self, epoch: u32) -> Option<Action> {
+        let votes = self.voter.as_mut()?.begin_epoch(epoch)?;
+        self.highest_ballots = [Ballot { epoch, ..Ballot::default() }; 2];
+        self.proposers = [None, None];
+        Some(Action::WriteRecovery(Box::new(votes)))
     }
 
-    /// Looks at the clock.
-    pub fn tick(&mut self, now: Time) -> Vec<Out> {
-        let mut out = Vec::new();
-        if now >= self.asks {
-            self.ask(now, &mut out);
+    /// Handles the passing of time.
+    pub fn tick(&mut self, now: Time) -> Vec<Action> {
+        let mut actions = Vec::new();
+        if now >= self.next_query {
+            self.query_voters(now, &mut actions);
         }
         for kind in KINDS {
-            if let Some(proposer) = self.tasks[kind.at()].as_mut() {
-                let done = proposer.tick(now, &self.fleet.times);
-                self.went(kind, done, now, &mut out);
+            if let Some(proposer) = self.proposers[kind.index()].as_mut() {
+                let progress = proposer.tick(now, &self.config.timing);
+                self.proposer_advanced(kind, progress, now, &mut actions);
             } else if self.voter.is_some() {
-                self.bring_on(kind, now);
+                self.resume_unfinished(kind, now);
             }
         }
-        out
+        actions
     }
 
-    fn ask(&mut self, now: Time, out: &mut Vec<Out>) {
-        let times = self.fleet.times;
-        let nonce = self.holder.ask(now);
-        // All of a fleet may have begun at one moment; they are not to ask at one for ever.
-        let part = 0.75 + hash_fraction(self.fleet.seed, now, 7) / 4.0;
-        self.asks = now + (times.asks() as f64 * part) as Time;
-        let turns = KINDS.map(|kind| self.holder.last(kind).map_or(0, |l| l.accepted.standing.turn));
-        let list = self.list;
-        for voter in self.fleet.voters.clone() {
-            self.send(voter, Message::Ask { nonce, list, turns }, now, out);
+    fn query_voters(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let timing = self.config.timing;
+        let nonce = self.holder.start_query(now);
+        // The random part keeps proxies that were started together from sending their queries together.
+        let part = 0.75 + hash_fraction(self.config.seed, now, 7) / 4.0;
+        self.next_query = now + (timing.query_interval() as f64 * part) as Time;
+        let revisions =
+            KINDS.map(|kind| self.holder.last_lease(kind).map_or(0, |l| l.accepted.value.revision));
+        let list_version = self.list_version;
+        for voter in self.config.voters.clone() {
+            self.send(voter, Message::Query { nonce, list_version, revisions }, now, actions);
         }
     }
 
-    /// Goes on with what was left in its middle: a change whose time has come, or a ballot that nobody has ended. Whoever
-    /// began the change comes first, any other voter after a pause by lot.
-    fn bring_on(&mut self, kind: Kind, now: Time) {
-        let times = self.fleet.times;
-        let by_lot = |n: u64| {
-            (times.round as f64 * (2.0 + 6.0 * hash_fraction(!self.fleet.seed, now / times.round, n))) as Time
+    /// Resumes what was left unfinished: a change once all leases from before it have expired, or a ballot that was
+    /// abandoned halfway. The proxy that proposed the change goes first; any other voter adds a random delay.
+    fn resume_unfinished(&mut self, kind: Kind, now: Time) {
+        let timing = self.config.timing;
+        let random_delay = |n: u64| {
+            (timing.round as f64 * (2.0 + 6.0 * hash_fraction(!self.config.seed, now / timing.round, n)))
+                as Time
         };
-        if let Some((turn, since, own)) = self.changes[kind.at()] {
-            let pause = if own { 0 } else { by_lot(turn) };
-            if now >= since + times.max_lease() + pause {
-                self.propose(kind, Goal::Finish(turn), now);
+        if let Some((revision, since, own)) = self.pending_changes[kind.index()] {
+            let delay = if own { 0 } else { random_delay(revision) };
+            if now >= since + timing.max_lease() + delay {
+                self.propose(kind, Proposal::Finish(revision), now);
                 return;
             }
         }
-        if self.holder.split(kind).is_some_and(|since| now >= since + times.ballot() + by_lot(0)) {
-            self.propose(kind, Goal::Repair, now);
+        if self
+            .holder
+            .split_since(kind)
+            .is_some_and(|since| now >= since + timing.ballot_timeout() + random_delay(0))
+        {
+            self.propose(kind, Proposal::Repair, now);
         }
     }
 
-    /// When it wants to look at the clock next.
-    pub fn wakes(&self) -> Time {
-        let times = &self.fleet.times;
-        let tasks = self.tasks.iter().flatten().map(|proposer| proposer.wakes(times));
+    /// When it needs the next tick.
+    pub fn next_wakeup(&self) -> Time {
+        let timing = &self.config.timing;
+        let proposers = self.proposers.iter().flatten().map(|proposer| proposer.next_wakeup(timing));
         let own = self
-            .changes
+            .pending_changes
             .iter()
             .flatten()
             .filter(|(_, _, own)| *own)
-            .map(|(_, since, _)| since + times.max_lease());
-        let own = own.filter(|_| self.voter.is_some() && self.tasks.iter().all(Option::is_none));
-        tasks.chain(own).fold(self.asks, Time::min)
+            .map(|(_, since, _)| since + timing.max_lease());
+        let own = own.filter(|_| self.voter.is_some() && self.proposers.iter().all(Option::is_none));
+        proposers.chain(own).fold(self.next_query, Time::min)
     }
 }
 
-impl Heard {
-    /// Compares its clock with this one's. An answer that took `took` was given at some time within that.
-    fn compare(&mut self, theirs: Time, mine: Time, took: Time, times: &Timing) {
-        let Some((their_first, my_first, first_took)) = self.clocks else {
-            self.clocks = Some((theirs, mine, took));
+impl PeerState {
+    /// Compares the rates of its clock and this proxy's. Its clock was read at an unknown time within `round_trip`,
+    /// which is allowed for.
+    fn compare_clocks(&mut self, theirs: Time, mine: Time, round_trip: Time, timing: &Timing) {
+        let Some((their_first, my_first, first_round_trip)) = self.clock_baseline else {
+            self.clock_baseline = Some((theirs, mine, round_trip));
             return;
         };
         let (their_span, my_span) = (theirs.saturating_sub(their_first), mine - my_first);
-        if my_span < COMPARED {
+        if my_span < MIN_CLOCK_COMPARISON {
             return;
         }
-        self.drifts = their_span.abs_diff(my_span) > times.drift(my_span) + took + first_took;
-        // Anew from here: a clock that has been set right is to be seen, too.
-        if my_span > 30 * COMPARED {
-            self.clocks = Some((theirs, mine, took));
+        self.clock_drifts =
+            their_span.abs_diff(my_span) > timing.max_drift(my_span) + round_trip + first_round_trip;
+        // Begins a new comparison, so that a clock that has been corrected is seen to be right again.
+        if my_span > 30 * MIN_CLOCK_COMPARISON {
+            self.clock_baseline = Some((theirs, mine, round_trip));
         }
     }
 }
--- a/src/agreement/message.rs
+++ b/src/agreement/message.rs
@@ -1,115 +1,115 @@
-//! What proxies say to each other, a datagram each. Whoever answers repeats the nonce of what it answers, so that an old
-//! answer answers nothing.
+//! The messages between proxies, one in each datagram. An answer repeats the nonce or the ballot of the message
+//! that it answers, so that a late answer is not taken for an answer to something else.
 
-use super::seal::Bad;
-use super::{Accepted, Ballot, Hash, Kind, ProxyNumber, Standing};
+use super::seal::RejectReason;
+use super::{AcceptedValue, Ballot, Hash, Kind, ProxyNumber, RegisterValue};
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
 
-/// Longest payload, in bytes: with its head and code a datagram of no more than 1,200.
-pub const LONGEST: usize = 1_100;
-/// The version of the format. Another one is not understood, and said so.
-const FORMAT: u8 = 1;
+/// The maximum size of an encoded message, in bytes: with its header and MAC a datagram has at most 1,200.
+pub const MAX_BYTES: usize = 1_100;
+/// The version of the encoding. Messages with another one are rejected as unreadable.
+const FORMAT_VERSION: u8 = 1;
 
-/// One message.
+/// A message of the protocol. The encoding depends on the order of variants and fields.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// What holds? Anyone to a voter.
-    Ask {
+    /// Asks a voter what it has accepted. Any proxy sends this.
+    Query {
         /// Repeated in the answer.
         nonce: u64,
-        /// Version of the member list that the one who asks holds; 0: none.
-        list: u64,
-        /// The turn that it acts on, by kind: whom a change waits for is to be seen.
-        turns: [u64; 2],
+        /// The version of the member list that the sender holds; 0: none.
+        list_version: u64,
+        /// The revision that the sender acts on, by kind, so that operators can see which proxies a change waits for.
+        revisions: [u64; 2],
     },
-    /// A voter's answer: what it has accepted last of each kind.
-    Told {
-        /// That of the question.
+    /// A voter's answer to a query.
+    Report {
+        /// The nonce of the query.
         nonce: u64,
-        /// By kind.
-        accepted: [Accepted; 2],
-        /// The highest version of the member list that it has heard of, and who holds that.
-        list: (u64, ProxyNumber),
-        /// The voter's clock, in us: two clocks that run apart by more than is allowed must be found.
+        /// What the voter has accepted last, by kind.
+        accepted: [AcceptedValue; 2],
+        /// The highest version of the member list that the voter has heard of, and the proxy that holds it.
+        newest_list: (u64, ProxyNumber),
+        /// The voter's clock, in us, by which the sender of the query detects excessive clock drift.
         clock: Time,
     },
-    /// A voter cannot answer: what it has promised before its start may be lost.
-    Forgot {
-        /// That of the question.
+    /// The answer of a voter that cannot vote yet, as promises from before its start may be lost.
+    Recovering {
+        /// The nonce of the query.
         nonce: u64,
     },
-    /// Will you accept nothing below this ballot?
+    /// Paxos phase 1a: asks a voter to promise to accept nothing below this ballot.
     Prepare {
-        /// What it is about.
+        /// The kind.
         kind: Kind,
         /// The ballot.
         ballot: Ballot,
     },
-    /// I will not; this is what I have accepted last.
-    Promised {
-        /// What it is about.
+    /// Paxos phase 1b: the voter promises, and reports what it has accepted last.
+    Promise {
+        /// The kind.
         kind: Kind,
         /// The ballot.
         ballot: Ballot,
-        /// The last accepted.
-        accepted: Accepted,
+        /// What the voter has accepted last.
+        accepted: AcceptedValue,
     },
-    /// Accept this.
+    /// Paxos phase 2a: asks a voter to accept a value.
     Accept {
-        /// What it is about.
+        /// The kind.
         kind: Kind,
         /// The ballot.
         ballot: Ballot,
-        /// The standing.
-        standing: Standing,
+        /// The value.
+        value: RegisterValue,
     },
-    /// It is accepted.
-    Accepts {
-        /// What it is about.
+    /// Paxos phase 2b: the voter has accepted the value.
+    Accepted {
+        /// The kind.
         kind: Kind,
         /// The ballot.
         ballot: Ballot,
     },
-    /// A later ballot was promised: this one comes to nothing here.
-    Denied {
-        /// What it is about.
+    /// The voter refuses a ballot, as it has promised a higher one.
+    Rejected {
+        /// The kind.
         kind: Kind,
-        /// The ballot that is denied.
+        /// The refused ballot.
         ballot: Ballot,
-        /// The later one.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// It cannot be accepted before this document is here.
-    Lacks {
-        /// What it is about.
+    /// The voter cannot accept a value until it has this document.
+    MissingDocument {
+        /// The kind.
         kind: Kind,
         /// The ballot.
         ballot: Ballot,
-        /// The document's hash.
+        /// The hash of the document.
         hash: Hash,
     },
 }
 
 impl Message {
-    /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
-        // Nothing in it can fail to be written.
-        postcard::to_extend(self, vec![FORMAT]).unwrap_or_default()
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
+        // Encoding cannot fail for any of these fields.
+        postcard::to_extend(self, vec![FORMAT_VERSION]).unwrap_or_default()
     }
 
-    /// Reads one.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// When it is none, or of another version of the format.
-    pub fn read(bytes: &[u8]) -> Result<Self, Bad> {
-        let (format, rest) = bytes.split_first().ok_or(Bad::Short)?;
-        if *format != FORMAT || bytes.len() > LONGEST {
-            return Err(Bad::Unreadable);
+    /// When the bytes are no message, or have another format version.
+    pub fn decode(bytes: &[u8]) -> Result<Self, RejectReason> {
+        let (format, rest) = bytes.split_first().ok_or(RejectReason::Short)?;
+        if *format != FORMAT_VERSION || bytes.len() > MAX_BYTES {
+            return Err(RejectReason::Unreadable);
         }
         match postcard::take_from_bytes(rest) {
             Ok((message, [])) => Ok(message),
-            _ => Err(Bad::Unreadable),
+            _ => Err(RejectReason::Unreadable),
         }
     }
 }
@@ -117,35 +117,39 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::{Holds, Version};
+    use crate::agreement::{ActiveVersions, Version};
 
     #[test]
-    fn the_longest_message_fits_a_datagram_and_comes_back_as_it_was() {
+    fn longest_message_fits_a_datagram_and_round_trips() {
         let version = Version { number: u64::MAX, hash: Hash([255; 32]) };
-        let standing = Standing { turn: u64::MAX, holds: Holds::Between { from: version, to: version } };
-        let ballot = Ballot { epoch: u32::MAX, round: u32::MAX, by: ProxyNumber::MAX, start: u64::MAX };
-        let accepted = Accepted { ballot, standing };
-        let long = Message::Told {
+        let value = RegisterValue {
+            revision: u64::MAX,
+            active: ActiveVersions::Transition { from: version, to: version },
+        };
+        let ballot =
+            Ballot { epoch: u32::MAX, round: u32::MAX, proposer: ProxyNumber::MAX, incarnation: u64::MAX };
+        let accepted = AcceptedValue { ballot, value };
+        let long = Message::Report {
             nonce: u64::MAX,
             accepted: [accepted; 2],
-            list: (u64::MAX, ProxyNumber::MAX),
+            newest_list: (u64::MAX, ProxyNumber::MAX),
             clock: Time::MAX,
         };
-        let bytes = long.write();
+        let bytes = long.encode();
         assert!(bytes.len() < 300, "{}", bytes.len());
-        assert_eq!(Message::read(&bytes), Ok(long));
+        assert_eq!(Message::decode(&bytes), Ok(long));
     }
 
     #[test]
-    fn what_is_cut_off_longer_or_of_another_format_is_no_message() {
-        let bytes = Message::Ask { nonce: 300, list: 5, turns: [1, 2] }.write();
+    fn truncated_extended_and_other_format_messages_are_rejected() {
+        let bytes = Message::Query { nonce: 300, list_version: 5, revisions: [1, 2] }.encode();
         for length in 0..bytes.len() {
-            assert!(Message::read(&bytes[..length]).is_err());
+            assert!(Message::decode(&bytes[..length]).is_err());
         }
-        assert_eq!(Message::read(&[&bytes[..], &[0]].concat()), Err(Bad::Unreadable));
+        assert_eq!(Message::decode(&[&bytes[..], &[0]].concat()), Err(RejectReason::Unreadable));
         let mut newer = bytes.clone();
-        newer[0] = FORMAT + 1;
-        assert_eq!(Message::read(&newer), Err(Bad::Unreadable));
-        assert_eq!(Message::read(&[FORMAT, 200, 1]), Err(Bad::Unreadable));
+        newer[0] = FORMAT_VERSION + 1;
+        assert_eq!(Message::decode(&newer), Err(RejectReason::Unreadable));
+        assert_eq!(Message::decode(&[FORMAT_VERSION, 200, 1]), Err(RejectReason::Unreadable));
     }
 }
--- a/src/agreement/mod.rs
+++ b/src/agreement/mod.rs
@@ -1,16 +1,19 @@
-//! One set of rules: versions of settings and of the operators' word that all proxies of a fleet agree on, so that no two
-//! act on versions that contradict each other. None of this does I/O or holds a clock; `src/agreement_io` carries it.
+//! Agreement between the proxies of a fleet on versions of the shared settings and of the list of members that
+//! operators have suspended, so that no two proxies act on versions that contradict each other. This module is sans
+//! I/O and holds no clock; `src/agreement_io` provides sockets, storage and time.
 //!
-//! A few proxies are voters. Each keeps, for each kind of document, the [`Standing`] that it last accepted, in ballots of
-//! the classic kind (Paxos, one register, no log and no leader): a standing is chosen when a majority of the voters has
-//! accepted it in one ballot. All proxies act by a lease: whoever has seen a standing chosen, by answers of a majority to
-//! one question, may act on it for a lease's length from when it asked.
+//! A few proxies are voters. For each kind of document a voter keeps the [`RegisterValue`] that it accepted last.
+//! Voters run Paxos on one register for each kind, without a log and without a leader: a value is chosen when a
+//! majority of the voters has accepted it in one ballot. Every proxy acts under a lease: a proxy that
+//! has seen a value chosen, from the answers of a majority to one query, may act on it for the length of a lease,
+//! counted from when it sent the query.
 //!
-//! A change goes through two standings: [`Holds::Between`] two versions, on which all act by the strictest rules that
-//! contradict neither ([`rules`]), and then [`Holds::One`], the new version alone. The second is proposed only when
-//! every lease on the version before has surely run out. So whoever acts on the new version alone does so when nobody
-//! acts on the old one alone any more, however slow, stopped or cut off anyone is: the bound rests on clocks that run at
-//! about the same rate, and on nothing else. `docs/agreement.md` has the argument.
+//! A change takes two values: [`ActiveVersions::Transition`] between two versions, during which all proxies act by
+//! the strictest rules that contradict neither ([`rules`]), and then [`ActiveVersions::Single`], the new version
+//! alone. The second value is proposed only when every lease on the previous version has certainly expired. A proxy
+//! therefore acts on the new version alone only when no proxy acts on the old one alone any more, no matter which
+//! proxies are slow, stopped or cut off. This relies only on clocks that run at about the same rate.
+//! `docs/agreement.md` has the proof.
 
 pub mod document;
 pub mod holder;
@@ -24,42 +27,42 @@
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
 
-/// The number of a proxy in its fleet, as the operators' file names it.
+/// The number of a proxy within its fleet, as in the operators' file.
 pub type ProxyNumber = u16;
 
-/// Most proxies of a fleet, and most voters among them.
+/// The maximum number of proxies in a fleet.
 pub const FLEET_MAX: usize = 4_096;
-/// See [`FLEET_MAX`].
+/// The maximum number of voters in a fleet.
 pub const VOTERS_MAX: usize = 9;
 
-/// What is agreed on, each by itself.
+/// The kinds of documents. Each kind has a register of its own and is agreed on independently of the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// The settings that all share.
+    /// The settings that all proxies share.
     Settings,
-    /// Members that are out by hand for the whole fleet.
-    Hands,
+    /// The members that operators have suspended for the whole fleet.
+    Suspensions,
 }
 
-/// Both, in the order in which arrays of them are kept.
-pub const KINDS: [Kind; 2] = [Kind::Settings, Kind::Hands];
+/// All kinds, in the order used by arrays that are indexed by kind.
+pub const KINDS: [Kind; 2] = [Kind::Settings, Kind::Suspensions];
 
 impl Kind {
-    /// Its place in such an array.
-    pub fn at(self) -> usize {
+    /// The index of this kind in arrays such as [`KINDS`].
+    pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Its name.
+    /// The name of this kind in logs, on the console and in status output.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Settings => "settings",
-            Kind::Hands => "hands",
+            Kind::Suspensions => "hands",
         }
     }
 }
 
-/// A hash of a document's bytes.
+/// The SHA-256 hash of a document's bytes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Hash(pub [u8; 32]);
 
@@ -70,16 +73,16 @@
 }
 
 impl std::fmt::Display for Hash {
-    /// Its first bytes, enough to tell two documents apart.
+    /// Writes the first 6 bytes in hex, which is enough to distinguish two documents.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0[..6].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-/// One version of a document: its number among all of its kind, and what it says.
+/// Identifies one version of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Version {
-    /// The number, from 1.
+    /// The version number within its kind, from 1.
     pub number: u64,
     /// The hash of the document.
     pub hash: Hash,
@@ -91,120 +94,124 @@
     }
 }
 
-/// A ballot. An epoch begins only by the operators' word, after all that was promised before it was lost.
+/// A Paxos ballot number. Ballots are ordered by epoch first; only operators begin a new epoch, after the voters have
+/// lost their promises of the previous one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Ballot {
     /// The epoch.
     pub epoch: u32,
-    /// Its round.
+    /// The round within the epoch.
     pub round: u32,
-    /// Whose it is ...
-    pub by: ProxyNumber,
-    /// ... in which of its starts: whoever begins anew does not know which rounds it has had.
-    pub start: u64,
+    /// The proxy that proposes in this ballot.
+    pub proposer: ProxyNumber,
+    /// The proposer's incarnation. It keeps ballots unique, as a restarted proxy does not know which rounds it has
+    /// used.
+    pub incarnation: u64,
 }
 
-/// What is in force.
+/// The versions that are in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub enum Holds {
-    /// No version yet.
+pub enum ActiveVersions {
+    /// No version has been agreed on yet.
     #[default]
     Nothing,
-    /// One version.
-    One(Version),
-    /// A change has been prepared: whatever contradicts either version is left alone.
-    Between {
-        /// The version that holds.
+    /// One version alone.
+    Single(Version),
+    /// A change is under way: proxies do only what both versions permit.
+    Transition {
+        /// The version that is being replaced.
         from: Version,
-        /// The one that is to hold.
+        /// The version that replaces it.
         to: Version,
     },
 }
 
-impl Holds {
-    /// The versions that it names.
+impl ActiveVersions {
+    /// All versions that are in force: none, one or two.
     pub fn versions(&self) -> impl Iterator<Item = Version> {
-        let (one, other) = match *self {
-            Holds::Nothing => (None, None),
-            Holds::One(version) => (Some(version), None),
-            Holds::Between { from, to } => (Some(from), Some(to)),
+        let (first, second) = match *self {
+            ActiveVersions::Nothing => (None, None),
+            ActiveVersions::Single(version) => (Some(version), None),
+            ActiveVersions::Transition { from, to } => (Some(from), Some(to)),
         };
-        one.into_iter().chain(other)
+        first.into_iter().chain(second)
     }
 
-    /// Whether nobody can act on one of them alone while another acts on the other alone: they name a version in common,
-    /// by which whatever either permits is permitted.
-    pub fn agrees(&self, other: &Holds) -> bool {
+    /// Whether both have a version in common. Two proxies may then act on them at the same time, since each does
+    /// only what the common version permits.
+    pub fn shares_version_with(&self, other: &ActiveVersions) -> bool {
         self.versions().any(|v| other.versions().any(|w| v == w))
     }
 }
 
-/// What is in force, and how often that has changed: two changes to the same are told apart.
+/// The value of a register: what is in force, with a revision that distinguishes two changes to the same versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Standing {
-    /// Changes so far.
-    pub turn: u64,
-    /// What holds.
-    pub holds: Holds,
+pub struct RegisterValue {
+    /// The number of changes so far.
+    pub revision: u64,
+    /// The versions that are in force.
+    pub active: ActiveVersions,
 }
 
-impl Standing {
-    /// What comes after it.
-    pub fn next(&self, holds: Holds) -> Self {
-        Standing { turn: self.turn + 1, holds }
+impl RegisterValue {
+    /// The value that follows this one when `active` comes into force.
+    pub fn next(&self, active: ActiveVersions) -> Self {
+        RegisterValue { revision: self.revision + 1, active }
     }
 }
 
-/// What a voter has accepted last.
+/// The value that a voter accepted last, and the ballot in which it did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Accepted {
-    /// In which ballot.
+pub struct AcceptedValue {
+    /// The ballot.
     pub ballot: Ballot,
-    /// What.
-    pub standing: Standing,
+    /// The value.
+    pub value: RegisterValue,
 }
 
-/// The times that all of a fleet must have alike.
+/// Protocol timing. All proxies of a fleet must be configured with the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timing {
-    /// How long a lease lasts, in us.
+    /// The length of a lease, in us.
     pub lease: Time,
-    /// By how much two clocks may run apart, in parts of a million.
+    /// The largest difference between the rates of two clocks, in parts per million.
     pub drift_ppm: u64,
-    /// How long a round of messages may take where nothing fails, in us; a ballot is given up after four of them.
+    /// The duration of a message round trip without faults, in us. A ballot is abandoned after four of them.
     pub round: Time,
 }
 
 impl Timing {
-    /// How long whoever has seen a standing chosen waits until no lease on one before it lasts anywhere.
+    /// The longest time for which a lease lasts by any clock of the fleet. A proxy that has seen a value chosen
+    /// waits this long to be sure that no lease on an earlier value is left anywhere.
     pub fn max_lease(&self) -> Time {
-        self.lease + self.drift(self.lease)
+        self.lease + self.max_drift(self.lease)
     }
 
-    /// What a span may be apart on two clocks.
-    pub fn drift(&self, span: Time) -> Time {
-        (span * 2 * self.drift_ppm).div_ceil(1_000_000)
+    /// The largest difference between two clocks after `duration`.
+    pub fn max_drift(&self, duration: Time) -> Time {
+        (duration * 2 * self.drift_ppm).div_ceil(1_000_000)
     }
 
-    /// Between two questions to the voters.
-    pub fn asks(&self) -> Time {
+    /// The interval between two queries to the voters.
+    pub fn query_interval(&self) -> Time {
         self.lease / 4
     }
 
-    /// How long a ballot may last at its proposer, in us.
-    pub fn ballot(&self) -> Time {
+    /// How long a ballot may take at its proposer, in us.
+    pub fn ballot_timeout(&self) -> Time {
         4 * self.round
     }
 
-    /// T: the longest time from the operators' word until the new version is in force wherever the voters can be reached,
-    /// in us, where nothing fails: two ballots of two rounds each, the lapse of all leases between them, and the question
-    /// by which the last one hears of it. After a fault it counts from the end of the fault, and a lease more.
+    /// The longest time, in us, from an operator's command until the new version is in force on every proxy that
+    /// can reach the voters, without faults (T in `docs/agreement.md`): two ballots of two round trips each, the
+    /// expiry of all leases between them, and the query by which the last proxy learns of the result. After a fault
+    /// it counts from the end of the fault, plus one lease.
     pub fn change_bound(&self) -> Time {
-        4 * self.round + self.max_lease() + self.asks() + self.round
+        4 * self.round + self.max_lease() + self.query_interval() + self.round
     }
 }
 
-/// How many of so many are a majority.
-pub fn majority(of: usize) -> usize {
-    of / 2 + 1
+/// The number of voters that form a majority of `count`.
+pub fn majority(count: usize) -> usize {
+    count / 2 + 1
 }
--- a/src/agreement/proposer.rs
+++ b/src/agreement/proposer.rs
@@ -1,253 +1,275 @@
-//! A ballot: first a majority of the voters promises to accept nothing below it and tells what it has accepted, then the
-//! same standing, or what is to come after it, is put to them. Two that propose at once disturb each other at most for
-//! the pauses that they draw by lot.
+//! A proposer (Paxos): it runs ballots until its proposal is decided. In phase 1 a majority of the voters promises
+//! to accept nothing below the ballot, and reports what it has accepted. In phase 2 the value that follows from
+//! that, or the same value for a repair, is put to the voters. Concurrent proposers can make each other's ballots
+//! fail; random backoff ends this.
 
 use super::message::Message;
-use super::{majority, Accepted, Ballot, Hash, Holds, Kind, ProxyNumber, Standing, Timing, Version};
+use super::{
+    majority, AcceptedValue, ActiveVersions, Ballot, Hash, Kind, ProxyNumber, RegisterValue, Timing, Version,
+};
 use crate::interface::Time;
 use crate::policy::state::hash_fraction;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is to be brought about.
+/// What a proposer is to bring about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Goal {
-    /// This version, on the one that it names as its parent; the first needs none.
+pub enum Proposal {
+    /// Begin a change to this version. The first version comes into force at once and needs no parent.
     Change {
-        /// The version.
+        /// The new version.
         to: Version,
-        /// The hash of the one before it.
+        /// The hash of the version that it replaces.
         parent: Hash,
     },
-    /// The change of this turn takes effect: all leases on what was before it have run out.
+    /// Complete the change of this revision: all leases on what was in force before it have expired.
     Finish(u64),
-    /// The change of this turn is taken back.
+    /// Take back the change of this revision.
     Abort(u64),
-    /// What was left in the middle of a ballot is chosen, whatever it is.
+    /// Complete a ballot that was abandoned halfway, with whatever value it finds.
     Repair,
 }
 
-/// Why a goal is not to be had.
+/// Why a proposal failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moot {
+pub enum ProposalError {
     /// Another change is under way.
-    Busy(Standing),
-    /// It does not follow on what holds.
-    Behind(Standing),
-    /// That turn is over.
-    Over(Standing),
+    ChangePending(RegisterValue),
+    /// The proposed version does not follow the one in force.
+    StaleParent(RegisterValue),
+    /// The change to be finished or aborted is no longer the current one.
+    StaleRevision(RegisterValue),
     /// No majority of the voters could be reached in time.
-    Unreached,
+    NoMajority,
 }
 
-impl Goal {
-    /// What comes after a standing by this goal.
+impl Proposal {
+    /// The value that this proposal puts in place of the current one.
     ///
     /// # Errors
-    /// Why nothing does.
-    pub fn after(&self, now: &Standing) -> Result<Standing, Moot> {
-        match (*self, now.holds) {
-            (Goal::Repair, _) => Ok(*now),
-            // It is there already: the one who asked had no answer.
-            (Goal::Change { to, .. }, Holds::One(version)) if version == to => Ok(*now),
-            (Goal::Change { to, .. }, Holds::Between { to: other, .. }) if other == to => Ok(*now),
-            (Goal::Change { .. }, Holds::Between { .. }) => Err(Moot::Busy(*now)),
-            (Goal::Change { to, .. }, Holds::Nothing) if to.number == 1 => Ok(now.next(Holds::One(to))),
-            (Goal::Change { to, parent }, Holds::One(from))
+    /// When the proposal cannot be applied to the current value.
+    pub fn apply(&self, current: &RegisterValue) -> Result<RegisterValue, ProposalError> {
+        match (*self, current.active) {
+            (Proposal::Repair, _) => Ok(*current),
+            // The change was made by an earlier attempt, whose answer was lost.
+            (Proposal::Change { to, .. }, ActiveVersions::Single(version)) if version == to => Ok(*current),
+            (Proposal::Change { to, .. }, ActiveVersions::Transition { to: other, .. }) if other == to => {
+                Ok(*current)
+            }
+            (Proposal::Change { .. }, ActiveVersions::Transition { .. }) => {
+                Err(ProposalError::ChangePending(*current))
+            }
+            (Proposal::Change { to, .. }, ActiveVersions::Nothing) if to.number == 1 => {
+                Ok(current.next(ActiveVersions::Single(to)))
+            }
+            (Proposal::Change { to, parent }, ActiveVersions::Single(from))
                 if parent == from.hash && to.number == from.number + 1 =>
             {
-                Ok(now.next(Holds::Between { from, to }))
+                Ok(current.next(ActiveVersions::Transition { from, to }))
             }
-            (Goal::Change { .. }, _) => Err(Moot::Behind(*now)),
-            (Goal::Finish(turn), Holds::Between { to, .. }) if turn == now.turn => {
-                Ok(now.next(Holds::One(to)))
+            (Proposal::Change { .. }, _) => Err(ProposalError::StaleParent(*current)),
+            (Proposal::Finish(revision), ActiveVersions::Transition { to, .. })
+                if revision == current.revision =>
+            {
+                Ok(current.next(ActiveVersions::Single(to)))
             }
-            (Goal::Abort(turn), Holds::Between { from, .. }) if turn == now.turn => {
-                Ok(now.next(Holds::One(from)))
+            (Proposal::Abort(revision), ActiveVersions::Transition { from, .. })
+                if revision == current.revision =>
+            {
+                Ok(current.next(ActiveVersions::Single(from)))
             }
-            (Goal::Finish(_) | Goal::Abort(_), _) => Err(Moot::Over(*now)),
+            (Proposal::Finish(_) | Proposal::Abort(_), _) => Err(ProposalError::StaleRevision(*current)),
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Until then nothing is done.
-    Pause(Time),
-    Prepare(BTreeMap<ProxyNumber, Accepted>),
-    Accept(Standing, BTreeSet<ProxyNumber>),
+    /// The next ballot begins at this time.
+    Backoff(Time),
+    Prepare(BTreeMap<ProxyNumber, AcceptedValue>),
+    Accept(RegisterValue, BTreeSet<ProxyNumber>),
 }
 
-/// How a goal ends.
+/// How a proposal ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// This standing was chosen, in this ballot.
-    Chosen(Accepted),
-    /// It is not to be had.
-    Moot(Moot),
+pub enum ProposalEnd {
+    /// This value was chosen, in this ballot.
+    Chosen(AcceptedValue),
+    /// The proposal failed.
+    Failed(ProposalError),
 }
 
-/// What is to be said: to one, or to all voters that have not answered yet.
-pub type Say = Vec<(ProxyNumber, Message)>;
+/// Messages to be sent, with their receivers.
+pub type Outgoing = Vec<(ProxyNumber, Message)>;
 
-/// One that proposes, for one goal.
+/// Runs ballots for one proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Proposer {
     kind: Kind,
     me: ProxyNumber,
-    start: u64,
+    incarnation: u64,
     voters: Vec<ProxyNumber>,
-    goal: Goal,
+    proposal: Proposal,
     ballot: Ballot,
     phase: Phase,
-    /// When the ballot began, when it was last said, and when all is given up.
+    /// When the ballot began.
     began: Time,
-    said: Time,
+    /// When the ballot's messages were last sent.
+    last_sent: Time,
+    /// When the proposal is given up.
     until: Time,
-    /// Ballots of which it has heard.
-    highest: Ballot,
-    tries: u64,
+    /// The highest ballot that it has used or heard of.
+    highest_ballot: Ballot,
+    failed_ballots: u64,
 }
 
 impl Proposer {
-    /// One that begins at its first look at the clock; `highest` is the highest ballot that this start of the proxy has
-    /// heard of or had itself, and after `until` it gives up.
+    /// Creates a proposer that begins its first ballot at the next tick and gives up after `until`.
+    /// `highest_ballot` is the highest ballot that this incarnation of the proxy has used or heard of.
     pub fn new(
-        (kind, me, start): (Kind, ProxyNumber, u64),
+        (kind, me, incarnation): (Kind, ProxyNumber, u64),
         voters: Vec<ProxyNumber>,
-        goal: Goal,
-        highest: Ballot,
+        proposal: Proposal,
+        highest_ballot: Ballot,
         (now, until): (Time, Time),
     ) -> Self {
         Proposer {
             kind,
             me,
-            start,
+            incarnation,
             voters,
-            goal,
+            proposal,
             ballot: Ballot::default(),
-            phase: Phase::Pause(now),
+            phase: Phase::Backoff(now),
             began: now,
-            said: now,
+            last_sent: now,
             until,
-            highest,
-            tries: 0,
+            highest_ballot,
+            failed_ballots: 0,
         }
     }
 
-    /// The highest ballot that it has heard of or had.
-    pub fn highest(&self) -> Ballot {
-        self.highest
+    /// The highest ballot that it has used or heard of.
+    pub fn highest_ballot(&self) -> Ballot {
+        self.highest_ballot
     }
 
-    /// What for.
-    pub fn goal(&self) -> Goal {
-        self.goal
+    /// The proposal that it runs ballots for.
+    pub fn proposal(&self) -> Proposal {
+        self.proposal
     }
 
-    /// Voters that have not answered in this phase: whom it waits for.
-    pub fn awaits(&self) -> Vec<ProxyNumber> {
-        let answered = |voter: &ProxyNumber| match &self.phase {
-            Phase::Pause(_) => false,
+    /// The voters that have not answered in the current phase.
+    pub fn awaited_voters(&self) -> Vec<ProxyNumber> {
+        let has_answered = |voter: &ProxyNumber| match &self.phase {
+            Phase::Backoff(_) => false,
             Phase::Prepare(promised) => promised.contains_key(voter),
             Phase::Accept(_, accepted) => accepted.contains(voter),
         };
-        self.voters.iter().copied().filter(|voter| !answered(voter)).collect()
+        self.voters.iter().copied().filter(|voter| !has_answered(voter)).collect()
     }
 
-    fn words(&self) -> Option<Message> {
+    fn phase_message(&self) -> Option<Message> {
         let (kind, ballot) = (self.kind, self.ballot);
         match &self.phase {
-            Phase::Pause(_) => None,
+            Phase::Backoff(_) => None,
             Phase::Prepare(_) => Some(Message::Prepare { kind, ballot }),
-            Phase::Accept(standing, _) => Some(Message::Accept { kind, ballot, standing: *standing }),
+            Phase::Accept(value, _) => Some(Message::Accept { kind, ballot, value: *value }),
         }
     }
 
-    fn say(&mut self, now: Time) -> Say {
-        self.said = now;
-        let Some(words) = self.words() else { return Vec::new() };
-        self.awaits().into_iter().map(|voter| (voter, words.clone())).collect()
+    fn send_to_awaited(&mut self, now: Time) -> Outgoing {
+        self.last_sent = now;
+        let Some(message) = self.phase_message() else { return Vec::new() };
+        self.awaited_voters().into_iter().map(|voter| (voter, message.clone())).collect()
     }
 
-    /// The ballot comes to nothing: another one, after a pause by lot that grows with the tries.
-    fn again(&mut self, now: Time, times: &Timing) {
-        self.tries += 1;
-        let most = times.round * self.tries.min(8);
-        let pause = (most as f64 * hash_fraction(u64::from(self.me), now, self.tries)) as Time;
-        self.phase = Phase::Pause(now + pause);
+    /// Abandons the ballot. The next one begins after a random delay, whose maximum grows with the number of failed
+    /// ballots up to 8 round trips.
+    fn back_off(&mut self, now: Time, timing: &Timing) {
+        self.failed_ballots += 1;
+        let max_delay = timing.round * self.failed_ballots.min(8);
+        let delay = (max_delay as f64 * hash_fraction(u64::from(self.me), now, self.failed_ballots)) as Time;
+        self.phase = Phase::Backoff(now + delay);
     }
 
-    /// Looks at the clock: what to say, or how it ends.
-    pub fn tick(&mut self, now: Time, times: &Timing) -> Result<Say, End> {
+    /// Handles the passing of time. Returns messages to be sent, or how the proposal ended.
+    pub fn tick(&mut self, now: Time, timing: &Timing) -> Result<Outgoing, ProposalEnd> {
         if now >= self.until {
-            return Err(End::Moot(Moot::Unreached));
+            return Err(ProposalEnd::Failed(ProposalError::NoMajority));
         }
         match self.phase {
-            Phase::Pause(at) if now >= at => {
-                let round = self.highest.round + 1;
-                self.ballot = Ballot { epoch: self.highest.epoch, round, by: self.me, start: self.start };
-                (self.highest, self.phase, self.began) = (self.ballot, Phase::Prepare(BTreeMap::new()), now);
-                Ok(self.say(now))
+            Phase::Backoff(at) if now >= at => {
+                let round = self.highest_ballot.round + 1;
+                self.ballot = Ballot {
+                    epoch: self.highest_ballot.epoch,
+                    round,
+                    proposer: self.me,
+                    incarnation: self.incarnation,
+                };
+                (self.highest_ballot, self.phase, self.began) =
+                    (self.ballot, Phase::Prepare(BTreeMap::new()), now);
+                Ok(self.send_to_awaited(now))
             }
-            Phase::Pause(_) => Ok(Vec::new()),
-            // It must not last longer: a voter that has forgotten its promise votes again after that time.
-            _ if now >= self.began + times.ballot() => {
-                self.again(now, times);
+            Phase::Backoff(_) => Ok(Vec::new()),
+            // The limit is part of the protocol: a voter that has lost its promise votes again after this time.
+            _ if now >= self.began + timing.ballot_timeout() => {
+                self.back_off(now, timing);
                 Ok(Vec::new())
             }
-            _ if now >= self.said + times.round => Ok(self.say(now)),
+            _ if now >= self.last_sent + timing.round => Ok(self.send_to_awaited(now)),
             _ => Ok(Vec::new()),
         }
     }
 
-    /// When it wants to look at the clock next.
-    pub fn wakes(&self, times: &Timing) -> Time {
+    /// When it needs the next tick.
+    pub fn next_wakeup(&self, timing: &Timing) -> Time {
         match self.phase {
-            Phase::Pause(at) => at.min(self.until),
-            _ => (self.said + times.round).min(self.began + times.ballot()).min(self.until),
+            Phase::Backoff(at) => at.min(self.until),
+            _ => (self.last_sent + timing.round).min(self.began + timing.ballot_timeout()).min(self.until),
         }
     }
 
-    /// A voter answers: what to say, or how it ends.
-    pub fn hear(
+    /// Handles a voter's answer. Returns messages to be sent, or how the proposal ended.
+    pub fn receive(
         &mut self,
         from: ProxyNumber,
         message: &Message,
         now: Time,
-        times: &Timing,
-    ) -> Result<Say, End> {
-        if !self.voters.contains(&from) || now >= self.began + times.ballot() {
+        timing: &Timing,
+    ) -> Result<Outgoing, ProposalEnd> {
+        if !self.voters.contains(&from) || now >= self.began + timing.ballot_timeout() {
             return Ok(Vec::new());
         }
-        let needed = majority(self.voters.len());
+        let quorum = majority(self.voters.len());
         match (message, &mut self.phase) {
-            (Message::Denied { kind, ballot, promised }, _) if *kind == self.kind => {
-                self.highest = self.highest.max(*promised);
-                if *ballot == self.ballot && !matches!(self.phase, Phase::Pause(_)) {
-                    self.again(now, times);
+            (Message::Rejected { kind, ballot, promised }, _) if *kind == self.kind => {
+                self.highest_ballot = self.highest_ballot.max(*promised);
+                if *ballot == self.ballot && !matches!(self.phase, Phase::Backoff(_)) {
+                    self.back_off(now, timing);
                 }
                 Ok(Vec::new())
             }
-            (Message::Promised { kind, ballot, accepted }, Phase::Prepare(promised))
+            (Message::Promise { kind, ballot, accepted }, Phase::Prepare(promised))
                 if *kind == self.kind && *ballot == self.ballot =>
             {
                 promised.insert(from, *accepted);
-                if promised.len() < needed {
+                if promised.len() < quorum {
                     return Ok(Vec::new());
                 }
                 let last = promised.values().max_by_key(|a| a.ballot).copied().unwrap_or_default();
-                let standing = self.goal.after(&last.standing).map_err(End::Moot)?;
-                self.phase = Phase::Accept(standing, BTreeSet::new());
-                Ok(self.say(now))
+                let value = self.proposal.apply(&last.value).map_err(ProposalEnd::Failed)?;
+                self.phase = Phase::Accept(value, BTreeSet::new());
+                Ok(self.send_to_awaited(now))
             }
-            (Message::Accepts { kind, ballot }, Phase::Accept(standing, accepted))
+            (Message::Accepted { kind, ballot }, Phase::Accept(value, accepted))
                 if *kind == self.kind && *ballot == self.ballot =>
             {
                 accepted.insert(from);
-                if accepted.len() < needed {
+                if accepted.len() < quorum {
                     return Ok(Vec::new());
                 }
-                Err(End::Chosen(Accepted { ballot: *ballot, standing: *standing }))
+                Err(ProposalEnd::Chosen(AcceptedValue { ballot: *ballot, value: *value }))
             }
             _ => Ok(Vec::new()),
         }
@@ -257,139 +279,161 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::voter::{Said, Voter, Votes};
+    use crate::agreement::voter::{Response, Voter, Votes};
 
     const KIND: Kind = Kind::Settings;
-    const TIMES: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
+    const TIMING: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
 
     fn version(number: u64) -> Version {
         Version { number, hash: Hash([number as u8; 32]) }
     }
 
-    fn change(number: u64) -> Goal {
-        Goal::Change { to: version(number), parent: Hash([number as u8 - 1; 32]) }
+    fn change(number: u64) -> Proposal {
+        Proposal::Change { to: version(number), parent: Hash([number as u8 - 1; 32]) }
     }
 
-    fn proposer(me: ProxyNumber, goal: Goal, now: Time) -> Proposer {
+    fn proposer(me: ProxyNumber, proposal: Proposal, now: Time) -> Proposer {
         use std::sync::atomic::{AtomicU64, Ordering};
-        // Each is of another start: no two ballots are the same.
-        static START: AtomicU64 = AtomicU64::new(1);
-        let start = START.fetch_add(1, Ordering::Relaxed);
-        Proposer::new((KIND, me, start), vec![1, 2, 3], goal, Ballot::default(), (now, now + 10_000_000))
+        // Each proposer gets an incarnation of its own, so that all ballots are different.
+        static INCARNATION: AtomicU64 = AtomicU64::new(1);
+        let incarnation = INCARNATION.fetch_add(1, Ordering::Relaxed);
+        Proposer::new(
+            (KIND, me, incarnation),
+            vec![1, 2, 3],
+            proposal,
+            Ballot::default(),
+            (now, now + 10_000_000),
+        )
     }
 
-    /// Voters that answer at once; those that are named do not.
-    struct Three(Vec<Voter>);
+    /// Three voters that answer at once.
+    struct ThreeVoters(Vec<Voter>);
 
-    impl Three {
+    impl ThreeVoters {
         fn new() -> Self {
-            Three((0..3).map(|_| Voter::new(Votes::default())).collect())
+            ThreeVoters((0..3).map(|_| Voter::new(Votes::default())).collect())
         }
 
         fn answer(&mut self, me: ProxyNumber, to: ProxyNumber, message: &Message) -> Option<Message> {
             let voter = &mut self.0[to as usize - 1];
-            let said = match message {
+            let response = match message {
                 Message::Prepare { kind, ballot } => voter.prepare(me, *kind, *ballot),
-                Message::Accept { kind, ballot, standing } => voter.accept(me, *kind, *ballot, *standing),
-                _ => Said::Nothing,
+                Message::Accept { kind, ballot, value } => voter.accept(me, *kind, *ballot, *value),
+                _ => Response::Ignore,
             };
-            match said {
-                Said::Now(message) => Some(*message),
-                Said::Write(number, _) => voter.written(number).pop().map(|(_, message)| message),
-                Said::Nothing => None,
+            match response {
+                Response::Send(message) => Some(*message),
+                Response::Write(number, _) => voter.votes_written(number).pop().map(|(_, message)| message),
+                Response::Ignore => None,
             }
         }
 
-        /// Plays a proposer to its end, with voters that never hear anything.
-        fn play(&mut self, proposer: &mut Proposer, deaf: &[ProxyNumber], mut now: Time) -> (End, Time) {
+        /// Runs a proposer until its proposal ends; the voters in `unreachable` receive nothing.
+        fn run(
+            &mut self,
+            proposer: &mut Proposer,
+            unreachable: &[ProxyNumber],
+            mut now: Time,
+        ) -> (ProposalEnd, Time) {
             loop {
-                let mut say = match proposer.tick(now, &TIMES) {
-                    Ok(say) => say,
+                let mut outgoing = match proposer.tick(now, &TIMING) {
+                    Ok(outgoing) => outgoing,
                     Err(end) => return (end, now),
                 };
-                while let Some((to, message)) = say.pop() {
-                    if deaf.contains(&to) {
+                while let Some((to, message)) = outgoing.pop() {
+                    if unreachable.contains(&to) {
                         continue;
                     }
                     let Some(answer) = self.answer(proposer.me, to, &message) else { continue };
-                    match proposer.hear(to, &answer, now, &TIMES) {
-                        Ok(more) => say.extend(more),
+                    match proposer.receive(to, &answer, now, &TIMING) {
+                        Ok(more) => outgoing.extend(more),
                         Err(end) => return (end, now),
                     }
                 }
-                now = proposer.wakes(&TIMES).max(now + 1);
+                now = proposer.next_wakeup(&TIMING).max(now + 1);
             }
         }
     }
 
-    fn chosen(end: End) -> Standing {
-        let End::Chosen(accepted) = end else { panic!("{end:?}") };
-        accepted.standing
+    fn chosen(end: ProposalEnd) -> RegisterValue {
+        let ProposalEnd::Chosen(accepted) = end else { panic!("{end:?}") };
+        accepted.value
     }
 
     #[test]
-    fn a_change_goes_through_the_time_in_between_and_one_voter_may_be_deaf() {
-        let mut three = Three::new();
-        let first = chosen(three.play(&mut proposer(1, change(1), 0), &[2], 0).0);
-        assert_eq!(first, Standing { turn: 1, holds: Holds::One(version(1)) });
-        let between = chosen(three.play(&mut proposer(2, change(2), 0), &[1], 0).0);
-        assert_eq!(between, first.next(Holds::Between { from: version(1), to: version(2) }));
-        // Another one has to wait, the same one is there already.
-        let other = Goal::Change { to: Version { number: 2, hash: Hash([9; 32]) }, parent: version(1).hash };
-        assert_eq!(three.play(&mut proposer(3, other, 0), &[], 0).0, End::Moot(Moot::Busy(between)));
-        assert_eq!(chosen(three.play(&mut proposer(3, change(2), 0), &[], 0).0), between);
-        let last = chosen(three.play(&mut proposer(3, Goal::Finish(2), 0), &[3], 0).0);
-        assert_eq!(last, between.next(Holds::One(version(2))));
-        assert_eq!(three.play(&mut proposer(1, Goal::Finish(2), 0), &[], 0).0, End::Moot(Moot::Over(last)));
-        assert_eq!(three.play(&mut proposer(1, other, 0), &[], 0).0, End::Moot(Moot::Behind(last)));
+    fn change_goes_through_a_transition_with_one_voter_unreachable() {
+        let mut voters = ThreeVoters::new();
+        let first = chosen(voters.run(&mut proposer(1, change(1), 0), &[2], 0).0);
+        assert_eq!(first, RegisterValue { revision: 1, active: ActiveVersions::Single(version(1)) });
+        let transition = chosen(voters.run(&mut proposer(2, change(2), 0), &[1], 0).0);
+        assert_eq!(transition, first.next(ActiveVersions::Transition { from: version(1), to: version(2) }));
+        // Another change is refused meanwhile; proposing the same one again succeeds without a further change.
+        let other =
+            Proposal::Change { to: Version { number: 2, hash: Hash([9; 32]) }, parent: version(1).hash };
+        assert_eq!(
+            voters.run(&mut proposer(3, other, 0), &[], 0).0,
+            ProposalEnd::Failed(ProposalError::ChangePending(transition))
+        );
+        assert_eq!(chosen(voters.run(&mut proposer(3, change(2), 0), &[], 0).0), transition);
+        let last = chosen(voters.run(&mut proposer(3, Proposal::Finish(2), 0), &[3], 0).0);
+        assert_eq!(last, transition.next(ActiveVersions::Single(version(2))));
+        assert_eq!(
+            voters.run(&mut proposer(1, Proposal::Finish(2), 0), &[], 0).0,
+            ProposalEnd::Failed(ProposalError::StaleRevision(last))
+        );
+        assert_eq!(
+            voters.run(&mut proposer(1, other, 0), &[], 0).0,
+            ProposalEnd::Failed(ProposalError::StaleParent(last))
+        );
     }
 
     #[test]
-    fn a_change_that_is_taken_back_is_another_turn_than_the_same_change_again() {
-        let mut three = Three::new();
-        chosen(three.play(&mut proposer(1, change(1), 0), &[], 0).0);
-        let between = chosen(three.play(&mut proposer(1, change(2), 0), &[], 0).0);
-        let back = chosen(three.play(&mut proposer(1, Goal::Abort(between.turn), 0), &[], 0).0);
-        assert_eq!(back.holds, Holds::One(version(1)));
-        let again = chosen(three.play(&mut proposer(1, change(2), 0), &[], 0).0);
-        assert_eq!((again.holds, again.turn), (between.holds, between.turn + 2));
-        // Whoever waited for the first of the two may not finish the second.
-        let late = three.play(&mut proposer(2, Goal::Finish(between.turn), 0), &[], 0).0;
-        assert_eq!(late, End::Moot(Moot::Over(again)));
+    fn repeated_change_after_an_abort_has_another_revision() {
+        let mut voters = ThreeVoters::new();
+        chosen(voters.run(&mut proposer(1, change(1), 0), &[], 0).0);
+        let transition = chosen(voters.run(&mut proposer(1, change(2), 0), &[], 0).0);
+        let aborted = chosen(voters.run(&mut proposer(1, Proposal::Abort(transition.revision), 0), &[], 0).0);
+        assert_eq!(aborted.active, ActiveVersions::Single(version(1)));
+        let repeated = chosen(voters.run(&mut proposer(1, change(2), 0), &[], 0).0);
+        assert_eq!((repeated.active, repeated.revision), (transition.active, transition.revision + 2));
+        // A proposer that waited for the leases before the first change must not finish the second.
+        let late = voters.run(&mut proposer(2, Proposal::Finish(transition.revision), 0), &[], 0).0;
+        assert_eq!(late, ProposalEnd::Failed(ProposalError::StaleRevision(repeated)));
     }
 
     #[test]
-    fn what_one_voter_alone_has_accepted_is_found_and_chosen() {
-        let mut three = Three::new();
-        chosen(three.play(&mut proposer(1, change(1), 0), &[], 0).0);
-        // The proposer dies after its word has reached a single voter.
-        let mut dead = proposer(2, change(2), 0);
-        let say = dead.tick(0, &TIMES).expect("it begins");
+    fn value_accepted_by_a_single_voter_is_found_and_chosen() {
+        let mut voters = ThreeVoters::new();
+        chosen(voters.run(&mut proposer(1, change(1), 0), &[], 0).0);
+        // The proposer crashes after its accept message has reached a single voter.
+        let mut crashed = proposer(2, change(2), 0);
+        let outgoing = crashed.tick(0, &TIMING).expect("the ballot begins");
         let mut accepts = Vec::new();
-        for (to, message) in say {
-            let promised = three.answer(2, to, &message).expect("a promise");
-            accepts.extend(dead.hear(to, &promised, 0, &TIMES).expect("it goes on"));
+        for (to, message) in outgoing {
+            let promise = voters.answer(2, to, &message).expect("a promise");
+            accepts.extend(crashed.receive(to, &promise, 0, &TIMING).expect("the ballot continues"));
         }
-        let (to, accept) = accepts.first().expect("it asks").clone();
-        three.answer(2, to, &accept);
+        let (to, accept) = accepts.first().expect("an accept message").clone();
+        voters.answer(2, to, &accept);
         let others: Vec<ProxyNumber> = (1..=3).filter(|n| *n != to).collect();
-        let repaired = chosen(three.play(&mut proposer(3, Goal::Repair, 0), &others[..1], 0).0);
-        assert_eq!(repaired.holds, Holds::Between { from: version(1), to: version(2) });
+        let repaired = chosen(voters.run(&mut proposer(3, Proposal::Repair, 0), &others[..1], 0).0);
+        assert_eq!(repaired.active, ActiveVersions::Transition { from: version(1), to: version(2) });
     }
 
     #[test]
-    fn without_a_majority_it_gives_up_in_its_time_and_no_ballot_lasts_longer_than_it_may() {
-        let mut three = Three::new();
-        let mut alone = proposer(1, change(1), 0);
-        let (end, at) = three.play(&mut alone, &[2, 3], 0);
-        assert_eq!((end, at), (End::Moot(Moot::Unreached), 10_000_000));
-        assert!(alone.tries > 10, "{}", alone.tries);
+    fn proposal_without_a_majority_fails_in_time_and_late_answers_to_a_ballot_are_ignored() {
+        let mut voters = ThreeVoters::new();
+        let mut isolated = proposer(1, change(1), 0);
+        let (end, at) = voters.run(&mut isolated, &[2, 3], 0);
+        assert_eq!((end, at), (ProposalEnd::Failed(ProposalError::NoMajority), 10_000_000));
+        assert!(isolated.failed_ballots > 10, "{}", isolated.failed_ballots);
         let mut slow = proposer(2, change(1), 0);
-        slow.tick(0, &TIMES).expect("it begins");
-        let promised = Message::Promised { kind: KIND, ballot: slow.ballot, accepted: Accepted::default() };
+        slow.tick(0, &TIMING).expect("the ballot begins");
+        let promise =
+            Message::Promise { kind: KIND, ballot: slow.ballot, accepted: AcceptedValue::default() };
         for voter in 1..=3 {
-            let late = slow.hear(voter, &promised, TIMES.ballot(), &TIMES);
-            assert_eq!(late, Ok(Vec::new()), "the ballot's time is over");
+            let late = slow.receive(voter, &promise, TIMING.ballot_timeout(), &TIMING);
+            assert_eq!(late, Ok(Vec::new()), "the ballot has timed out");
         }
     }
 }
--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -1,10 +1,11 @@
-//! What contradicts what. Rules permit decisions; two versions contradict each other where one permits what the other
-//! forbids. Their meet permits what both permit and nothing else: whoever acts by it contradicts neither.
+//! Compatibility of two versions of the settings. Rules permit decisions; two versions conflict where one
+//! permits a decision that the other forbids. Their meet, in the sense of a lattice, permits what both permit
+//! and nothing else: a proxy that acts by it conflicts with neither.
 //!
-//! Each field of the settings is a chain or a small lattice of its own, from what permits more to what permits less, and
-//! the meet of two versions is that of each field. Some fields say what members and wires are like rather than what may
-//! be done; where two versions differ in one of those there is no meet, and no change from one to the other: it needs
-//! another way, which [`Clash`] names.
+//! Each field of the settings is a chain or a small lattice, ordered from more to less permissive, and the
+//! meet of two versions is the meet of each field. Some fields describe members and protocols rather than
+//! permitted decisions. Versions that differ in such a field have no meet, and a change from one to the other
+//! is refused; [`Conflict`] says what to do instead.
 
 use crate::interface::*;
 use crate::settings::{FlatSettings, Names, SocketTimes};
@@ -12,55 +13,55 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
 
-/// The settings that a whole fleet shares: those of a proxy but for its seed and zone.
+/// The settings that all proxies of a fleet share: all but a proxy's seed and zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSettings {
-    /// Names of classes, tenants and zones.
+    /// The names of classes, tenants and zones.
     pub names: Names,
-    /// For the module, with the classes in the names' order.
+    /// The settings of the router, with the classes in the order of their names in `names`.
     pub settings: Settings,
-    /// For the members' side.
+    /// Times of the connections to members.
     pub times: SocketTimes,
 }
 
-/// Two versions that have no meet, or a version that cannot be acted on.
+/// Why two versions have no meet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Clash {
-    /// The field.
-    pub place: String,
+pub struct Conflict {
+    /// The field of the settings.
+    pub field: String,
     /// Why, and what to do instead.
-    pub why: String,
+    pub reason: String,
 }
 
-impl Display for Clash {
+impl Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.why)
+        write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
-/// A decision that one version permits and the other forbids.
+/// A decision that one of two versions permits and the other forbids.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
-    /// The field.
-    pub place: String,
-    /// What is permitted by one alone.
-    pub what: String,
-    /// Permitted by the new one; else by the old one.
+    /// The field of the settings.
+    pub field: String,
+    /// The decision.
+    pub decision: String,
+    /// Whether the new version permits it; otherwise the old one does.
     pub by_new: bool,
 }
 
 impl Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (permits, forbids) = if self.by_new { ("new", "old") } else { ("old", "new") };
-        write!(f, "{}: the {permits} rules permit {}, the {forbids} ones do not", self.place, self.what)
+        write!(f, "{}: the {permits} rules permit {}, the {forbids} ones do not", self.field, self.decision)
     }
 }
 
 impl FleetSettings {
-    /// Reads the settings' JSON.
+    /// Reads the settings from JSON.
     ///
     /// # Errors
-    /// With what is wrong with it.
+    /// When they are incomplete or invalid.
     pub fn read(json: &Value) -> Result<Self, String> {
         let pairs = FlatSettings::from_json(json);
         let shared = FleetSettings {
@@ -69,9 +70,9 @@
             times: pairs.socket_times()?,
         };
         shared.settings.check().map_err(|e| e.to_string())?;
-        let fault = shared.names.duplicates().next();
-        if let Some(fault) = fault {
-            return Err(format!("settings: {fault}"));
+        let problem = shared.names.duplicates().next();
+        if let Some(problem) = problem {
+            return Err(format!("settings: {problem}"));
         }
         Ok(FleetSettings { settings: Settings { zone: 0, ..shared.settings }, ..shared })
     }
@@ -80,43 +81,45 @@
         self.names.classes.iter().map(String::as_str).zip(&self.settings.classes).collect()
     }
 
-    /// The strictest rules that contradict neither.
+    /// The strictest rules that conflict with neither version.
     ///
     /// # Errors
-    /// All fields for which there are none.
-    pub fn meet(&self, other: &FleetSettings) -> Result<FleetSettings, Vec<Clash>> {
-        let mut clashes = Vec::new();
+    /// With every field that has no meet.
+    pub fn meet(&self, other: &FleetSettings) -> Result<FleetSettings, Vec<Conflict>> {
+        let mut conflicts = Vec::new();
         let (mine, theirs) = (self.classes(), other.classes());
         let (mut names, mut classes) = (Vec::new(), Vec::new());
         for (name, class) in &mine {
-            // A class that one of them does not know is asked for by nobody who goes by that one.
-            let Some(with) = theirs.get(name) else { continue };
-            match meet_class(class, with) {
+            // A class that only one version has is left out: proxies that act on the other version take no
+            // requests of it.
+            let Some(other_class) = theirs.get(name) else { continue };
+            match meet_class(class, other_class) {
                 Ok(class) => {
                     names.push(name.to_string());
                     classes.push(class);
                 }
-                Err(why) => clashes.push(Clash { place: format!("services {name}"), why }),
+                Err(reason) => conflicts.push(Conflict { field: format!("services {name}"), reason }),
             }
         }
-        if classes.is_empty() && clashes.is_empty() {
-            let why = "no class is in both; add the new ones first, and drop the old ones in a second change";
-            clashes.push(Clash { place: "services".into(), why: why.into() });
+        if classes.is_empty() && conflicts.is_empty() {
+            let reason =
+                "no class is in both; add the new ones first, and drop the old ones in a second change";
+            conflicts.push(Conflict { field: "services".into(), reason: reason.into() });
         }
         let (a, b) = (&self.settings, &other.settings);
-        for (place, same) in [
+        for (field, same) in [
             ("family_info.session_marks", a.session_marks == b.session_marks),
             ("family_info.list_role", a.list_role == b.list_role),
             ("discovery", a.subscribe == b.subscribe),
             ("zones", self.names.zones == other.names.zones),
         ] {
             if !same {
-                let why = "it says what members, lists or wires are like, and has no middle; start the proxies anew";
-                clashes.push(Clash { place: place.into(), why: why.into() });
+                let reason = "it says what members, lists or wires are like, and has no middle; start the proxies anew";
+                conflicts.push(Conflict { field: field.into(), reason: reason.into() });
             }
         }
-        if !clashes.is_empty() {
-            return Err(clashes);
+        if !conflicts.is_empty() {
+            return Err(conflicts);
         }
         let tenants = &other.names.tenants;
         let tenants: Vec<String> =
@@ -124,7 +127,7 @@
         let settings = Settings {
             seed: 0,
             zone: 0,
-            // Shares of what members take: the more there are, the smaller is each.
+            // Each proxy takes one share of a member's capacity; more instances make smaller shares.
             instances: a.instances.max(b.instances),
             classes,
             period: a.period.max(b.period),
@@ -154,46 +157,54 @@
         Ok(FleetSettings { names, settings, times })
     }
 
-    /// What a change to `new` permits that was forbidden, and forbids that was permitted, field by field.
+    /// The decisions that a change to `new` newly permits or forbids, field by field.
     pub fn differences(&self, new: &FleetSettings) -> Vec<Difference> {
         let mut all = Vec::new();
-        let mut tell =
-            |place: String, what: String, by_new: bool| all.push(Difference { place, what, by_new });
+        let mut add =
+            |field: String, decision: String, by_new: bool| all.push(Difference { field, decision, by_new });
         let (old_classes, new_classes) = (self.classes(), new.classes());
         for (name, class) in &old_classes {
-            let place = format!("services {name}");
-            let Some(with) = new_classes.get(name) else {
-                tell(place, "requests of this class".into(), false);
+            let field = format!("services {name}");
+            let Some(other_class) = new_classes.get(name) else {
+                add(field, "requests of this class".into(), false);
                 continue;
             };
-            for (one, other, by_new) in [(*class, *with, false), (*with, *class, true)] {
-                // What `one` permits and `other` does not: their meet differs from `one` there.
+            for (one, other, by_new) in [(*class, *other_class, false), (*other_class, *class, true)] {
+                // Where the meet differs from `one`, `one` permits what `other` does not.
                 let Ok(meet) = meet_class(one, other) else { continue };
                 if meet.consistency != one.consistency {
-                    tell(place.clone(), format!("answers that show {}", shows(one.consistency)), by_new);
+                    add(field.clone(), format!("answers that show {}", describe_need(one.consistency)), by_new);
                 }
                 if meet.effect != one.effect {
-                    tell(place.clone(), format!("another attempt where it {}", repeats(one.effect)), by_new);
+                    add(
+                        field.clone(),
+                        format!("another attempt where it {}", describe_repeat(one.effect)),
+                        by_new,
+                    );
                 }
                 if meet.deadline != one.deadline {
-                    tell(place.clone(), format!("answers after {} ms", meet.deadline / 1000), by_new);
+                    add(field.clone(), format!("answers after {} ms", meet.deadline / 1000), by_new);
                 }
             }
-            if meet_class(class, with).is_err() {
-                tell(place, "what has no middle: read and write".into(), true);
+            if meet_class(class, other_class).is_err() {
+                add(field, "requests of another type, read or write".into(), true);
             }
         }
         for name in new_classes.keys().filter(|name| !old_classes.contains_key(*name)) {
-            tell(format!("services {name}"), "requests of this class".into(), true);
+            add(format!("services {name}"), "requests of this class".into(), true);
         }
         let (a, b) = (&self.settings, &new.settings);
-        for (place, what, order) in [
+        for (field, decision, order) in [
             ("limits.max_attempts", "more attempts for a request", a.max_attempts.cmp(&b.max_attempts)),
             ("instances", "larger shares of a member", b.instances.cmp(&a.instances)),
             ("limits.cancelling", "attempts to be cancelled", a.cancelling.cmp(&b.cancelling)),
             ("limits.probing", "members to be probed", a.probing.cmp(&b.probing)),
-            ("limits.retry_after", "advice when to come again", a.retry_after.cmp(&b.retry_after)),
-            ("limits.max_retry_after_us", "longer advice", a.max_retry_after.cmp(&b.max_retry_after)),
+            ("limits.retry_after", "retry-after advice", a.retry_after.cmp(&b.retry_after)),
+            (
+                "limits.max_retry_after_us",
+                "longer retry-after advice",
+                a.max_retry_after.cmp(&b.max_retry_after),
+            ),
             (
                 "rules.cold_share",
                 "more work at a cold member",
@@ -209,7 +220,11 @@
                 "more work at a cold member",
                 a.rules.fall_multiple.total_cmp(&b.rules.fall_multiple),
             ),
-            ("rules.fall_us", "more cold work in a row", b.rules.fall_span.cmp(&a.rules.fall_span)),
+            (
+                "rules.fall_us",
+                "a longer overload of a cold member",
+                b.rules.fall_span.cmp(&a.rules.fall_span),
+            ),
             (
                 "rules.removal_not_binding",
                 "requests to a member that is gone",
@@ -217,14 +232,14 @@
             ),
         ] {
             if order.is_ne() {
-                tell(place.into(), what.into(), order.is_lt());
+                add(field.into(), decision.into(), order.is_lt());
             }
         }
         all
     }
 }
 
-fn shows(need: Consistency) -> String {
+fn describe_need(need: Consistency) -> String {
     match need {
         Consistency::Write => "the primary's own commit".into(),
         Consistency::Fresh => "every commit".into(),
@@ -234,7 +249,7 @@
     }
 }
 
-fn repeats(repeat: Effect) -> String {
+fn describe_repeat(repeat: Effect) -> String {
     match repeat {
         Effect::Safe => "may have run".into(),
         Effect::Keyed { group, window } => {
@@ -244,7 +259,7 @@
     }
 }
 
-/// What an answer must show by both: less than either is not enough.
+/// What an answer must show to satisfy both needs.
 fn meet_need(a: Consistency, b: Consistency) -> Result<Consistency, String> {
     use Consistency::*;
     Ok(match (a, b) {
@@ -255,12 +270,13 @@
         (Any, other) | (other, Any) => other,
         (Bounded(one), Bounded(other)) => Bounded(one.min(other)),
         (Session, Session) => Session,
-        // Neither says what the other does; what shows every commit does by both.
+        // Neither need implies the other; an answer that shows every commit satisfies both.
         (Fresh, _) | (_, Fresh) | (Bounded(_), Session) | (Session, Bounded(_)) => Fresh,
     })
 }
 
-/// Where duplicates surely meet by both: the members of a zone and those of a group have nothing in common but themselves.
+/// Where a repeated request is deduplicated under both versions. The members of a zone and those of a group
+/// need not have any member in common but the one that got the first attempt.
 fn meet_repeat(a: Effect, b: Effect) -> Effect {
     use DedupScope::*;
     use Effect::*;
@@ -282,7 +298,8 @@
 fn meet_behind(a: WhenBehind, b: WhenBehind) -> WhenBehind {
     use WhenBehind::*;
     match (a, b) {
-        // Where members may answer from old data only what is proven will do.
+        // Where a member that is behind may answer from old data, only answers that are proven to be recent
+        // enough can be used.
         (Answers, _) | (_, Answers) => Answers,
         (Waits(one), Waits(other)) => Waits(one.min(other)),
         (Waits(span), Refuses) | (Refuses, Waits(span)) => Waits(span),
@@ -295,7 +312,7 @@
     Ok(Class {
         consistency: meet_need(a.consistency, b.consistency)?,
         effect: meet_repeat(a.effect, b.effect),
-        // An aim is a wish and no rule; the shorter one fits the shorter deadline.
+        // The aim is a target and not a rule; the smaller one also fits the shorter deadline.
         aim: a.aim.min(b.aim).min(deadline),
         deadline,
         importance: a.importance.min(b.importance),
--- a/src/agreement/voter.rs
+++ b/src/agreement/voter.rs
@@ -1,207 +1,218 @@
-//! A voter: what it has promised and accepted, and what it says when asked. Whatever it says rests on what is on the disk:
-//! a promise that a crash could take back would be none.
+//! A voter (a Paxos acceptor): what it has promised and accepted, and how it answers. It answers only after its
+//! votes are on disk, as a promise that a crash could undo would be worthless.
 //!
-//! A voter whose disk may have lost promises does not vote until it can no longer break one. What it may have accepted it
-//! learns from the others: of any standing that was chosen with its vote all but its own vote are left, so that among as
-//! many others as a majority there is one that has it. What it may have promised it waits out: a ballot ends at its
-//! proposer by a time limit, and is not taken up again.
+//! A voter whose disk may have lost promises does not vote until it can no longer break any of them. It learns from
+//! the other voters what it may have accepted: a value chosen with its vote was accepted by a majority, of which
+//! only its own vote is lost, so that among as many other voters as form a majority at least one has the value. It
+//! waits until what it may have promised no longer matters: a proposer abandons a ballot after a timeout and does
+//! not resume it.
 
 use super::message::Message;
-use super::{majority, Accepted, Ballot, Kind, ProxyNumber, Standing, Timing};
+use super::{majority, AcceptedValue, Ballot, Kind, ProxyNumber, RegisterValue, Timing};
 use crate::interface::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is promised and accepted of one kind.
+/// A voter's state for one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct Vote {
-    /// Nothing below it is accepted any more.
+    /// The voter accepts nothing below this ballot.
     pub promised: Ballot,
-    /// The last accepted.
-    pub accepted: Accepted,
+    /// What it has accepted last.
+    pub accepted: AcceptedValue,
 }
 
-/// All that must outlast the process, by kind.
+/// All state that must survive the process, by kind.
 pub type Votes = [Vote; 2];
 
-/// The votes as bytes for the store.
-pub fn write(votes: &Votes) -> Vec<u8> {
+/// Encodes votes for the store.
+pub fn encode(votes: &Votes) -> Vec<u8> {
     postcard::to_extend(votes, Vec::new()).unwrap_or_default()
 }
 
-/// Reads them; none where the bytes are no votes.
-pub fn read(bytes: &[u8]) -> Option<Votes> {
+/// Decodes votes; `None` when the bytes are not valid.
+pub fn decode(bytes: &[u8]) -> Option<Votes> {
     postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(votes, _)| votes)
 }
 
-/// Answers that wait for the disk.
-const WAITING_MOST: usize = 256;
+/// The maximum number of answers that wait for the disk.
+const MAX_PENDING_REPLIES: usize = 256;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Waiting {
-    number: u64,
+struct PendingReply {
+    write: u64,
     votes: Votes,
     to: ProxyNumber,
-    say: Message,
+    reply: Message,
 }
 
-/// What a voter without its memory has heard.
+/// The progress of a voter that may have lost votes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Forgot {
+struct Recovery {
     since: Time,
-    others: BTreeMap<ProxyNumber, [Accepted; 2]>,
-    /// Enough have told, and what follows is being written.
+    reports: BTreeMap<ProxyNumber, [AcceptedValue; 2]>,
+    /// Enough voters have reported, and the recovered votes are being written.
     writing: bool,
 }
 
 /// The voter of one proxy.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// With what is not on the disk yet.
+    /// The latest votes, including those that are not on disk yet.
     votes: Votes,
-    /// What surely is.
+    /// The votes that are known to be on disk.
     durable: Votes,
-    written: u64,
-    waiting: VecDeque<Waiting>,
-    forgot: Option<Forgot>,
+    last_write: u64,
+    pending: VecDeque<PendingReply>,
+    recovery: Option<Recovery>,
 }
 
-/// What comes of a message.
+/// How a voter responds to a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Said {
-    /// This is said at once.
-    Now(Box<Message>),
-    /// These votes are to be written, and said so by their number; the answer goes out then.
+pub enum Response {
+    /// Send this answer now.
+    Send(Box<Message>),
+    /// Write these votes, then call [`Voter::votes_written`] with the number of the write, which returns the answer.
     Write(u64, Box<Votes>),
-    /// Nothing.
-    Nothing,
+    /// Do nothing.
+    Ignore,
 }
 
 impl Voter {
-    /// One that has these votes on its disk.
+    /// Creates a voter with the votes that are on its disk.
     pub fn new(votes: Votes) -> Self {
-        Voter { votes, durable: votes, written: 0, waiting: VecDeque::new(), forgot: None }
+        Voter { votes, durable: votes, last_write: 0, pending: VecDeque::new(), recovery: None }
     }
 
-    /// One that may have promised and accepted what it no longer knows; it has what is left.
-    pub fn forgetful(votes: Votes, now: Time) -> Self {
-        let forgot = Some(Forgot { since: now, others: BTreeMap::new(), writing: false });
-        Voter { forgot, ..Voter::new(votes) }
+    /// Creates a voter that may have lost votes; `votes` is what is left of them.
+    pub fn recovering(votes: Votes, now: Time) -> Self {
+        let recovery = Some(Recovery { since: now, reports: BTreeMap::new(), writing: false });
+        Voter { recovery, ..Voter::new(votes) }
     }
 
-    /// Whether it may vote.
-    pub fn remembers(&self) -> bool {
-        self.forgot.is_none()
+    /// Whether it may vote: false while it recovers lost votes.
+    pub fn can_vote(&self) -> bool {
+        self.recovery.is_none()
     }
 
-    /// What is on its disk.
+    /// The votes that are on its disk.
     pub fn durable(&self) -> &Votes {
         &self.durable
     }
 
-    /// The highest ballot that it knows of.
-    pub fn highest(&self, kind: Kind) -> Ballot {
-        self.votes[kind.at()].promised
+    /// The highest ballot that it has promised.
+    pub fn highest_ballot(&self, kind: Kind) -> Ballot {
+        self.votes[kind.index()].promised
     }
 
-    fn later(&mut self, to: ProxyNumber, say: Message) -> Said {
-        if self.waiting.len() >= WAITING_MOST {
-            // The disk does not answer. Who asked asks again.
-            return Said::Nothing;
+    fn reply_after_write(&mut self, to: ProxyNumber, reply: Message) -> Response {
+        if self.pending.len() >= MAX_PENDING_REPLIES {
+            // The disk does not respond. The proposer will repeat its message.
+            return Response::Ignore;
         }
-        self.written += 1;
-        self.waiting.push_back(Waiting { number: self.written, votes: self.votes, to, say });
-        Said::Write(self.written, Box::new(self.votes))
+        self.last_write += 1;
+        self.pending.push_back(PendingReply { write: self.last_write, votes: self.votes, to, reply });
+        Response::Write(self.last_write, Box::new(self.votes))
     }
 
-    /// The votes of this number, and of all before it, are on the disk: what may be said now, and to whom.
-    pub fn written(&mut self, number: u64) -> Vec<(ProxyNumber, Message)> {
-        let mut say = Vec::new();
-        while self.waiting.front().is_some_and(|w| w.number <= number) {
-            let Some(waiting) = self.waiting.pop_front() else { break };
-            self.durable = waiting.votes;
-            say.push((waiting.to, waiting.say));
+    /// The write with this number, and all before it, are on disk. Returns the answers that may be sent now.
+    pub fn votes_written(&mut self, write: u64) -> Vec<(ProxyNumber, Message)> {
+        let mut replies = Vec::new();
+        while self.pending.front().is_some_and(|p| p.write <= write) {
+            let Some(pending) = self.pending.pop_front() else { break };
+            self.durable = pending.votes;
+            replies.push((pending.to, pending.reply));
         }
-        say
+        replies
     }
 
-    /// Whether it will accept nothing below this ballot.
-    pub fn prepare(&mut self, from: ProxyNumber, kind: Kind, ballot: Ballot) -> Said {
-        if !self.remembers() {
-            return Said::Nothing;
+    /// Handles [`Message::Prepare`].
+    pub fn prepare(&mut self, from: ProxyNumber, kind: Kind, ballot: Ballot) -> Response {
+        if !self.can_vote() {
+            return Response::Ignore;
         }
-        let vote = &mut self.votes[kind.at()];
-        // A ballot is prepared once: its number is its proposer's own.
+        let vote = &mut self.votes[kind.index()];
+        // An equal ballot is a repeated message: each ballot belongs to one proposer, which prepares it once.
         if ballot < vote.promised {
-            return Said::Now(Box::new(Message::Denied { kind, ballot, promised: vote.promised }));
+            return Response::Send(Box::new(Message::Rejected { kind, ballot, promised: vote.promised }));
         }
         vote.promised = ballot;
-        let say = Message::Promised { kind, ballot, accepted: vote.accepted };
-        self.later(from, say)
+        let reply = Message::Promise { kind, ballot, accepted: vote.accepted };
+        self.reply_after_write(from, reply)
     }
 
-    /// Whether it accepts this.
-    pub fn accept(&mut self, from: ProxyNumber, kind: Kind, ballot: Ballot, standing: Standing) -> Said {
-        if !self.remembers() {
-            return Said::Nothing;
+    /// Handles [`Message::Accept`].
+    pub fn accept(
+        &mut self,
+        from: ProxyNumber,
+        kind: Kind,
+        ballot: Ballot,
+        value: RegisterValue,
+    ) -> Response {
+        if !self.can_vote() {
+            return Response::Ignore;
         }
-        let vote = &mut self.votes[kind.at()];
+        let vote = &mut self.votes[kind.index()];
         if ballot < vote.promised {
-            return Said::Now(Box::new(Message::Denied { kind, ballot, promised: vote.promised }));
+            return Response::Send(Box::new(Message::Rejected { kind, ballot, promised: vote.promised }));
         }
-        *vote = Vote { promised: ballot, accepted: Accepted { ballot, standing } };
-        self.later(from, Message::Accepts { kind, ballot })
+        *vote = Vote { promised: ballot, accepted: AcceptedValue { ballot, value } };
+        self.reply_after_write(from, Message::Accepted { kind, ballot })
     }
 
-    /// What it has accepted last; none while it may have forgotten something.
-    pub fn accepted(&self) -> Option<[Accepted; 2]> {
-        self.remembers().then(|| self.durable.map(|vote| vote.accepted))
+    /// What it has accepted last, as far as it is on disk; `None` while it recovers lost votes.
+    pub fn accepted(&self) -> Option<[AcceptedValue; 2]> {
+        self.can_vote().then(|| self.durable.map(|vote| vote.accepted))
     }
 
-    /// Another voter, that remembers, has told what it has accepted. Once enough have, and the time of any ballot of
-    /// before is over, this one votes again, of `voters` in all: whether that is now, and what must be written first.
-    pub fn learn(
+    /// During recovery: handles a report of what another voter, which has lost nothing, has accepted. `voters` is
+    /// the number of voters in all. Recovery is complete when a majority has reported and every ballot from before
+    /// the loss has timed out. Returns the votes to be written then; [`Voter::recovery_written`] must follow.
+    pub fn learn_from(
         &mut self,
         from: ProxyNumber,
-        accepted: [Accepted; 2],
-        (voters, times, now): (usize, &Timing, Time),
+        accepted: [AcceptedValue; 2],
+        (voters, timing, now): (usize, &Timing, Time),
     ) -> Option<Votes> {
-        let forgot = self.forgot.as_mut().filter(|f| !f.writing)?;
-        forgot.others.insert(from, accepted);
-        let over = now >= forgot.since + times.ballot() + times.drift(times.ballot());
-        if forgot.others.len() < majority(voters) || !over {
+        let recovery = self.recovery.as_mut().filter(|r| !r.writing)?;
+        recovery.reports.insert(from, accepted);
+        let ballots_over =
+            now >= recovery.since + timing.ballot_timeout() + timing.max_drift(timing.ballot_timeout());
+        if recovery.reports.len() < majority(voters) || !ballots_over {
             return None;
         }
-        for told in forgot.others.values() {
-            for (vote, accepted) in self.votes.iter_mut().zip(told) {
+        for report in recovery.reports.values() {
+            for (vote, accepted) in self.votes.iter_mut().zip(report) {
                 if accepted.ballot > vote.accepted.ballot {
                     vote.accepted = *accepted;
                 }
                 vote.promised = vote.promised.max(accepted.ballot);
             }
         }
-        // Until it is written nothing is answered: what is on the disk is older than what others may rest on.
-        forgot.writing = true;
+        // Nothing is answered before the write is done, as the votes on disk are older than what others may rely on.
+        recovery.writing = true;
         Some(self.votes)
     }
 
-    /// What was learned, or a new epoch, is on the disk: it votes from now on.
-    pub fn learned(&mut self) {
-        if self.forgot.take_if(|f| f.writing).is_some() {
+    /// The recovered votes, or those of a new epoch, are on disk: it votes from now on.
+    pub fn recovery_written(&mut self) {
+        if self.recovery.take_if(|r| r.writing).is_some() {
             self.durable = self.votes;
         }
     }
 
-    /// The operators say that all that was promised is lost with most of the voters' disks, and that a new epoch begins:
-    /// whether it is a later one, and what must be written before anything is said.
-    pub fn start_over(&mut self, epoch: u32) -> Option<Votes> {
+    /// Operators begin a new epoch, as most voters have lost their disks and with them all promises. Returns the
+    /// votes to be written before anything is answered, or `None` when this epoch is not later than the current
+    /// one.
+    pub fn begin_epoch(&mut self, epoch: u32) -> Option<Votes> {
         if self.votes.iter().any(|vote| vote.promised.epoch >= epoch) {
             return None;
         }
         let promised = Ballot { epoch, ..Ballot::default() };
-        self.votes = [Vote { promised, accepted: Accepted { ballot: promised, ..Accepted::default() } }; 2];
-        self.forgot = Some(Forgot { since: 0, others: BTreeMap::new(), writing: true });
-        self.waiting.clear();
+        self.votes =
+            [Vote { promised, accepted: AcceptedValue { ballot: promised, ..AcceptedValue::default() } }; 2];
+        self.recovery = Some(Recovery { since: 0, reports: BTreeMap::new(), writing: true });
+        self.pending.clear();
         Some(self.votes)
     }
 }
@@ -209,94 +220,98 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::{Hash, Holds, Version};
+    use crate::agreement::{ActiveVersions, Hash, Version};
 
     const KIND: Kind = Kind::Settings;
-    const TIMES: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
+    const TIMING: Timing = Timing { lease: 800_000, drift_ppm: 10_000, round: 50_000 };
 
     fn ballot(round: u32) -> Ballot {
-        Ballot { epoch: 0, round, by: 1, start: 1 }
+        Ballot { epoch: 0, round, proposer: 1, incarnation: 1 }
     }
 
-    fn standing(turn: u64) -> Standing {
-        Standing { turn, holds: Holds::One(Version { number: turn, hash: Hash::default() }) }
+    fn value(revision: u64) -> RegisterValue {
+        RegisterValue {
+            revision,
+            active: ActiveVersions::Single(Version { number: revision, hash: Hash::default() }),
+        }
     }
 
     #[test]
-    fn nothing_is_said_that_is_not_on_the_disk() {
+    fn nothing_is_answered_before_it_is_on_disk() {
         let mut voter = Voter::new(Votes::default());
-        let Said::Write(first, _) = voter.prepare(2, KIND, ballot(1)) else { panic!("it writes") };
-        let Said::Write(second, votes) = voter.accept(2, KIND, ballot(1), standing(1)) else {
-            panic!("it writes")
+        let Response::Write(first, _) = voter.prepare(2, KIND, ballot(1)) else { panic!("a write") };
+        let Response::Write(second, votes) = voter.accept(2, KIND, ballot(1), value(1)) else {
+            panic!("a write")
         };
-        assert_eq!(votes[0].accepted.standing, standing(1));
-        assert_eq!(voter.accepted().map(|a| a[0].standing.turn), Some(0), "it may still be lost");
-        assert_eq!(voter.written(first).len(), 1);
-        assert_eq!(voter.accepted().map(|a| a[0].standing.turn), Some(0));
-        assert_eq!(voter.written(second), [(2, Message::Accepts { kind: KIND, ballot: ballot(1) })]);
-        assert_eq!(voter.accepted().map(|a| a[0].standing.turn), Some(1));
-        assert_eq!(read(&write(voter.durable())), Some(*voter.durable()));
-        assert_eq!(read(&[1, 2, 3]), None);
+        assert_eq!(votes[0].accepted.value, value(1));
+        assert_eq!(voter.accepted().map(|a| a[0].value.revision), Some(0), "it may still be lost");
+        assert_eq!(voter.votes_written(first).len(), 1);
+        assert_eq!(voter.accepted().map(|a| a[0].value.revision), Some(0));
+        assert_eq!(voter.votes_written(second), [(2, Message::Accepted { kind: KIND, ballot: ballot(1) })]);
+        assert_eq!(voter.accepted().map(|a| a[0].value.revision), Some(1));
+        assert_eq!(decode(&encode(voter.durable())), Some(*voter.durable()));
+        assert_eq!(decode(&[1, 2, 3]), None);
     }
 
     #[test]
-    fn a_promise_binds_and_kinds_do_not_touch_each_other() {
+    fn lower_ballots_are_rejected_after_a_promise_and_kinds_are_independent() {
         let mut voter = Voter::new(Votes::default());
         voter.prepare(2, KIND, ballot(5));
-        for said in [voter.prepare(3, KIND, ballot(4)), voter.accept(3, KIND, ballot(4), standing(1))] {
-            let denied = Message::Denied { kind: KIND, ballot: ballot(4), promised: ballot(5) };
-            assert_eq!(said, Said::Now(Box::new(denied)));
+        for response in [voter.prepare(3, KIND, ballot(4)), voter.accept(3, KIND, ballot(4), value(1))] {
+            let rejected = Message::Rejected { kind: KIND, ballot: ballot(4), promised: ballot(5) };
+            assert_eq!(response, Response::Send(Box::new(rejected)));
         }
-        assert!(matches!(voter.accept(3, Kind::Hands, ballot(4), standing(1)), Said::Write(..)));
-        assert!(matches!(voter.accept(2, KIND, ballot(5), standing(1)), Said::Write(..)));
+        assert!(matches!(voter.accept(3, Kind::Suspensions, ballot(4), value(1)), Response::Write(..)));
+        assert!(matches!(voter.accept(2, KIND, ballot(5), value(1)), Response::Write(..)));
     }
 
     #[test]
-    fn one_that_may_have_forgotten_votes_once_it_can_break_no_promise() {
-        let mut voter = Voter::forgetful(Votes::default(), 1_000);
-        assert_eq!(voter.prepare(2, KIND, ballot(9)), Said::Nothing);
-        assert_eq!(voter.accept(2, KIND, ballot(9), standing(1)), Said::Nothing);
+    fn recovering_voter_votes_once_it_can_break_no_promise() {
+        let mut voter = Voter::recovering(Votes::default(), 1_000);
+        assert_eq!(voter.prepare(2, KIND, ballot(9)), Response::Ignore);
+        assert_eq!(voter.accept(2, KIND, ballot(9), value(1)), Response::Ignore);
         assert_eq!(voter.accepted(), None);
-        let told =
-            |round, turn| [Accepted { ballot: ballot(round), standing: standing(turn) }, Accepted::default()];
-        let over = 1_000 + TIMES.ballot() * 102 / 100;
-        assert_eq!(voter.learn(2, told(3, 1), (5, &TIMES, over)), None);
-        assert_eq!(voter.learn(2, told(3, 1), (5, &TIMES, over)), None, "one is heard once");
-        assert_eq!(voter.learn(3, told(7, 2), (5, &TIMES, over)), None);
-        // A third of five, but a ballot of before may still be open.
-        assert_eq!(voter.learn(4, told(1, 0), (5, &TIMES, over - 10_000)), None);
-        let votes = voter.learn(4, told(1, 0), (5, &TIMES, over)).expect("it votes");
-        assert_eq!((votes[0].accepted.standing, votes[0].promised), (standing(2), ballot(7)));
+        let report = |round, revision| {
+            [AcceptedValue { ballot: ballot(round), value: value(revision) }, AcceptedValue::default()]
+        };
+        let over = 1_000 + TIMING.ballot_timeout() * 102 / 100;
+        assert_eq!(voter.learn_from(2, report(3, 1), (5, &TIMING, over)), None);
+        assert_eq!(voter.learn_from(2, report(3, 1), (5, &TIMING, over)), None, "a voter counts once");
+        assert_eq!(voter.learn_from(3, report(7, 2), (5, &TIMING, over)), None);
+        // The third report is a majority of five, but a ballot from before the loss may still be open.
+        assert_eq!(voter.learn_from(4, report(1, 0), (5, &TIMING, over - 10_000)), None);
+        let votes = voter.learn_from(4, report(1, 0), (5, &TIMING, over)).expect("recovered votes");
+        assert_eq!((votes[0].accepted.value, votes[0].promised), (value(2), ballot(7)));
         assert_eq!(
             (voter.accepted(), voter.prepare(2, KIND, ballot(9))),
-            (None, Said::Nothing),
-            "it is not written"
+            (None, Response::Ignore),
+            "the votes are not written yet"
         );
-        assert_eq!(voter.learn(5, told(9, 9), (5, &TIMES, over)), None);
-        voter.learned();
-        assert_eq!(voter.accepted().map(|a| a[0].standing), Some(standing(2)));
-        assert!(matches!(voter.prepare(2, KIND, ballot(6)), Said::Now(_)));
+        assert_eq!(voter.learn_from(5, report(9, 9), (5, &TIMING, over)), None);
+        voter.recovery_written();
+        assert_eq!(voter.accepted().map(|a| a[0].value), Some(value(2)));
+        assert!(matches!(voter.prepare(2, KIND, ballot(6)), Response::Send(_)));
     }
 
     #[test]
-    fn a_disk_that_does_not_answer_leaves_a_bounded_rest() {
+    fn pending_replies_are_bounded_when_the_disk_does_not_respond() {
         let mut voter = Voter::new(Votes::default());
         for round in 1..2_000 {
             voter.prepare(2, KIND, ballot(round));
         }
-        assert_eq!(voter.waiting.len(), WAITING_MOST);
-        assert_eq!(voter.written(u64::MAX).len(), WAITING_MOST);
+        assert_eq!(voter.pending.len(), MAX_PENDING_REPLIES);
+        assert_eq!(voter.votes_written(u64::MAX).len(), MAX_PENDING_REPLIES);
     }
 
     #[test]
-    fn a_new_epoch_begins_once_and_by_a_higher_number_alone() {
-        let mut voter = Voter::forgetful(Votes::default(), 0);
-        assert!(voter.start_over(0).is_none());
-        assert!(voter.start_over(2).is_some() && !voter.remembers());
-        voter.learned();
-        assert!(voter.remembers());
-        assert!(voter.start_over(2).is_none() && voter.start_over(1).is_none());
-        // What is left of the former epoch comes to nothing here.
-        assert!(matches!(voter.accept(2, KIND, ballot(1_000), standing(9)), Said::Now(_)));
+    fn new_epoch_needs_a_higher_number() {
+        let mut voter = Voter::recovering(Votes::default(), 0);
+        assert!(voter.begin_epoch(0).is_none());
+        assert!(voter.begin_epoch(2).is_some() && !voter.can_vote());
+        voter.recovery_written();
+        assert!(voter.can_vote());
+        assert!(voter.begin_epoch(2).is_none() && voter.begin_epoch(1).is_none());
+        // Ballots of a former epoch are rejected.
+        assert!(matches!(voter.accept(2, KIND, ballot(1_000), value(9)), Response::Send(_)));
     }
 }
--- a/src/agreement_io/fetch.rs
+++ b/src/agreement_io/fetch.rs
@@ -1,7 +1,8 @@
-//! What does not fit a datagram: documents and member lists, got from another proxy by TCP. One call a connection; both ways
-//! are framed by their length and authenticated, and an answer by the nonce of its question, too.
+//! Transfer of documents and member lists, which do not fit a datagram, over TCP. Each connection carries one
+//! request and its answer. Both are length-delimited and authenticated; the MAC of the answer also covers the nonce
+//! of the request.
 
-use crate::agreement::document::LONGEST;
+use crate::agreement::document::MAX_BYTES;
 use crate::agreement::seal::Keys;
 use crate::agreement::Hash;
 use crate::core::counters::{count, Count};
@@ -16,92 +17,94 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// How long a call may take.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Calls that are answered at a time; more wait to be accepted.
-const CALLS: usize = 16;
-const PAUSE: Duration = Duration::from_millis(20);
-const ASKS: &str = "linentrail pull 1";
-const ANSWERS: &str = "linentrail pulled 1";
+/// The time limit of a request with its answer, on both sides.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum number of connections served at the same time; further ones wait to be accepted.
+const MAX_CONNECTIONS: usize = 16;
+/// The delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+const REQUEST_PURPOSE: &str = "linentrail pull 1";
+const ANSWER_PURPOSE: &str = "linentrail pulled 1";
 
-/// What is wanted.
+/// What can be fetched. The encoding depends on the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Want {
-    /// A document.
+pub enum Resource {
+    /// The document with this hash.
     Document(Hash),
     /// The member list.
-    List,
+    MemberList,
 }
 
-/// A question to the one that has it.
-pub type Question = (Want, oneshot::Sender<Option<Bytes>>);
+/// A received request, and the channel for the resource; `None` if it is not available.
+pub type FetchRequest = (Resource, oneshot::Sender<Option<Bytes>>);
 
 #[derive(Serialize, Deserialize)]
 struct Signed {
-    key: u8,
-    code: Vec<u8>,
+    key_id: u8,
+    mac: Vec<u8>,
     body: Vec<u8>,
 }
 
 fn sign(keys: &Keys, purpose: &str, nonce: &[u8], body: Vec<u8>) -> Bytes {
-    let (key, code) = keys.sign(purpose, &[nonce, &body].concat());
-    postcard::to_extend(&Signed { key, code: code.to_vec(), body }, Vec::new()).unwrap_or_default().into()
+    let (key_id, mac) = keys.sign(purpose, &[nonce, &body].concat());
+    postcard::to_extend(&Signed { key_id, mac: mac.to_vec(), body }, Vec::new()).unwrap_or_default().into()
 }
 
-fn check(keys: &Keys, purpose: &str, nonce: &[u8], bytes: &[u8]) -> Option<Vec<u8>> {
-    let Signed { key, code, body } = postcard::from_bytes(bytes).ok()?;
-    keys.check(purpose, &[nonce, &body].concat(), (key, &code)).ok()?;
+fn verify(keys: &Keys, purpose: &str, nonce: &[u8], bytes: &[u8]) -> Option<Vec<u8>> {
+    let Signed { key_id, mac, body } = postcard::from_bytes(bytes).ok()?;
+    keys.check(purpose, &[nonce, &body].concat(), (key_id, &mac)).ok()?;
     Some(body)
 }
 
 fn framed(stream: TcpStream) -> Framed<Socket, LengthDelimitedCodec> {
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST + 256).new_framed(Socket::new(stream))
+    LengthDelimitedCodec::builder().max_frame_length(MAX_BYTES + 256).new_framed(Socket::new(stream))
 }
 
-/// Gets something from another proxy; none where it has none, does not answer, or what it says is not authentic.
-pub async fn get(from: SocketAddr, keys: &Keys, want: Want, nonce: u64) -> Option<Vec<u8>> {
+/// Fetches a resource from another proxy. Returns `None` if that proxy does not have it or does not answer in time,
+/// or if the answer is not authentic.
+pub async fn get(from: SocketAddr, keys: &Keys, resource: Resource, nonce: u64) -> Option<Vec<u8>> {
     count(Count::agreement_fetches);
-    let call = async {
-        let mut link = framed(transient::connect(from).await.ok()?);
-        let question = postcard::to_extend(&(nonce, want), Vec::new()).ok()?;
-        link.send(sign(keys, ASKS, &[], question)).await.ok()?;
-        let answer = link.next().await?.ok()?;
-        let answer = check(keys, ANSWERS, &nonce.to_le_bytes(), &answer)?;
+    let exchange = async {
+        let mut connection = framed(transient::connect(from).await.ok()?);
+        let request = postcard::to_extend(&(nonce, resource), Vec::new()).ok()?;
+        connection.send(sign(keys, REQUEST_PURPOSE, &[], request)).await.ok()?;
+        let answer = connection.next().await?.ok()?;
+        let answer = verify(keys, ANSWER_PURPOSE, &nonce.to_le_bytes(), &answer)?;
         postcard::from_bytes::<Option<Vec<u8>>>(&answer).ok()?
     };
-    tokio::time::timeout(PATIENCE, call).await.ok()?
+    tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.ok()?
 }
 
-async fn answer(stream: TcpStream, keys: &Keys, questions: &mpsc::Sender<Question>) -> Option<()> {
-    let mut link = framed(stream);
-    let asked = link.next().await?.ok()?;
-    let asked = check(keys, ASKS, &[], &asked)?;
-    let (nonce, want): (u64, Want) = postcard::from_bytes(&asked).ok()?;
-    let (reply, told) = oneshot::channel();
-    questions.send((want, reply)).await.ok()?;
-    let told: Option<Vec<u8>> = told.await.ok()?.map(|bytes| bytes.to_vec());
-    let body = postcard::to_extend(&told, Vec::new()).ok()?;
-    link.send(sign(keys, ANSWERS, &nonce.to_le_bytes(), body)).await.ok()
+async fn answer(stream: TcpStream, keys: &Keys, requests: &mpsc::Sender<FetchRequest>) -> Option<()> {
+    let mut connection = framed(stream);
+    let request = connection.next().await?.ok()?;
+    let request = verify(keys, REQUEST_PURPOSE, &[], &request)?;
+    let (nonce, resource): (u64, Resource) = postcard::from_bytes(&request).ok()?;
+    let (reply, content) = oneshot::channel();
+    requests.send((resource, reply)).await.ok()?;
+    let content: Option<Vec<u8>> = content.await.ok()?.map(|bytes| bytes.to_vec());
+    let body = postcard::to_extend(&content, Vec::new()).ok()?;
+    connection.send(sign(keys, ANSWER_PURPOSE, &nonce.to_le_bytes(), body)).await.ok()
 }
 
-/// Answers other proxies until the process ends.
-pub async fn serve(listener: TcpListener, keys: Keys, questions: mpsc::Sender<Question>) {
-    let seats = std::sync::Arc::new(tokio::sync::Semaphore::new(CALLS));
+/// Serves requests of other proxies until the process ends.
+pub async fn serve(listener: TcpListener, keys: Keys, requests: mpsc::Sender<FetchRequest>) {
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(seat) = seats.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (keys, questions) = (keys.clone(), questions.clone());
+        let (keys, requests) = (keys.clone(), requests.clone());
         tokio::spawn(async move {
             if !matches!(
-                tokio::time::timeout(PATIENCE, answer(stream, &keys, &questions)).await,
+                tokio::time::timeout(REQUEST_TIMEOUT, answer(stream, &keys, &requests)).await,
                 Ok(Some(()))
             ) {
                 count(Count::agreement_dropped);
             }
-            drop(seat);
+            drop(permit);
         });
     }
 }
@@ -111,34 +114,34 @@
     use super::*;
 
     fn keys(byte: u8) -> Keys {
-        Keys::new(vec![(1, vec![byte; 32])]).expect("sound")
+        Keys::new(vec![(1, vec![byte; 32])]).expect("valid keys")
     }
 
     #[test]
-    fn what_is_wanted_comes_back_to_those_with_the_key_alone() {
+    fn resource_is_fetched_only_with_the_fleets_key() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let at = listener.local_addr().expect("an address");
-            let (questions, mut asked) = mpsc::channel::<Question>(4);
-            tokio::spawn(serve(listener, keys(1), questions));
+            let address = listener.local_addr().expect("an address");
+            let (requests, mut received) = mpsc::channel::<FetchRequest>(4);
+            tokio::spawn(serve(listener, keys(1), requests));
             tokio::spawn(async move {
-                while let Some((want, reply)) = asked.recv().await {
-                    let known = want == Want::List;
-                    let _ = reply.send(known.then(|| Bytes::from(vec![7; 600_000])));
+                while let Some((resource, reply)) = received.recv().await {
+                    let available = resource == Resource::MemberList;
+                    let _ = reply.send(available.then(|| Bytes::from(vec![7; 600_000])));
                 }
             });
-            assert_eq!(get(at, &keys(1), Want::List, 5).await.map(|b| b.len()), Some(600_000));
-            assert_eq!(get(at, &keys(1), Want::Document(Hash::default()), 6).await, None);
-            assert_eq!(get(at, &keys(2), Want::List, 7).await, None, "another key");
+            assert_eq!(get(address, &keys(1), Resource::MemberList, 5).await.map(|b| b.len()), Some(600_000));
+            assert_eq!(get(address, &keys(1), Resource::Document(Hash::default()), 6).await, None);
+            assert_eq!(get(address, &keys(2), Resource::MemberList, 7).await, None, "another key");
         });
     }
 
     #[test]
-    fn an_answer_to_another_question_is_none() {
-        let told = sign(&keys(1), ANSWERS, &5u64.to_le_bytes(), vec![1]);
-        assert!(check(&keys(1), ANSWERS, &5u64.to_le_bytes(), &told).is_some());
-        assert!(check(&keys(1), ANSWERS, &6u64.to_le_bytes(), &told).is_none());
-        assert!(check(&keys(1), ASKS, &5u64.to_le_bytes(), &told).is_none());
+    fn answer_to_another_request_is_rejected() {
+        let answer = sign(&keys(1), ANSWER_PURPOSE, &5u64.to_le_bytes(), vec![1]);
+        assert!(verify(&keys(1), ANSWER_PURPOSE, &5u64.to_le_bytes(), &answer).is_some());
+        assert!(verify(&keys(1), ANSWER_PURPOSE, &6u64.to_le_bytes(), &answer).is_none());
+        assert!(verify(&keys(1), REQUEST_PURPOSE, &5u64.to_le_bytes(), &answer).is_none());
     }
 }
