--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -1,18 +1,18 @@
-//! Carries what the proxies of a fleet agree on: an actor that owns the [`Instance`], its socket, its documents and the
-//! way to the disk, and tells the core and the fronts what holds. It decides nothing; with no block `agreement` in the
-//! operators' file none of it is there.
+//! Runs the agreement protocol: an actor that owns the [`Instance`], its socket, its documents and its access to
+//! the store, and passes the values in force on to the core and the fronts. All decisions are made by the instance.
+//! Without an enabled block `agreement` in the operators' file nothing of this is started.
 
 pub mod fetch;
 pub mod status;
 
 use crate::agreement::document::{self, Content, Document};
-use crate::agreement::instance::{Fleet, Instance, Out};
+use crate::agreement::instance::{Action, Instance, InstanceConfig};
 use crate::agreement::message::Message;
-use crate::agreement::proposer::{End, Goal};
+use crate::agreement::proposer::{Proposal, ProposalEnd};
 use crate::agreement::rules::FleetSettings;
 use crate::agreement::seal::{Keys, Receiver, Sender};
 use crate::agreement::voter::{self, Voter, Votes};
-use crate::agreement::{Hash, Holds, Kind, ProxyNumber, Standing, Version, KINDS};
+use crate::agreement::{ActiveVersions, Hash, Kind, ProxyNumber, RegisterValue, Version, KINDS};
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{CoreCommand, Input};
@@ -24,7 +24,7 @@
 use crate::store::actor::Scribe;
 use crate::store::state::Finding;
 use bytes::Bytes;
-use fetch::{Question, Want};
+use fetch::{FetchRequest, Resource};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -32,209 +32,217 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Calls of the operators that may wait, and results of tasks.
-const MAILBOX: usize = 64;
-/// Documents that are kept, beyond those that anything rests on.
-const DOCUMENTS: usize = 16;
-/// Versions that `history` tells.
-const HISTORY: usize = 64;
-/// Fetches at a time.
-const FETCHES: usize = 4;
-/// Names in the store.
+/// The capacity of the channels for task results and for fetch requests of other proxies.
+const CHANNEL_CAPACITY: usize = 64;
+/// The number of documents kept. Documents that leases or votes refer to are never removed.
+const MAX_DOCUMENTS: usize = 16;
+/// The number of past versions that `HISTORY` shows.
+const MAX_HISTORY: usize = 64;
+/// The maximum number of documents fetched at the same time.
+const MAX_FETCHES: usize = 4;
+/// The name of the votes in the store.
 const VOTES: &str = "votes";
+/// The names of documents in the store begin with this.
 const DOCUMENT: &str = "document-";
-/// How often the list's version is looked at, and the lease is told to the core.
-const LOOK: Duration = Duration::from_millis(50);
-/// Before something is written again that could not be.
+/// The longest interval between two checks of the lease and of the member list's version.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// The delay before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the operators ask.
+/// A command of the operators.
 #[derive(Debug)]
 pub enum OperatorCommand {
-    /// How the fleet stands, as JSON.
+    /// Show the state of the fleet, as JSON.
     Status,
-    /// The versions that were in force here, as JSON.
+    /// Show the versions that have been in force on this proxy, as JSON.
     History,
-    /// Settings, as their JSON, by an author.
+    /// Propose settings: the author and the settings as JSON.
     Propose(String, String),
-    /// A member out, or back, for the whole fleet.
+    /// Suspend a member for the whole fleet (true) or restore it (false).
     SetSuspended(String, bool),
     /// Take back the change that is under way.
     Abort,
-    /// Begin a new epoch, as most voters' disks are lost.
+    /// Begin a new epoch after most voters have lost their disks.
     BeginEpoch(u32),
 }
 
-/// That, and where the answer goes: what is so or was done, or why not.
+/// A command, and the channel for its result: what is shown or was done, or why it was refused.
 pub type OperatorCall = (OperatorCommand, oneshot::Sender<Result<String, String>>);
 
-/// Settings to be taken up: what each shares, and the word once that is done.
+/// Settings to be applied, and the channel that acknowledges them.
 pub type SettingsUpdate = (Box<FleetSettings>, oneshot::Sender<()>);
 
-/// Something that a task has done.
-enum Done {
-    Written(u64),
-    Relearned(u64),
-    /// The votes that were learned anew, by their number, and why they could not be written.
-    Unlearned(u64, Vec<u8>, String),
-    Unwritten(String),
-    DocumentUnwritten(Hash, String),
-    Fetched(Hash, Option<Vec<u8>>),
-    Kept(Hash),
-    Dropped,
-    Listed(Option<Vec<u8>>),
+/// The result of a task that the actor has spawned.
+enum TaskResult {
+    /// The votes with this number are on disk.
+    VotesWritten(u64),
+    /// The recovered votes with this number are on disk.
+    RecoveryWritten(u64),
+    /// Recovered votes could not be written: their number, the encoded votes and the error.
+    RecoveryWriteFailed(u64, Vec<u8>, String),
+    /// Votes could not be written, or a document could not be deleted.
+    WriteFailed(String),
+    DocumentWriteFailed(Hash, String),
+    DocumentFetched(Hash, Option<Vec<u8>>),
+    DocumentWritten(Hash),
+    DocumentDeleted,
+    ListFetched(Option<Vec<u8>>),
 }
 
-/// A document, read once.
-struct Kept {
+/// A document, decoded and parsed once.
+struct LoadedDocument {
     document: Document,
     content: Content,
     bytes: Bytes,
 }
 
-/// What the actor is wired to.
+/// What the actor depends on.
 pub struct Dependencies {
-    /// The block of the operators' file.
+    /// The block `agreement` of the operators' file.
     pub config: Agreement,
-    /// Its keys.
+    /// The keys that the block names.
     pub keys: Keys,
-    /// The way to the core.
+    /// The control channel of the core.
     pub control: ControlHandle,
-    /// Lists go there.
+    /// Receives member lists that were fetched from other proxies.
     pub core: mpsc::Sender<Input>,
-    /// Settings go there.
+    /// Receives settings that have come into force.
     pub settings_updates: mpsc::Sender<SettingsUpdate>,
-    /// The way to the disk; none where this proxy does not vote.
+    /// The store; `None` where this proxy has none and thus does not vote.
     pub store: Option<Scribe>,
-    /// Version of the list that is held.
+    /// The version of the member list that discovery has delivered here.
     pub list_version: Arc<AtomicU64>,
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// The settings of this proxy's own file, as JSON: the first to be agreed on.
+    /// The settings of this proxy's own file as JSON, the first version to be agreed on.
     pub own_settings: watch::Receiver<Arc<str>>,
     /// The clock.
     pub clock: Clock,
-    /// Of its lots.
+    /// The seed of random delays.
     pub seed: u64,
 }
 
-/// What a start has found of earlier votes.
+/// What the store held at the start of the process.
 pub struct RecoveredVotes {
-    /// How the store was found.
+    /// The condition of the store.
     pub finding: Finding,
-    /// What was kept of votes and documents, by name.
+    /// Stored votes and documents, by name.
     pub records: Vec<(String, Vec<u8>)>,
 }
 
 impl RecoveredVotes {
-    /// Names begin so.
+    /// The prefixes of the names under which votes and documents are stored.
     pub const NAME_PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
 
-    /// The voter that goes on from it.
+    /// Creates the voter, in recovery if votes may have been lost.
     fn voter(&self, now: Time) -> Voter {
-        let kept = self.records.iter().find(|(name, _)| name == VOTES);
-        let votes = kept.map(|(_, bytes)| read_votes(bytes));
+        let stored = self.records.iter().find(|(name, _)| name == VOTES);
+        let votes = stored.map(|(_, bytes)| decode_votes(bytes));
         match (votes, self.finding) {
             (None, Finding::Sound | Finding::Fresh) => Voter::new(Votes::default()),
             (Some(Some(votes)), Finding::Sound) => Voter::new(votes),
             (votes, finding) => {
                 log::warn!(
-                    "votes: {finding:?}; this voter may have forgotten what it promised, and learns first"
+                    "votes: {finding:?}; promises may be lost, so the voter recovers from the others first"
                 );
-                Voter::forgetful(votes.flatten().unwrap_or_default(), now)
+                Voter::recovering(votes.flatten().unwrap_or_default(), now)
             }
         }
     }
 }
 
-/// Votes with their checksum.
-fn write_votes(votes: &Votes) -> Vec<u8> {
-    let bytes = voter::write(votes);
+/// Encodes votes with a checksum.
+fn encode_votes(votes: &Votes) -> Vec<u8> {
+    let bytes = voter::encode(votes);
     [&crc32fast::hash(&bytes).to_le_bytes()[..], &bytes].concat()
 }
 
-fn read_votes(bytes: &[u8]) -> Option<Votes> {
-    let (sum, bytes) = bytes.split_first_chunk::<4>()?;
-    (crc32fast::hash(bytes) == u32::from_le_bytes(*sum)).then(|| voter::read(bytes))?
+fn decode_votes(bytes: &[u8]) -> Option<Votes> {
+    let (checksum, bytes) = bytes.split_first_chunk::<4>()?;
+    (crc32fast::hash(bytes) == u32::from_le_bytes(*checksum)).then(|| voter::decode(bytes))?
 }
 
-/// A version that was in force here.
+/// A version that has been in force on this proxy.
 #[derive(Debug, Clone)]
-struct Past {
+struct PastVersion {
     kind: Kind,
     version: Version,
     author: String,
-    proposed: Time,
+    proposed_at: Time,
     since: Time,
 }
 
 /// The actor.
 pub struct AgreementActor {
-    with: Dependencies,
+    deps: Dependencies,
     instance: Instance,
     socket: Arc<UdpSocket>,
     sender: Sender,
     receiver: Receiver,
-    documents: BTreeMap<Hash, Kept>,
+    documents: BTreeMap<Hash, LoadedDocument>,
     fetching: BTreeSet<Hash>,
-    /// What was last told the core: what it acts on and until when.
-    acts: Option<[Standing; 2]>,
-    until: Time,
-    /// Since when no lease has held, and whether that was told.
-    lapsed: Option<Time>,
+    /// The values that this proxy acts on.
+    applied: Option<[RegisterValue; 2]>,
+    /// When the lease expires, as last passed on to the core.
+    lease_until: Time,
+    /// Since when there has been no lease.
+    lapsed_since: Option<Time>,
+    /// The version of the last member list taken from another proxy, and whether a list is being fetched.
     list: (u64, bool),
-    history: VecDeque<Past>,
-    /// What came of the last change that was proposed here.
-    last: String,
-    done: mpsc::Sender<Done>,
-    ends: mpsc::Receiver<Done>,
+    history: VecDeque<PastVersion>,
+    /// The outcome of the last change that was proposed on this proxy.
+    last_change: String,
+    task_results: mpsc::Sender<TaskResult>,
+    finished_tasks: mpsc::Receiver<TaskResult>,
     nonce: u64,
-    /// How often this voter has learned anew.
-    relearned: u64,
+    /// How many times this voter has recovered votes, which numbers the writes of recovered votes.
+    recoveries: u64,
 }
 
 impl AgreementActor {
-    /// One that speaks at the address that the file names for it; it serves other proxies from then on.
+    /// Binds the address that the operators' file names for this proxy, and starts serving fetch requests of other
+    /// proxies. Returns the actor and the requests that [`AgreementActor::run`] is to answer.
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// When the address cannot be bound.
     pub async fn start(
-        with: Dependencies,
-        memory: Option<RecoveredVotes>,
-    ) -> Result<(Self, mpsc::Receiver<Question>), String> {
-        let file = &with.config;
-        let at = file.proxies.get(&file.me).copied().ok_or("agreement.me is none of agreement.proxies")?;
-        let bad = |e: std::io::Error| format!("agreement: {at}: {e}");
-        let socket = Arc::new(transient::listen_datagrams(at).await.map_err(bad)?);
-        let listener = transient::listen(at).await.map_err(bad)?;
-        let now = with.clock.now();
-        let fleet = Fleet {
-            me: file.me,
-            start: now,
-            voters: file.voters.clone(),
-            times: file.times,
-            seed: with.seed ^ u64::from(file.me),
+        deps: Dependencies,
+        recovered: Option<RecoveredVotes>,
+    ) -> Result<(Self, mpsc::Receiver<FetchRequest>), String> {
+        let config = &deps.config;
+        let address =
+            config.proxies.get(&config.me).copied().ok_or("agreement.me is not one of agreement.proxies")?;
+        let bind_error = |e: std::io::Error| format!("agreement: {address}: {e}");
+        let socket = Arc::new(transient::listen_datagrams(address).await.map_err(bind_error)?);
+        let listener = transient::listen(address).await.map_err(bind_error)?;
+        let now = deps.clock.now();
+        let instance_config = InstanceConfig {
+            me: config.me,
+            incarnation: now,
+            voters: config.voters.clone(),
+            timing: config.times,
+            seed: deps.seed ^ u64::from(config.me),
         };
-        let votes = file.voters.contains(&file.me);
-        let voter = memory.as_ref().filter(|_| votes).map(|memory| memory.voter(now));
-        let mut instance = Instance::new(fleet, voter, now);
+        let is_voter = config.voters.contains(&config.me);
+        let voter = recovered.as_ref().filter(|_| is_voter).map(|recovered| recovered.voter(now));
+        let mut instance = Instance::new(instance_config, voter, now);
         let mut documents = BTreeMap::new();
-        for (name, bytes) in memory.into_iter().flat_map(|m| m.records) {
-            let opened = Document::open(&bytes, &with.keys).ok().filter(|_| name.starts_with(DOCUMENT));
-            // One that was kept was sound then.
-            let read = opened.and_then(|document| Some((document.content().ok()?, document)));
-            if let Some((content, document)) = read {
+        for (name, bytes) in recovered.into_iter().flat_map(|r| r.records) {
+            let opened = Document::open(&bytes, &deps.keys).ok().filter(|_| name.starts_with(DOCUMENT));
+            // Documents are validated before they are stored, so that invalid ones are not expected here.
+            let parsed = opened.and_then(|document| Some((document.content().ok()?, document)));
+            if let Some((content, document)) = parsed {
                 let hash = document.version().hash;
-                instance.document(hash);
-                documents.insert(hash, Kept { document, content, bytes: bytes.into() });
+                instance.document_added(hash);
+                documents.insert(hash, LoadedDocument { document, content, bytes: bytes.into() });
             }
         }
-        let (questions, asked) = mpsc::channel(MAILBOX);
-        tokio::spawn(fetch::serve(listener, with.keys.clone(), questions));
-        let (done, ends) = mpsc::channel(MAILBOX);
+        let (fetch_requests, fetches) = mpsc::channel(CHANNEL_CAPACITY);
+        tokio::spawn(fetch::serve(listener, deps.keys.clone(), fetch_requests));
+        let (task_results, finished_tasks) = mpsc::channel(CHANNEL_CAPACITY);
         let (sender, receiver) =
-            (Sender::new(with.keys.clone(), file.me, now), Receiver::new(with.keys.clone(), file.me));
-        log::info!("proxy {} of {} agrees with the others at {at}", file.me, file.proxies.len());
+            (Sender::new(deps.keys.clone(), config.me, now), Receiver::new(deps.keys.clone(), config.me));
+        log::info!("agreement: proxy {} of {} listens at {address}", config.me, config.proxies.len());
         let actor = AgreementActor {
             instance,
             socket,
@@ -242,123 +250,127 @@
             receiver,
             documents,
             fetching: BTreeSet::new(),
-            acts: None,
-            until: 0,
-            lapsed: Some(now),
+            applied: None,
+            lease_until: 0,
+            lapsed_since: Some(now),
             list: (0, false),
             history: VecDeque::new(),
-            last: "nothing was proposed here".into(),
-            done,
-            ends,
+            last_change: "nothing was proposed here".into(),
+            task_results,
+            finished_tasks,
             nonce: now,
-            relearned: 0,
-            with,
+            recoveries: 0,
+            deps,
         };
-        Ok((actor, asked))
+        Ok((actor, fetches))
     }
 
     /// Runs until the core has ended.
     pub async fn run(
         mut self,
         mut calls: mpsc::Receiver<OperatorCall>,
-        mut questions: mpsc::Receiver<Question>,
+        mut fetches: mpsc::Receiver<FetchRequest>,
     ) {
         let mut buffer = [0; 2048];
         loop {
-            let now = self.with.clock.now();
-            let wakes = self.instance.wakes().min(now + LOOK.as_micros() as Time);
+            let now = self.deps.clock.now();
+            let wakeup = self.instance.next_wakeup().min(now + UPDATE_INTERVAL.as_micros() as Time);
             let socket = self.socket.clone();
-            let out = tokio::select! {
+            let actions = tokio::select! {
                 biased;
-                () = tokio::time::sleep_until(self.with.clock.instant(wakes)) => self.instance.tick(self.with.clock.now()),
-                Some(done) = self.ends.recv() => self.done(done),
-                came = socket.recv_from(&mut buffer) => match came {
-                    Ok((length, _)) => self.heard(&buffer[..length]),
+                () = tokio::time::sleep_until(self.deps.clock.instant(wakeup)) =>
+                    self.instance.tick(self.deps.clock.now()),
+                Some(result) = self.finished_tasks.recv() => self.task_finished(result),
+                received = socket.recv_from(&mut buffer) => match received {
+                    Ok((length, _)) => self.datagram_received(&buffer[..length]),
                     Err(_) => continue,
                 },
-                Some((want, reply)) = questions.recv() => {
-                    let _ = reply.send(self.wanted(want).await);
+                Some((resource, reply)) = fetches.recv() => {
+                    let _ = reply.send(self.resource(resource).await);
                     Vec::new()
                 }
                 call = calls.recv() => match call {
-                    Some(call) => self.call(call),
+                    Some(call) => self.operator_call(call),
                     None => return,
                 },
             };
-            self.carry(out).await;
-            if self.look().await.is_none() {
+            self.perform(actions).await;
+            if self.update().await.is_none() {
                 return;
             }
         }
     }
 
-    fn heard(&mut self, datagram: &[u8]) -> Vec<Out> {
-        let proxies = &self.with.config.proxies;
+    fn datagram_received(&mut self, datagram: &[u8]) -> Vec<Action> {
+        let proxies = &self.deps.config.proxies;
         let opened = self.receiver.open(datagram, |from| proxies.contains_key(&from));
-        let read = opened.and_then(|(from, start, bytes)| Ok((from, start, Message::read(bytes)?)));
-        match read {
-            Ok((from, start, message)) => self.instance.hear(from, start, message, self.with.clock.now()),
-            Err(why) => {
+        let decoded =
+            opened.and_then(|(from, incarnation, bytes)| Ok((from, incarnation, Message::decode(bytes)?)));
+        match decoded {
+            Ok((from, incarnation, message)) => {
+                self.instance.receive(from, incarnation, message, self.deps.clock.now())
+            }
+            Err(reason) => {
                 count(Count::agreement_dropped);
-                log::debug!("a datagram is dropped: {why:?}");
+                log::debug!("agreement: dropped a datagram: {reason:?}");
                 Vec::new()
             }
         }
     }
 
-    fn done(&mut self, done: Done) -> Vec<Out> {
-        let now = self.with.clock.now();
-        match done {
-            Done::Written(number) => return self.instance.written(number, now),
-            // What was learned still later has to be written first.
-            Done::Relearned(number) if number != self.relearned => {}
-            Done::Relearned(_) => {
-                log::info!("this voter votes again");
-                self.instance.learned();
+    fn task_finished(&mut self, result: TaskResult) -> Vec<Action> {
+        let now = self.deps.clock.now();
+        match result {
+            TaskResult::VotesWritten(number) => return self.instance.votes_written(number, now),
+            // Votes of a later recovery are still being written.
+            TaskResult::RecoveryWritten(number) if number != self.recoveries => {}
+            TaskResult::RecoveryWritten(_) => {
+                log::info!("votes are recovered; this voter votes again");
+                self.instance.recovery_written();
             }
-            Done::Unwritten(why) => {
+            TaskResult::WriteFailed(error) => {
                 count(Count::agreement_failures);
-                log::warn!("a vote cannot be written down and is not given: {why}");
+                log::warn!("a write to the store failed; votes in it are not cast: {error}");
             }
-            Done::Unlearned(number, votes, why) => {
+            TaskResult::RecoveryWriteFailed(number, votes, error) => {
                 count(Count::agreement_failures);
-                log::warn!("votes that were learned anew cannot be written down yet: {why}");
-                self.write_learned(number, votes, WRITE_RETRY_INTERVAL);
+                log::warn!("recovered votes could not be written; retrying: {error}");
+                self.write_recovery(number, votes, WRITE_RETRY_INTERVAL);
             }
-            Done::DocumentUnwritten(hash, why) => {
+            TaskResult::DocumentWriteFailed(hash, error) => {
                 count(Count::agreement_failures);
-                log::warn!("a document cannot be written down yet: {why}");
+                log::warn!("a document could not be written; retrying: {error}");
                 self.write_document(hash, WRITE_RETRY_INTERVAL);
             }
-            Done::Fetched(hash, bytes) => {
+            TaskResult::DocumentFetched(hash, bytes) => {
                 self.fetching.remove(&hash);
-                let opened = bytes.and_then(|b| Some((Document::open(&b, &self.with.keys).ok()?, b)));
+                let opened = bytes.and_then(|b| Some((Document::open(&b, &self.deps.keys).ok()?, b)));
                 if let Some((document, bytes)) = opened.filter(|(d, _)| d.version().hash == hash) {
                     match document.content() {
-                        Ok(content) => self.keep(document, content, bytes.into()),
-                        Err(why) => {
+                        Ok(content) => self.add_document(document, content, bytes.into()),
+                        Err(error) => {
                             let (kind, version) = (document.kind.name(), document.version());
-                            log::warn!("{kind} {version} cannot be acted on: {why}");
+                            log::warn!("{kind} {version} is invalid and cannot be acted on: {error}");
                         }
                     }
                 }
             }
-            Done::Kept(hash) => self.instance.document(hash),
-            Done::Dropped => {}
-            Done::Listed(bytes) => {
+            TaskResult::DocumentWritten(hash) => self.instance.document_added(hash),
+            TaskResult::DocumentDeleted => {}
+            TaskResult::ListFetched(bytes) => {
                 self.list.1 = false;
                 let json = bytes.and_then(|b| serde_json::from_slice(&b).ok());
-                let held = self.with.list_version.load(Ordering::Relaxed);
-                let mut lists = ListReader::new(self.with.zones.clone());
-                if let Some((told, _, entries)) =
+                let held = self.deps.list_version.load(Ordering::Relaxed);
+                let mut lists = ListReader::new(self.deps.zones.clone());
+                if let Some((version, _, entries)) =
                     json.and_then(|j| lists.read(&j, Some(held))).filter(|l| l.0 > held)
                 {
                     count(Count::agreement_lists);
                     log::info!(
-                        "member list {told} was taken from another proxy; discovery has told {held} here"
+                        "member list {version} was taken from another proxy; discovery has told {held} here"
                     );
-                    self.list.0 = told;
-                    let core = self.with.core.clone();
+                    self.list.0 = version;
+                    let core = self.deps.core.clone();
                     tokio::spawn(async move { core.send(Input::List(ListKind::Full, entries)).await });
                 }
             }
@@ -366,263 +378,284 @@
         Vec::new()
     }
 
-    /// A document is here: it is written down before anything rests on it, where this proxy votes.
-    fn keep(&mut self, document: Document, content: Content, bytes: Bytes) {
+    /// Adds a document. Where this proxy votes, the instance may use it only once it is written to the store.
+    fn add_document(&mut self, document: Document, content: Content, bytes: Bytes) {
         let hash = document.version().hash;
         if let Content::Settings(new) = &content {
-            // Whoever proposes has looked at this, too; a voter that does not trust in that keeps the others from it.
-            for (other, kept) in &self.documents {
-                if matches!(&kept.content, Content::Settings(old) if old.meet(new).is_err()) {
-                    self.instance.clash(*other, hash);
+            // The proposing proxy has checked this already. A voter checks again, so that a faulty proposer cannot
+            // bring about a change between incompatible versions.
+            for (other, loaded) in &self.documents {
+                if matches!(&loaded.content, Content::Settings(old) if old.meet(new).is_err()) {
+                    self.instance.mark_incompatible(*other, hash);
                 }
             }
         }
-        self.documents.insert(hash, Kept { document, content, bytes: bytes.clone() });
-        let needs = self.instance.needs();
-        while self.documents.len() > DOCUMENTS {
-            let old = self.documents.iter().filter(|(h, _)| !needs.contains(h) && **h != hash);
-            let age = |kept: &Kept| (kept.document.number, kept.document.at);
-            let Some(old) = old.min_by_key(|(_, kept)| age(kept)).map(|(h, _)| *h) else { break };
-            self.documents.remove(&old);
-            self.instance.forget(&old);
-            self.write(Duration::ZERO, format!("{DOCUMENT}{}", hex(&old)), Vec::new(), |told| {
-                told.map_or_else(Done::Unwritten, |()| Done::Dropped)
+        self.documents.insert(hash, LoadedDocument { document, content, bytes: bytes.clone() });
+        let referenced = self.instance.referenced_documents();
+        while self.documents.len() > MAX_DOCUMENTS {
+            let unused = self.documents.iter().filter(|(h, _)| !referenced.contains(h) && **h != hash);
+            let age = |loaded: &LoadedDocument| (loaded.document.number, loaded.document.proposed_at);
+            let Some(oldest) = unused.min_by_key(|(_, loaded)| age(loaded)).map(|(h, _)| *h) else { break };
+            self.documents.remove(&oldest);
+            self.instance.document_removed(&oldest);
+            self.write(Duration::ZERO, format!("{DOCUMENT}{}", hex(&oldest)), Vec::new(), |result| {
+                result.map_or_else(TaskResult::WriteFailed, |()| TaskResult::DocumentDeleted)
             });
         }
-        if self.with.store.is_some() {
+        if self.deps.store.is_some() {
             self.write_document(hash, Duration::ZERO);
         } else {
-            self.instance.document(hash);
+            self.instance.document_added(hash);
         }
     }
 
-    /// Writes a document down, unless it is no longer kept.
-    fn write_document(&self, hash: Hash, after: Duration) {
-        let Some(kept) = self.documents.get(&hash) else { return };
-        self.write(after, format!("{DOCUMENT}{}", hex(&hash)), kept.bytes.to_vec(), move |told| match told {
-            Ok(()) => Done::Kept(hash),
-            Err(why) => Done::DocumentUnwritten(hash, why),
+    /// Writes a document to the store, unless it has been removed meanwhile.
+    fn write_document(&self, hash: Hash, delay: Duration) {
+        let Some(loaded) = self.documents.get(&hash) else { return };
+        self.write(delay, format!("{DOCUMENT}{}", hex(&hash)), loaded.bytes.to_vec(), move |result| {
+            match result {
+                Ok(()) => TaskResult::DocumentWritten(hash),
+                Err(error) => TaskResult::DocumentWriteFailed(hash, error),
+            }
         });
     }
 
-    /// Writes down what this voter has learned anew, unless it has learned again since then.
-    fn write_learned(&self, number: u64, votes: Vec<u8>, after: Duration) {
-        if number != self.relearned {
+    /// Writes recovered votes to the store, unless this voter has recovered again meanwhile.
+    fn write_recovery(&self, number: u64, votes: Vec<u8>, delay: Duration) {
+        if number != self.recoveries {
             return;
         }
-        let again = votes.clone();
-        self.write(after, VOTES.into(), votes, move |told| match told {
-            Ok(()) => Done::Relearned(number),
-            Err(why) => Done::Unlearned(number, again, why),
+        let retry = votes.clone();
+        self.write(delay, VOTES.into(), votes, move |result| match result {
+            Ok(()) => TaskResult::RecoveryWritten(number),
+            Err(error) => TaskResult::RecoveryWriteFailed(number, retry, error),
         });
     }
 
     fn write(
         &self,
-        after: Duration,
+        delay: Duration,
         name: String,
         bytes: Vec<u8>,
-        then: impl FnOnce(Result<(), String>) -> Done + Send + 'static,
+        to_result: impl FnOnce(Result<(), String>) -> TaskResult + Send + 'static,
     ) {
-        let Some(scribe) = self.with.store.clone() else { return };
-        let done = self.done.clone();
+        let Some(store) = self.deps.store.clone() else { return };
+        let task_results = self.task_results.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(after).await;
-            let told = scribe.keep(name, bytes).await;
-            let _ = done.send(then(told)).await;
+            tokio::time::sleep(delay).await;
+            let written = store.keep(name, bytes).await;
+            let _ = task_results.send(to_result(written)).await;
         });
     }
 
-    async fn wanted(&self, want: Want) -> Option<Bytes> {
-        match want {
-            Want::Document(hash) => self.documents.get(&hash).map(|kept| kept.bytes.clone()),
-            Want::List => {
-                let listed = self.with.control.request(CoreCommand::QueryMembers).await?;
-                let version = self.with.list_version.load(Ordering::Relaxed);
-                Some(discovery::list_to_json(&listed, version, &self.with.zones).to_string().into())
+    /// The encoded resource that another proxy asks for, if this proxy has it.
+    async fn resource(&self, resource: Resource) -> Option<Bytes> {
+        match resource {
+            Resource::Document(hash) => self.documents.get(&hash).map(|loaded| loaded.bytes.clone()),
+            Resource::MemberList => {
+                let listed = self.deps.control.request(CoreCommand::QueryMembers).await?;
+                let version = self.deps.list_version.load(Ordering::Relaxed);
+                Some(discovery::list_to_json(&listed, version, &self.deps.zones).to_string().into())
             }
         }
     }
 
-    async fn carry(&mut self, out: Vec<Out>) {
-        for out in out {
-            match out {
-                Out::Send(to, message) => {
-                    let Some(at) = self.address(to) else { continue };
-                    let datagram = self.sender.seal(to, &message.write());
+    async fn perform(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send(to, message) => {
+                    let Some(address) = self.address(to) else { continue };
+                    let datagram = self.sender.seal(to, &message.encode());
                     count(Count::agreement_datagrams);
-                    // A network loses datagrams, too.
-                    let _ = self.socket.try_send_to(&datagram, at);
+                    // A failed send counts as a lost datagram, which the protocol tolerates.
+                    let _ = self.socket.try_send_to(&datagram, address);
                 }
-                Out::Write(number, votes) => {
-                    self.write(Duration::ZERO, VOTES.into(), write_votes(&votes), move |told| {
-                        told.map_or_else(Done::Unwritten, |()| Done::Written(number))
+                Action::WriteVotes(number, votes) => {
+                    self.write(Duration::ZERO, VOTES.into(), encode_votes(&votes), move |result| {
+                        result.map_or_else(TaskResult::WriteFailed, |()| TaskResult::VotesWritten(number))
                     });
                 }
-                Out::Relearn(votes) => {
-                    self.relearned += 1;
-                    self.write_learned(self.relearned, write_votes(&votes), Duration::ZERO);
+                Action::WriteRecovery(votes) => {
+                    self.recoveries += 1;
+                    self.write_recovery(self.recoveries, encode_votes(&votes), Duration::ZERO);
                 }
-                Out::Fetch(from, hash) => {
-                    let here = self.documents.contains_key(&hash) || self.fetching.len() >= FETCHES;
-                    if !here && self.fetching.insert(hash) {
-                        self.pull(from, Want::Document(hash), move |got| Done::Fetched(hash, got));
+                Action::FetchDocument(from, hash) => {
+                    let skip = self.documents.contains_key(&hash) || self.fetching.len() >= MAX_FETCHES;
+                    if !skip && self.fetching.insert(hash) {
+                        self.fetch(from, Resource::Document(hash), move |bytes| {
+                            TaskResult::DocumentFetched(hash, bytes)
+                        });
                     }
                 }
-                Out::Ended(kind, goal, end) => self.ended(kind, goal, end),
+                Action::ProposalEnded(kind, proposal, end) => self.proposal_ended(kind, proposal, end),
             }
         }
     }
 
     fn address(&self, of: ProxyNumber) -> Option<std::net::SocketAddr> {
-        self.with.config.proxies.get(&of).copied()
+        self.deps.config.proxies.get(&of).copied()
     }
 
-    /// Gets something from another proxy, in a task of its own.
-    fn pull(
+    /// Fetches a resource from another proxy, in a task of its own.
+    fn fetch(
         &mut self,
         from: ProxyNumber,
-        want: Want,
-        then: impl FnOnce(Option<Vec<u8>>) -> Done + Send + 'static,
+        resource: Resource,
+        to_result: impl FnOnce(Option<Vec<u8>>) -> TaskResult + Send + 'static,
     ) {
         self.nonce += 1;
-        let (keys, done, nonce, at) =
-            (self.with.keys.clone(), self.done.clone(), self.nonce, self.address(from));
+        let (keys, task_results, nonce, address) =
+            (self.deps.keys.clone(), self.task_results.clone(), self.nonce, self.address(from));
         tokio::spawn(async move {
-            let got = match at {
-                Some(at) => fetch::get(at, &keys, want, nonce).await,
+            let fetched = match address {
+                Some(address) => fetch::get(address, &keys, resource, nonce).await,
                 None => None,
             };
-            let _ = done.send(then(got)).await;
+            let _ = task_results.send(to_result(fetched)).await;
         });
     }
 
-    fn ended(&mut self, kind: Kind, goal: Goal, end: End) {
-        let told = match end {
-            End::Chosen(accepted) => format!("{}: turn {} is chosen", kind.name(), accepted.standing.turn),
-            End::Moot(moot) => format!("{}: nothing was changed: {}", kind.name(), status::moot(&moot)),
+    fn proposal_ended(&mut self, kind: Kind, proposal: Proposal, end: ProposalEnd) {
+        let outcome = match end {
+            ProposalEnd::Chosen(accepted) => {
+                format!("{}: turn {} is chosen", kind.name(), accepted.value.revision)
+            }
+            ProposalEnd::Failed(error) => {
+                format!("{}: nothing was changed: {}", kind.name(), status::proposal_error(&error))
+            }
         };
-        log::info!("{told}");
-        if matches!(goal, Goal::Change { .. } | Goal::Abort(_)) {
-            self.last = told;
+        log::info!("{outcome}");
+        if matches!(proposal, Proposal::Change { .. } | Proposal::Abort(_)) {
+            self.last_change = outcome;
         }
     }
 
-    /// Tells the core what holds, and takes up what is new; none once the core has ended.
-    async fn look(&mut self) -> Option<()> {
-        let now = self.with.clock.now();
-        let version = self.with.list_version.load(Ordering::Relaxed).max(self.list.0);
-        self.instance.listed(version);
-        let wanted = self.with.config.lists && !self.list.1;
-        if let Some((_, by)) = self.instance.newer_list().filter(|_| wanted) {
+    /// Applies newly leased values, passes the lease on to the core and fetches a newer member list. Returns `None`
+    /// once the core has ended.
+    async fn update(&mut self) -> Option<()> {
+        let now = self.deps.clock.now();
+        let list_version = self.deps.list_version.load(Ordering::Relaxed).max(self.list.0);
+        self.instance.set_list_version(list_version);
+        let may_fetch = self.deps.config.lists && !self.list.1;
+        if let Some((_, holder)) = self.instance.newer_list().filter(|_| may_fetch) {
             self.list.1 = true;
-            self.pull(by, Want::List, Done::Listed);
+            self.fetch(holder, Resource::MemberList, TaskResult::ListFetched);
         }
-        let Some((standings, until)) = self.instance.holds(now) else {
-            if self.lapsed.is_none() {
-                self.lapsed = Some(now);
-                if self.with.config.on_lapse == OnLapse::GoOn {
+        let Some((values, until)) = self.instance.leased_values(now) else {
+            if self.lapsed_since.is_none() {
+                self.lapsed_since = Some(now);
+                if self.deps.config.on_lapse == OnLapse::GoOn {
                     count(Count::agreement_lapses);
-                    log::warn!("what is agreed on no longer holds here, and is gone by all the same: the bound is not kept");
+                    log::warn!(
+                        "the lease has expired; going on by the last rules, so the bound on changes is not kept"
+                    );
                 }
             }
             return Some(());
         };
-        if self.acts != Some(standings) {
-            if !self.take_up(&standings).await? {
+        if self.applied != Some(values) {
+            if !self.apply(&values).await? {
                 return Some(());
             }
             count(Count::agreement_turns);
-            self.note(&standings, now);
-            self.acts = Some(standings);
+            self.record_change(&values, now);
+            self.applied = Some(values);
         }
-        self.lapsed = None;
-        if until > self.until {
+        self.lapsed_since = None;
+        if until > self.lease_until {
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
-        if until > self.until && self.with.config.on_lapse == OnLapse::Refuse {
-            self.with.control.send(CoreCommand::ExtendLease(until)).await?;
+        if until > self.lease_until && self.deps.config.on_lapse == OnLapse::Refuse {
+            self.deps.control.send(CoreCommand::ExtendLease(until)).await?;
         }
-        self.until = until;
+        self.lease_until = until;
         Some(())
     }
 
-    /// Has it acted by these standings; false where that cannot be, as a document is still to come.
-    async fn take_up(&mut self, standings: &[Standing; 2]) -> Option<bool> {
-        let [settings, hands] = standings.map(|s| s.holds);
-        if settings == Holds::Nothing || hands == Holds::Nothing {
-            self.first(settings, hands);
+    /// Makes the core and the fronts act on these values. Returns `Some(false)` if that is not possible yet, for
+    /// instance as a document is missing, and `None` once the core has ended.
+    async fn apply(&mut self, values: &[RegisterValue; 2]) -> Option<bool> {
+        let [settings, suspensions] = values.map(|v| v.active);
+        if settings == ActiveVersions::Nothing || suspensions == ActiveVersions::Nothing {
+            self.propose_initial(settings, suspensions);
             return Some(false);
         }
-        let mut shared: Option<Box<FleetSettings>> = None;
+        let mut combined: Option<Box<FleetSettings>> = None;
         for version in settings.versions() {
             let Some(Content::Settings(one)) = self.content(version) else { return Some(false) };
-            shared = Some(match shared {
+            combined = Some(match combined {
                 None => one.clone(),
-                // Who proposes refuses a change without a meet; whoever sees one all the same goes on by no new rules.
+                // The proposing proxy refuses a change between incompatible versions. A proxy that receives such a
+                // change nevertheless keeps the rules that it has.
                 Some(other) => match other.meet(one) {
                     Ok(meet) => Box::new(meet),
-                    Err(clashes) => {
-                        log::error!("a change without a middle cannot be acted on: {clashes:?}");
+                    Err(conflicts) => {
+                        log::error!("a change between incompatible settings is not applied: {conflicts:?}");
                         return Some(false);
                     }
                 },
             });
         }
-        let mut out = BTreeSet::new();
-        for version in hands.versions() {
-            let Some(Content::Hands(these)) = self.content(version) else { return Some(false) };
-            out.extend(these.iter().cloned());
+        let mut suspended = BTreeSet::new();
+        for version in suspensions.versions() {
+            let Some(Content::Suspensions(ids)) = self.content(version) else { return Some(false) };
+            suspended.extend(ids.iter().cloned());
         }
-        let [own, all] = KINDS.map(|kind| self.acts.map(|acts| acts[kind.at()].holds));
-        if all != Some(hands) {
-            self.with.control.request(|reply| CoreCommand::SetFleetSuspensions(out, reply)).await?;
+        let [applied_settings, applied_suspensions] =
+            KINDS.map(|kind| self.applied.map(|applied| applied[kind.index()].active));
+        if applied_suspensions != Some(suspensions) {
+            self.deps.control.request(|reply| CoreCommand::SetFleetSuspensions(suspended, reply)).await?;
         }
-        if own != Some(settings) {
-            let (reply, done) = oneshot::channel();
-            self.with.settings_updates.send((shared?, reply)).await.ok()?;
-            done.await.ok()?;
+        if applied_settings != Some(settings) {
+            let (reply, acknowledged) = oneshot::channel();
+            self.deps.settings_updates.send((combined?, reply)).await.ok()?;
+            acknowledged.await.ok()?;
         }
         Some(true)
     }
 
-    /// What a version says, where its document is here.
+    /// The content of a version, if its document is available.
     fn content(&self, version: Version) -> Option<&Content> {
-        self.documents.get(&version.hash).map(|kept| &kept.content)
+        self.documents.get(&version.hash).map(|loaded| &loaded.content)
     }
 
-    /// Nothing has ever been agreed on: the lowest voter that is there proposes what its own file says.
-    fn first(&mut self, settings: Holds, hands: Holds) {
-        let now = self.with.clock.now();
-        let lowest = self.with.config.voters.iter().min().copied();
-        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.config.times.lease);
-        if !self.with.config.voters.contains(&self.with.config.me)
-            || !(waited || lowest == Some(self.with.config.me))
+    /// While nothing has been agreed on: proposes the settings of this proxy's own file and an empty list of
+    /// suspensions. The voter with the lowest number does so at once; any other voter only after it has been
+    /// without a lease for 4 lease lengths.
+    fn propose_initial(&mut self, settings: ActiveVersions, suspensions: ActiveVersions) {
+        let now = self.deps.clock.now();
+        let lowest = self.deps.config.voters.iter().min().copied();
+        let waited = self.lapsed_since.is_some_and(|since| now > since + 4 * self.deps.config.times.lease);
+        if !self.deps.config.voters.contains(&self.deps.config.me)
+            || !(waited || lowest == Some(self.deps.config.me))
         {
             return;
         }
-        let own = self.with.own_settings.borrow().to_string();
-        for (kind, holds, body) in [(Kind::Settings, settings, own), (Kind::Hands, hands, String::new())] {
-            if holds == Holds::Nothing && self.instance.awaits(kind).is_empty() {
-                let author = format!("the file of proxy {}", self.with.config.me);
+        let own = self.deps.own_settings.borrow().to_string();
+        for (kind, active, body) in
+            [(Kind::Settings, settings, own), (Kind::Suspensions, suspensions, String::new())]
+        {
+            if active == ActiveVersions::Nothing && self.instance.awaited_voters(kind).is_empty() {
+                let author = format!("the file of proxy {}", self.deps.config.me);
                 let _ = self.propose(kind, author, body, (0, Hash::default()));
             }
         }
     }
 
-    fn note(&mut self, next: &[Standing; 2], now: Time) {
+    /// Logs the versions that come into force and adds them to the history.
+    fn record_change(&mut self, next: &[RegisterValue; 2], now: Time) {
         for kind in KINDS {
-            let Standing { turn, holds } = next[kind.at()];
-            if self.acts.is_some_and(|acts| acts[kind.at()].holds == holds) {
+            let RegisterValue { revision, active } = next[kind.index()];
+            if self.applied.is_some_and(|applied| applied[kind.index()].active == active) {
                 continue;
             }
-            let shown = status::holds(&holds);
-            log::info!(target: "rules", turn = turn, us = now; "{} {shown}", kind.name());
-            let Holds::One(version) = holds else { continue };
-            if let Some(Kept { document, .. }) = self.documents.get(&version.hash) {
-                let (author, proposed) = (document.author.clone(), document.at);
-                self.history.push_back(Past { kind, version, author, proposed, since: now });
-                if self.history.len() > HISTORY {
+            let shown = status::active_versions(&active);
+            log::info!(target: "rules", turn = revision, us = now; "{} {shown}", kind.name());
+            let ActiveVersions::Single(version) = active else { continue };
+            if let Some(LoadedDocument { document, .. }) = self.documents.get(&version.hash) {
+                let (author, proposed_at) = (document.author.clone(), document.proposed_at);
+                self.history.push_back(PastVersion { kind, version, author, proposed_at, since: now });
+                if self.history.len() > MAX_HISTORY {
                     self.history.pop_front();
                 }
             }
@@ -636,45 +669,48 @@
         body: String,
         (number, parent): (u64, Hash),
     ) -> Result<String, String> {
-        let at = self.with.clock.now();
-        let document = Document { kind, number: number + 1, parent, author, at, body };
+        let proposed_at = self.deps.clock.now();
+        let document = Document { kind, number: number + 1, parent, author, proposed_at, body };
         let content = document.content()?;
-        let (to, sealed) = (document.version(), document.seal(&self.with.keys));
-        if sealed.len() > document::LONGEST {
-            return Err(format!("it has {} bytes, {} are allowed", sealed.len(), document::LONGEST));
+        let (to, sealed) = (document.version(), document.seal(&self.deps.keys));
+        if sealed.len() > document::MAX_BYTES {
+            return Err(format!("it has {} bytes, {} are allowed", sealed.len(), document::MAX_BYTES));
         }
-        if !self.instance.propose(kind, Goal::Change { to, parent }, at) {
+        if !self.instance.propose(kind, Proposal::Change { to, parent }, proposed_at) {
             return Err("another ballot of this proxy is under way; ask again".into());
         }
-        self.keep(document, content, sealed.into());
-        self.last = format!("{}: version {to} is proposed", kind.name());
-        Ok(self.last.clone())
+        self.add_document(document, content, sealed.into());
+        self.last_change = format!("{}: version {to} is proposed", kind.name());
+        Ok(self.last_change.clone())
     }
 
-    fn standings(&self) -> Result<[Standing; 2], String> {
-        let held = self.instance.holds(self.with.clock.now());
-        held.map(|(standings, _)| standings)
+    fn leased_values(&self) -> Result<[RegisterValue; 2], String> {
+        let leased = self.instance.leased_values(self.deps.clock.now());
+        leased
+            .map(|(values, _)| values)
             .ok_or_else(|| "no majority of the voters can be reached from here".into())
     }
 
-    /// The version alone in force, and what it says.
-    fn base(&self, kind: Kind) -> Result<(Version, &Content), String> {
-        match self.standings()?[kind.at()].holds {
-            Holds::One(version) => {
+    /// The version that is in force alone, with its content; a change can begin only from there.
+    fn current_version(&self, kind: Kind) -> Result<(Version, &Content), String> {
+        match self.leased_values()?[kind.index()].active {
+            ActiveVersions::Single(version) => {
                 let content = self.content(version).ok_or("its document is still to come; ask again")?;
                 Ok((version, content))
             }
-            Holds::Nothing => Err("nothing is agreed on yet".into()),
-            Holds::Between { to, .. } => Err(format!("a change to version {to} is under way; wait or ABORT")),
+            ActiveVersions::Nothing => Err("nothing is agreed on yet".into()),
+            ActiveVersions::Transition { to, .. } => {
+                Err(format!("a change to version {to} is under way; wait or ABORT"))
+            }
         }
     }
 
-    fn settings(&mut self, author: String, body: String) -> Result<String, String> {
-        let (version, old) = self.base(Kind::Settings)?;
+    fn propose_settings(&mut self, author: String, body: String) -> Result<String, String> {
+        let (version, old) = self.current_version(Kind::Settings)?;
         let json = serde_json::from_str(&body).map_err(|e| e.to_string())?;
         let new = FleetSettings::read(&json)?;
         if let Content::Settings(old) = old {
-            // Refused here, with place and reason, before anybody takes it.
+            // Incompatible settings are refused here, with all reasons, before the change begins anywhere.
             old.meet(&new)
                 .map_err(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
             old.differences(&new).iter().for_each(|d| log::info!("proposed: {d}"));
@@ -682,24 +718,29 @@
         self.propose(Kind::Settings, author, body, (version.number, version.hash))
     }
 
-    fn hand(&mut self, member: &str, out: bool) -> Result<String, String> {
-        let (version, old) = self.base(Kind::Hands)?;
-        let Content::Hands(all) = old else { return Err("no hands".into()) };
-        let mut all = all.clone();
-        let changed = if out { all.insert(member.into()) } else { all.remove(member) };
+    fn set_suspended(&mut self, member: &str, suspend: bool) -> Result<String, String> {
+        let (version, old) = self.current_version(Kind::Suspensions)?;
+        let Content::Suspensions(old) = old else { return Err("no hands".into()) };
+        let mut suspended = old.clone();
+        let changed = if suspend { suspended.insert(member.into()) } else { suspended.remove(member) };
         if !changed {
             return Ok(format!("{member} is so already, by version {version}"));
         }
-        self.propose(Kind::Hands, "the console".into(), document::hands(&all), (version.number, version.hash))
+        self.propose(
+            Kind::Suspensions,
+            "the console".into(),
+            document::suspensions_body(&suspended),
+            (version.number, version.hash),
+        )
     }
 
     fn abort(&mut self) -> Result<String, String> {
-        let standings = self.standings()?;
+        let values = self.leased_values()?;
         for kind in KINDS {
-            let Standing { turn, holds } = standings[kind.at()];
-            if matches!(holds, Holds::Between { .. }) {
-                return match self.instance.propose(kind, Goal::Abort(turn), self.with.clock.now()) {
-                    true => Ok(format!("{}: turn {turn} is being taken back", kind.name())),
+            let RegisterValue { revision, active } = values[kind.index()];
+            if matches!(active, ActiveVersions::Transition { .. }) {
+                return match self.instance.propose(kind, Proposal::Abort(revision), self.deps.clock.now()) {
+                    true => Ok(format!("{}: turn {revision} is being taken back", kind.name())),
                     false => Err("a ballot of this proxy is under way; ask again".into()),
                 };
             }
@@ -707,39 +748,42 @@
         Err("no change is under way".into())
     }
 
-    fn call(&mut self, (ask, reply): OperatorCall) -> Vec<Out> {
-        let mut out = None;
-        let told = match ask {
+    fn operator_call(&mut self, (command, reply): OperatorCall) -> Vec<Action> {
+        let mut action = None;
+        let result = match command {
             OperatorCommand::Status => Ok(self.status()),
             OperatorCommand::History => Ok(status::history(&self.history)),
-            OperatorCommand::Propose(author, body) => self.settings(author, body),
-            OperatorCommand::SetSuspended(member, out) => self.hand(&member, out),
+            OperatorCommand::Propose(author, body) => self.propose_settings(author, body),
+            OperatorCommand::SetSuspended(member, suspend) => self.set_suspended(&member, suspend),
             OperatorCommand::Abort => self.abort(),
             OperatorCommand::BeginEpoch(epoch) => {
-                out = self.instance.start_over(epoch);
-                let no = || "this proxy does not vote, or knows of that epoch or a later one".to_string();
-                out.as_ref().map(|_| format!("epoch {epoch} begins here")).ok_or_else(no)
+                action = self.instance.begin_epoch(epoch);
+                let refused =
+                    || "this proxy does not vote, or knows of that epoch or a later one".to_string();
+                action.as_ref().map(|_| format!("epoch {epoch} begins here")).ok_or_else(refused)
             }
         };
-        let _ = reply.send(told);
-        out.into_iter().collect()
+        let _ = reply.send(result);
+        action.into_iter().collect()
     }
 }
 
-/// The settings of a configuration's file, or of one that has nothing else, as their JSON.
+/// Reads settings as JSON text: the field `settings` of a configuration file, or the whole file if it has no such
+/// field.
 ///
 /// # Errors
-/// When there are none.
+/// When the file cannot be read or is not JSON.
 pub async fn read_settings_json(path: &str) -> Result<String, String> {
-    let bad = |e: &dyn std::fmt::Display| format!("{path}: {e}");
-    let (at, most) = (path.to_string(), document::LONGEST as u64);
+    let file_error = |e: &dyn std::fmt::Display| format!("{path}: {e}");
+    let (file_path, max_bytes) = (path.to_string(), document::MAX_BYTES as u64);
     let read = move || {
         use std::io::Read;
         let mut text = String::new();
-        std::fs::File::open(at)?.take(most).read_to_string(&mut text).map(|_| text)
+        std::fs::File::open(file_path)?.take(max_bytes).read_to_string(&mut text).map(|_| text)
     };
-    let text = tokio::task::spawn_blocking(read).await.map_err(|e| bad(&e))?.map_err(|e| bad(&e))?;
-    let mut json: serde_json::Value = serde_json::from_str(&text).map_err(|e| bad(&e))?;
+    let text =
+        tokio::task::spawn_blocking(read).await.map_err(|e| file_error(&e))?.map_err(|e| file_error(&e))?;
+    let mut json: serde_json::Value = serde_json::from_str(&text).map_err(|e| file_error(&e))?;
     let settings = json.get_mut("settings").map(serde_json::Value::take).unwrap_or(json);
     Ok(settings.to_string())
 }
