--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -173,12 +173,16 @@
                 // Where the meet differs from `one`, `one` permits what `other` does not.
                 let Ok(meet) = meet_class(one, other) else { continue };
                 if meet.consistency != one.consistency {
-                    add(field.clone(), format!("answers that show {}", describe_need(one.consistency)), by_new);
+                    add(
+                        field.clone(),
+                        format!("answers that show {}", describe_consistency(one.consistency)),
+                        by_new,
+                    );
                 }
                 if meet.effect != one.effect {
                     add(
                         field.clone(),
-                        format!("another attempt where it {}", describe_repeat(one.effect)),
+                        format!("another attempt where it {}", describe_effect(one.effect)),
                         by_new,
                     );
                 }
@@ -239,8 +243,8 @@
     }
 }
 
-fn describe_need(need: Consistency) -> String {
-    match need {
+fn describe_consistency(consistency: Consistency) -> String {
+    match consistency {
         Consistency::Write => "the primary's own commit".into(),
         Consistency::Fresh => "every commit".into(),
         Consistency::Session => "no more than what the session has written".into(),
@@ -249,8 +253,8 @@
     }
 }
 
-fn describe_repeat(repeat: Effect) -> String {
-    match repeat {
+fn describe_effect(effect: Effect) -> String {
+    match effect {
         Effect::Safe => "may have run".into(),
         Effect::Keyed { group, window } => {
             format!("may have run, by its key for {} ms ({group:?})", window / 1000)
@@ -259,8 +263,8 @@
     }
 }
 
-/// What an answer must show to satisfy both needs.
-fn meet_need(a: Consistency, b: Consistency) -> Result<Consistency, String> {
+/// The consistency that satisfies both.
+fn meet_consistency(a: Consistency, b: Consistency) -> Result<Consistency, String> {
     use Consistency::*;
     Ok(match (a, b) {
         (Write, Write) => Write,
@@ -270,14 +274,14 @@
         (Any, other) | (other, Any) => other,
         (Bounded(one), Bounded(other)) => Bounded(one.min(other)),
         (Session, Session) => Session,
-        // Neither need implies the other; an answer that shows every commit satisfies both.
+        // Neither implies the other; an answer that shows every commit satisfies both.
         (Fresh, _) | (_, Fresh) | (Bounded(_), Session) | (Session, Bounded(_)) => Fresh,
     })
 }
 
 /// Where a repeated request is deduplicated under both versions. The members of a zone and those of a group
 /// need not have any member in common but the one that got the first attempt.
-fn meet_repeat(a: Effect, b: Effect) -> Effect {
+fn meet_effect(a: Effect, b: Effect) -> Effect {
     use DedupScope::*;
     use Effect::*;
     match (a, b) {
@@ -310,8 +314,8 @@
 fn meet_class(a: &Class, b: &Class) -> Result<Class, String> {
     let deadline = a.deadline.min(b.deadline);
     Ok(Class {
-        consistency: meet_need(a.consistency, b.consistency)?,
-        effect: meet_repeat(a.effect, b.effect),
+        consistency: meet_consistency(a.consistency, b.consistency)?,
+        effect: meet_effect(a.effect, b.effect),
         // The aim is a target and not a rule; the smaller one also fits the shorter deadline.
         aim: a.aim.min(b.aim).min(deadline),
         deadline,
--- a/src/agreement/rules_tests.rs
+++ b/src/agreement/rules_tests.rs
@@ -69,7 +69,7 @@
     }
 }
 
-fn need() -> impl Strategy<Value = Consistency> {
+fn consistency() -> impl Strategy<Value = Consistency> {
     prop_oneof![
         Just(Consistency::Fresh),
         Just(Consistency::Session),
@@ -78,7 +78,7 @@
     ]
 }
 
-fn repeat() -> impl Strategy<Value = Effect> {
+fn effect() -> impl Strategy<Value = Effect> {
     let group = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Group)];
     let keyed = (group, 1..4u64).prop_map(|(group, n)| Effect::Keyed { group, window: n * 100 });
     prop_oneof![Just(Effect::Safe), keyed, Just(Effect::Unsafe)]
@@ -86,14 +86,16 @@
 
 /// Class `c` is a write class, the others are read classes.
 fn class(write: bool) -> impl Strategy<Value = Class> {
-    (need(), repeat(), 1..5u64, 0..5u64, 0..3u32).prop_map(move |(need, repeat, aim, more, late)| Class {
-        consistency: if write { Consistency::Write } else { need },
-        effect: repeat,
-        aim: aim * 100,
-        deadline: (aim + more) * 100,
-        importance: f64::from(late + 1),
-        late_value: f64::from(late) / 4.0,
-    })
+    (consistency(), effect(), 1..5u64, 0..5u64, 0..3u32).prop_map(
+        move |(consistency, effect, aim, more, late)| Class {
+            consistency: if write { Consistency::Write } else { consistency },
+            effect,
+            aim: aim * 100,
+            deadline: (aim + more) * 100,
+            importance: f64::from(late + 1),
+            late_value: f64::from(late) / 4.0,
+        },
+    )
 }
 
 fn shared() -> impl Strategy<Value = FleetSettings> {
@@ -167,7 +169,7 @@
         for decision in decisions() {
             let (both, by_meet) = (permits(&a, decision) && permits(&b, decision), permits(&meet, decision));
             prop_assert!(both || !by_meet, "{:?} is forbidden by one: {:?}", decision, meet);
-            // Needs, repeat effects and cold-start limits have no exact greatest lower bound; their meet is
+            // Consistency, effects and cold-start limits have no exact greatest lower bound; their meet is
             // the next stricter value.
             let approximate = matches!(
                 decision,
