--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The translator's core: requests, attempts and outcomes, in no wire's terms.
+//! The core of the proxy: requests, attempts and outcomes, independent of any wire protocol.
 //!
-//! [`actor`] alone owns the [`crate::Router`]; fronts reach it through a [`Handle`] and get one [`Answer`] for each
-//! request. Members stand behind the [`Members`] trait.
+//! [`actor`] is the only owner of the [`crate::Router`]. Fronts reach it through a [`Handle`] and get one [`Answer`]
+//! for each request. The connections to the members are behind the [`Members`] trait.
 
 pub mod actor;
 pub mod bookings;
@@ -35,10 +35,10 @@
 use std::task::{Context, Poll};
 use tokio::sync::{mpsc, oneshot};
 
-/// The log's target for all that becomes of single requests; `RUST_LOG=info,request=debug` shows it.
+/// Log target for everything that happens to single requests; `RUST_LOG=info,request=debug` enables it.
 pub const REQUEST_LOG_TARGET: &str = "request";
 
-/// A decision would have broken a rule, and is not carried out.
+/// Logs and counts a decision that would have broken a rule. The caller does not carry it out.
 pub fn report_violation(id: RequestId, member: Option<MemberId>, violation: Violation) {
     counters::count(counters::Count::violations);
     let member = member.map(|member| member.0);
@@ -48,276 +48,282 @@
     );
 }
 
-/// What a member is to do; the core never looks inside, and the members' side puts it into words.
+/// What a member has to do. The core does not look inside; the code on the members' side turns it into statements.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Work {
-    /// In its client's words, which members accept with no change but that of the waiting time.
+    /// The client's own statement, which members accept unchanged except for the waiting time.
     Verbatim {
-        /// The whole text.
+        /// The whole statement.
         text: Bytes,
-        /// Where in it the waiting time stands, in ms.
+        /// Byte range of the waiting time in it, in ms.
         wait: Range<usize>,
     },
-    /// An operation of a client that speaks otherwise.
+    /// An operation from a client that uses another protocol than the members.
     Operation(Arc<Operation>),
 }
 
 /// An operation on one record.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operation {
-    /// The terms that it was read under.
+    /// The class table that the request was resolved against.
     pub class_table: Arc<ClassTable>,
-    /// The request's id, as members are to know it.
+    /// The request's id as sent to members.
     pub id: u64,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Group that it is for.
+    /// Target group.
     pub group: GroupId,
-    /// The position that it must see, in us.
+    /// The position that the answer must reflect, in us.
     pub after: Option<Position>,
-    /// The client has tried before.
+    /// The client marked this as a retry.
     pub repeat: bool,
-    /// The record's key, a [`is_valid_key`].
+    /// The record's key; see [`is_valid_key`].
     pub key: String,
-    /// The value of a record to create; none to read it.
+    /// The value of a record to create; `None` for a read.
     pub value: Option<Bytes>,
 }
 
-/// A key as members know it: 1 to 128 visible ASCII characters, no quote and no backslash.
+/// Whether members accept this key: 1 to 128 visible ASCII characters, no quote and no backslash.
 pub fn is_valid_key(key: &str) -> bool {
     (1..=128).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic() && b != b'\'' && b != b'\\')
 }
 
-/// A request that a front has taken.
+/// A request that a front has accepted.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The terms that it was read under, and keeps.
+    /// The class table that the request was resolved against. It stays the same while the request is open.
     pub class_table: Arc<ClassTable>,
-    /// The name that its client gave it, where it did: no two open requests may share one.
+    /// The id that its client gave it, if any. No two open requests may share one.
     pub name: Option<Bytes>,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Group that it is for.
+    /// Target group.
     pub group: GroupId,
     /// The session, for writes and session reads.
     pub session: Option<Arc<str>>,
-    /// The key, where that is not the session's name: by the platform's protocol it names one too.
+    /// The session named by the record's key, if it differs from `session`: in the platform's protocol a key names
+    /// one.
     pub key_session: Option<Arc<str>>,
-    /// The position that it carries as the least it must see, by the members' clock.
+    /// The lowest position that the answer must reflect, as sent by the client, by the members' clock.
     pub after: Option<Position>,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Time,
-    /// The client has tried before.
+    /// The client marked this as a retry.
     pub repeat: bool,
-    /// What to do.
+    /// What the member has to do.
     pub work: Work,
-    /// Whether its client is still there; none where it runs on without one.
+    /// Used to check whether the client is still connected; `None` if the request continues without a client.
     pub client: Option<Weak<dyn ClientConnection>>,
 }
 
-/// The other side of a client's connection.
+/// A client's connection.
 pub trait ClientConnection: Send + Sync + Debug {
-    /// Whether it has closed the connection, by a look that costs a call to the kernel.
+    /// Whether the client has closed the connection. Each call makes a system call.
     fn is_closed(&self) -> bool;
 }
 
-/// The one column that a member answers with.
+/// The single column of a member's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Value {
-    /// Whether the bytes are the value itself rather than its text form.
+    /// Whether the bytes are in binary form rather than in text form.
     pub binary: bool,
-    /// Type of the column, as the member names it.
+    /// Type id of the column, as the member sends it.
     pub type_id: u32,
-    /// The bytes; none stands for no value, or for one that flows.
+    /// The bytes; `None` if there is no value or if it is streamed.
     pub bytes: Option<Bytes>,
-    /// A large value, whose bytes are still to come.
+    /// A large value whose bytes are still arriving.
     pub stream: Option<flow::ValueStream>,
-    /// Rows: 0 where the key is unknown.
+    /// Number of rows: 0 if the key does not exist.
     pub rows: u32,
 }
 
-/// The one final answer of a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// A member's answer, and the position told with it, by the members' clock.
+    /// A member's answer, and the position that came with it, by the members' clock.
     Served(Value, Option<Position>),
-    /// Not done; trying again is harmless.
+    /// Not done; retrying is harmless. With the time after which the client should retry, if known.
     Refused(Option<Time>),
-    /// Its name belongs to another request that is still open; nothing was sent.
+    /// The client's id for it belongs to another request that is still open; nothing was sent.
     Taken,
-    /// Failed with no promise about its effect.
+    /// Failed; whether it had an effect is unknown.
     Failed,
-    /// Failed, as the client's time is up.
+    /// Failed because the client's deadline has passed; whether it had an effect is unknown.
     Late,
 }
 
-/// Order for one attempt.
+/// A command to run one attempt of a request.
 #[derive(Debug)]
 pub struct Attempt {
     /// The request.
     pub id: RequestId,
-    /// Its number.
+    /// Number of the attempt within the request.
     pub number: u32,
-    /// What to do.
+    /// What the member has to do.
     pub work: Work,
-    /// When to stop waiting.
+    /// When to stop waiting for the answer.
     pub stop_at: Time,
-    /// What may have run may be sent again.
+    /// The request may be sent again even if it may have run.
     pub safe: bool,
-    /// Whoever asks again gets the same answer, so that it must be had whole before it is passed on.
+    /// The value must be read to its end before any of it is passed on, because a client that retries must get the
+    /// same answer.
     pub buffer_answer: bool,
-    /// Nothing may be written to a member from then on: the rules that it was decided by no longer hold here.
+    /// Nothing may be written to a member after this time, when the rules behind the decision no longer apply here.
     pub rules_until: Time,
-    /// Nothing may be written to a member from then on: it may not know the request for a repeat.
+    /// Nothing may be written to a member after this time, when the member may no longer detect a repeat.
     pub dedup_until: Time,
-    /// Nothing may be written to a member from then on: what is known of its data is too old for a bounded read.
+    /// Nothing may be written to a member after this time, when the data known to be on the member is too old for a
+    /// bounded read.
     pub fresh_until: Time,
-    /// The request's client, where it has one that may leave.
+    /// The request's client, if it has one that may disconnect.
     pub client: Option<Weak<dyn ClientConnection>>,
-    /// When that was surely there.
+    /// The last time at which the client was certainly connected.
     pub client_seen: Time,
 }
 
 impl Attempt {
-    /// What it is known by.
+    /// Identifies the attempt.
     pub fn key(&self) -> AttemptKey {
         (self.id, self.number)
     }
 
-    /// Whether its client has closed its connection, or this process has.
+    /// Whether the client, or this process, has closed the client's connection.
     pub fn client_gone(&self) -> bool {
         self.client.as_ref().is_some_and(|client| client.upgrade().is_none_or(|client| client.is_closed()))
     }
 }
 
-/// How an attempt ended, with all that the member told.
+/// How an attempt ended, with everything that the member reported.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Value, where served.
+    /// The value, if the attempt was served.
     pub value: Option<Value>,
-    /// What the answer says of the member.
+    /// The member's state as told with the answer.
     pub note: Option<Note>,
     /// The member's report on itself.
     pub report: Option<Report>,
-    /// Time since the order.
+    /// Time since the attempt was started.
     pub spent: Time,
 }
 
-/// What reaches the core's mailbox. The large ones are the ordinary ones, and a box for each would cost more than the
-/// room that the others waste.
+/// Messages in the core's mailbox. The large variants are the most frequent ones: boxing them would cost more than
+/// the space that the small ones waste.
 #[derive(Debug)]
 #[allow(clippy::large_enum_variant)]
 pub enum Input {
-    /// A request and where its answer goes.
+    /// A new request, and the channel for its answer.
     Submit(RequestId, Request, oneshot::Sender<Answer>),
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     Disconnected(RequestId),
-    /// Nobody waits for a request any more that is to run on all the same once it may have begun.
+    /// Nobody waits for the answer any more. Unlike after a disconnect, the request continues if it may have begun.
     Abandoned(RequestId),
     /// An attempt has ended.
     Ended(RequestId, u32, AttemptEnd),
-    /// A probe has ended, so long after it was asked for; none: it was not answered.
+    /// A probe has ended: the report, or `None` if the member did not answer, and the time since the probe was
+    /// requested.
     Probed(MemberId, Option<Report>, Time),
-    /// Word from the member list.
+    /// A message from the member list.
     List(ListKind, Vec<ListedMember>),
 }
 
-/// What came of the operators' word on a member.
+/// Result of suspending or restoring a member.
 pub type SuspensionResult = Result<(), SuspensionError>;
 
-/// Another process of this proxy, as far as a session's commits must reach it before the client that wrote is answered.
-/// Neither call may take longer than a look at memory.
+/// The exchange of commits with another process of this proxy. A session's commit must reach that process before the
+/// client that wrote is answered, so neither method may do more than access memory.
 pub trait CommitExchange: Send {
-    /// A session's write went through here.
+    /// Records a write of a session that was committed through this process.
     fn record_commit(&mut self, session: &str, at: Position);
-    /// Those that went through there since the last call.
+    /// Returns what was committed through the other process since the last call.
     fn take_received(&mut self) -> PeerCommits;
 }
 
-/// What another process of this proxy has committed.
+/// Commits through another process of this proxy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerCommits {
     /// Sessions and positions by the members' clock; an empty name stands for all sessions.
     pub commits: Vec<(Arc<str>, Position)>,
-    /// That is all of it; else any session may have been written to up to now.
+    /// Whether these are all commits; if not, any session may have written at any time up to now.
     pub complete: bool,
 }
 
 /// Whether a process is ready to serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It is.
+    /// Ready.
     Ready,
-    /// No member is listed that requests could go to.
+    /// No listed member can be sent requests.
     NoUsableMember,
-    /// The operators' word may have been lost, and they have not said so.
+    /// Suspensions made by the operators may have been lost, and the operators have not confirmed them yet.
     SuspensionsUnconfirmed,
 }
 
-/// What the operators ask of the core.
+/// Control commands to the core, which do not go through the mailbox of requests.
 pub enum CoreCommand {
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready to serve.
     QueryReadiness(oneshot::Sender<Readiness>),
-    /// What was written down before this process began; until then, without a word of the operators', it is not ready.
+    /// Loads what was stored before this process started. Until the given time, or a confirmation by the operators,
+    /// the process does not count as ready.
     RestoreKnowledge(Box<Knowledge>, Time, oneshot::Sender<()>),
-    /// The operators have said all that there is to say again; whether that was waited for.
+    /// The operators have repeated every suspension that may have been lost. Returns whether a confirmation was
+    /// pending.
     ConfirmSuspensions(oneshot::Sender<bool>),
-    /// Clients are taken from now on, by a process that began at this time.
+    /// Clients are accepted from now on. With the time at which the process started.
     StartServing(Time, oneshot::Sender<()>),
-    /// How far the way back to full service is.
+    /// Returns how far the startup has come.
     QueryStartup(oneshot::Sender<Progress>),
-    /// The members as discovery has them.
+    /// Returns the members as listed by discovery.
     QueryMembers(oneshot::Sender<Vec<ListedMember>>),
-    /// Take a member out, by its id.
+    /// Suspends a member, by its id.
     Suspend(Arc<str>, oneshot::Sender<SuspensionResult>),
-    /// Put it back.
+    /// Restores a suspended member.
     Restore(Arc<str>, oneshot::Sender<SuspensionResult>),
-    /// New settings, with the classes by slot, and times for connections.
+    /// Applies new settings, with the classes in the order of their slots, and new times for connections.
     ApplySettings(Box<Settings>, SocketTimes, oneshot::Sender<()>),
-    /// All that the operators said so far.
+    /// Returns all suspensions made by the operators.
     QuerySuspensions(oneshot::Sender<Suspensions>),
-    /// That, as it was said to any process of this proxy.
+    /// Replaces all suspensions, including those made at another process of this proxy.
     ReplaceSuspensions(Suspensions, oneshot::Sender<()>),
-    /// What was learned so far.
+    /// Returns what this process has learned.
     ExportLearned(oneshot::Sender<Known>),
-    /// Another process of this proxy lives beside this one, or no longer does.
+    /// Connects to another process of this proxy, or disconnects from it.
     SetPeer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
-    /// What another process of this proxy has learned.
+    /// Takes in what another process of this proxy has learned.
     ImportLearned(Known, oneshot::Sender<()>),
-    /// The rules in force hold until then; nothing is sent after that unless told so again.
+    /// The rules in force are valid until this time; nothing is sent after it unless the lease is extended.
     ExtendLease(Time),
-    /// These members are out for the whole fleet.
+    /// Replaces the set of members that are suspended in the whole fleet.
     SetFleetSuspensions(BTreeSet<Arc<str>>, oneshot::Sender<()>),
 }
 
-/// The members, as the core sees them. No call may wait: the core must always get back to its mailbox, which the
-/// other side does wait for.
+/// The members' side, as the core sees it. No method may block: other tasks wait for room in the core's mailbox, so
+/// the core must always get back to reading it.
 pub trait Members {
-    /// Starts an attempt; false if it cannot even be queued.
+    /// Starts an attempt; false if it cannot be queued.
     fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
-    /// Stops waiting for an attempt.
+    /// Stops waiting for an attempt's answer.
     fn cancel(&mut self, member: MemberId, id: RequestId, number: u32);
-    /// Drops an attempt of which nothing has been written yet.
+    /// Drops an attempt if nothing of it has been written yet.
     fn withdraw(&mut self, member: MemberId, id: RequestId, number: u32);
-    /// Asks a member for its report; false if that cannot even be queued.
+    /// Requests a member's report; false if the probe cannot be queued.
     fn probe(&mut self, member: MemberId) -> bool;
-    /// Closes idle connections.
+    /// Closes idle connections to a member.
     fn close_idle(&mut self, member: MemberId);
-    /// Takes in addresses.
+    /// Takes in the members' addresses.
     fn update_list(&mut self, kind: ListKind, entries: &[ListedMember]);
-    /// Takes new times for connections.
+    /// Sets new times for connections.
     fn set_socket_times(&mut self, times: SocketTimes);
-    /// Asks for the list and its changes; false if that cannot even be queued.
+    /// Requests the member list and its changes; false if that cannot be queued.
     fn subscribe(&mut self) -> bool;
 }
 
-/// The fronts' way into the core.
+/// The fronts' handle to the core.
 #[derive(Clone)]
 pub struct Handle {
     mailbox: mpsc::Sender<Input>,
@@ -325,23 +331,24 @@
 }
 
 impl Handle {
-    /// A handle on a mailbox.
+    /// Returns a handle that sends to this mailbox.
     pub fn new(mailbox: mpsc::Sender<Input>) -> Self {
         Handle { mailbox, next: Arc::new(AtomicU64::new(1)) }
     }
 
-    /// Hands in a request. Dropping what comes back tells the core that the client has left.
+    /// Submits a request. Dropping the returned future tells the core that the client has disconnected.
     pub async fn submit(&self, request: Request) -> Pending {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        // Made first: whoever drops this call half-way still hangs up, which the core ignores for unknown ids.
+        // Created before the send: if this call is cancelled half-way, dropping `pending` still reports a disconnect,
+        // which the core ignores for unknown ids.
         let pending = Pending { id, answer, mailbox: self.mailbox.clone(), over: false };
         let _ = self.mailbox.send(Input::Submit(id, request, reply)).await;
         pending
     }
 }
 
-/// An answer on its way.
+/// An answer that has not arrived yet.
 pub struct Pending {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
@@ -350,12 +357,12 @@
 }
 
 impl Pending {
-    /// Nobody waits for this any more: it is refused if nothing of it can have run, and runs on otherwise.
+    /// Gives up waiting: the request is refused if nothing of it can have run, and continues otherwise.
     pub fn abandon(&self) {
         self.tell(Input::Abandoned(self.id));
     }
 
-    /// Without waiting for room in the mailbox, which a task can.
+    /// Sends without waiting; if the mailbox is full, a spawned task waits for room.
     fn tell(&self, input: Input) {
         let mailbox = self.mailbox.clone();
         if let (Err(mpsc::error::TrySendError::Full(input)), Ok(runtime)) =
