--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,5 +1,6 @@
-//! The module's actor. It alone owns the [`Router`]: it drains its mailbox, makes one step of what came, and carries
-//! out the actions. It never waits for anyone but its mailbox and its wake-up, so that all may wait for it.
+//! The core's actor, the only owner of the [`Router`]. Each turn it drains its mailbox, passes the events to the
+//! router in one step and carries out the resulting actions. It waits only for its mailboxes and its timer, so any
+//! other task may wait for it without a deadlock.
 
 use super::counters::{count, counter_value, Count};
 use super::lease::Lease;
@@ -24,13 +25,13 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Most messages that go into one step.
+/// Maximum number of messages per step.
 const BATCH: usize = 256;
-/// Of answers that are not used the log tells one in so many.
+/// One of this many discarded answers is logged as a warning.
 const STALE_ANSWERS_TOLD: u64 = 1_000;
-/// What fails no earlier than this before its deadline, in us, is told as late.
+/// A failure this close to the deadline or later, in us, is reported as late.
 const LATE_LEAD: Time = 20_000;
-/// Sessions remembered.
+/// Number of sessions whose last commit is remembered.
 const SESSIONS: usize = 16_384;
 
 fn given_up(why: GiveUpReason) -> Count {
@@ -59,49 +60,49 @@
     }
 }
 
-/// The actor's state.
+/// The core's actor.
 pub struct Actor<M> {
     pub(super) router: Router,
     pub(super) max_attempts: usize,
     pub(super) members: M,
     pub(super) clock: Clock,
     mailbox: mpsc::Receiver<Input>,
-    /// What the operators ask, read first: a full mailbox must not hold it up.
+    /// Control commands, read before the mailbox: a full mailbox must not delay them.
     pub(super) orders: mpsc::Receiver<CoreCommand>,
-    /// Answers to that, which wait until the module has taken it in.
+    /// Replies to commands, sent once the router has taken in their effect.
     pub(super) taken: Vec<(oneshot::Sender<SuspensionResult>, SuspensionResult)>,
     pub(super) overlay: EffectiveList,
-    /// Another process of this proxy, while one lives.
+    /// The exchange of commits with another process of this proxy, while there is one.
     pub(super) peer_commits: Option<Box<dyn CommitExchange>>,
     live: FxHashMap<RequestId, LiveRequest>,
-    /// The names of those.
+    /// The ids that clients gave to the requests in `live`.
     names: HashSet<Bytes>,
     pub(super) sessions: SessionLedger,
-    /// What was stored of members, until a list tells what it may be used for.
+    /// Stored facts about members, kept until a list tells what they may be used for.
     pub(super) recalled: Recalled,
-    /// Sessions of clients that carry no mark may have written up to then, unknown to this process.
+    /// Up to this time, sessions whose reads carry no position may have written without this process knowing it.
     pub(super) blind: Position,
-    /// Until then the operators' word may be lacking.
+    /// Until this time, suspensions made by the operators may be missing.
     pub(super) unconfirmed: Time,
-    /// The way back to full service, while that is not reached.
+    /// Tracks the startup until full service is reached.
     pub(super) returning: Returning,
-    /// Until when the rules hold, where they hold by a lease.
+    /// The lease on the rules, if they are valid by a lease.
     pub(super) lease: Option<Lease>,
-    /// The members' clock, and its offset when the lists' starts were last taken in.
+    /// The members' clock, and its offset when the starts in the member lists were last converted.
     pub(super) member_clock: MemberClock,
     pub(super) listed_at_offset: i64,
-    /// What followed from actions at once, for the next step.
+    /// Events that followed immediately from actions, for the next step.
     pub(super) local: VecDeque<Event>,
     wake: Option<Time>,
-    /// Kept for its room.
+    /// Reused between steps to keep its allocation.
     actions: Vec<Action>,
 }
 
 impl<M: Members> Actor<M> {
-    /// An actor that has seen nothing yet.
+    /// Creates an actor without members or requests.
     ///
     /// # Errors
-    /// When the settings cannot be acted on.
+    /// If the settings are invalid.
     pub fn new(
         settings: Settings,
         members: M,
@@ -135,11 +136,11 @@
         })
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles are dropped.
     pub async fn run(mut self) {
         let mut inputs = Vec::with_capacity(BATCH);
         let mut events = Vec::with_capacity(BATCH + 1);
-        // Set anew only when the wake-up has moved: most steps leave it where it is.
+        // Reset only if the wake-up time has changed, which is rare.
         let (mut timer, mut set) = (pin!(tokio::time::sleep_until(Instant::now())), None);
         let mut asked = true;
         loop {
@@ -168,7 +169,7 @@
             };
             let now = self.clock.now();
             if woken || self.wake.is_some_and(|t| now >= t) {
-                // One pending wake-up is enough: the router arms again whenever it is woken.
+                // One pending wake-up is enough: the router requests the next one whenever it is woken.
                 events.extend(self.wake.take().map(|tag| Event::Wake { tag }));
             }
             for input in inputs.drain(..) {
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Members and module are told of the list alike.
+    /// Passes a list to the members' side and returns the event that passes it to the router.
     pub(super) fn told(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
         self.members.update_list(kind, &entries);
         Event::List { kind, members: entries.into_iter().map(|e| e.member).collect() }
@@ -224,7 +225,7 @@
                 if ok {
                     self.returning.heard(now);
                 }
-                // One that cannot be true shows no more than that the member is there.
+                // A report that cannot be true only shows that the member answers.
                 let heard = |report| self.heard_report(report, spent, now).unwrap_or_default();
                 Some(Event::Probed { member, ok, report: report.map(heard) })
             }
@@ -240,7 +241,8 @@
         }
     }
 
-    /// What waits for a connection would begin after its client has gone; what has begun is the module's to stop.
+    /// Withdraws the request's attempts that still wait for a connection, so that they do not begin after the client
+    /// has gone. Attempts that have begun are stopped by the router.
     fn withdraw(&mut self, id: RequestId) {
         for (number, member) in self.live.get(&id).iter().flat_map(|live| live.numbered()) {
             self.members.withdraw(member, id, number);
@@ -258,20 +260,23 @@
             let _ = reply.send(Answer::Failed);
             return None;
         };
-        // Members know a request by its name: one that is sent under another's would end, or pass for, the other.
+        // Members identify a request by its id: a second one under the same id could end the first or be taken for
+        // it.
         if request.name.as_ref().is_some_and(|name| !self.names.insert(name.clone())) {
             count(Count::taken_ids);
             let _ = reply.send(Answer::Taken);
             return None;
         }
-        // The later of what a session read carries and what any front has seen its session commit. Members check
-        // only what it carries, so that for a later one the module must go by proven positions.
+        // The session's last write is the later of what the read carries and what any front has seen the session
+        // commit. Members check only what the read carries; for a later commit the router must choose by proven
+        // positions.
         if need == Consistency::Session {
             self.catch_up();
         }
         let carried = request.after.map_or(0, |told| self.member_clock.to_local(told));
         let written = sessions(&request).map(|s| self.sessions.written(s)).max().unwrap_or(0);
-        // Where the protocol has no mark for 'never wrote', none carried may mean one that only the last process knew.
+        // Where the protocol has no mark for "never wrote", a read without a position may be of a session that wrote
+        // through an earlier process.
         let unmarked = request.after.is_none() && matches!(request.work, Work::Operation(_));
         let written = if unmarked { written.max(self.blind) } else { written };
         let unseen = if need == Consistency::Session && written > carried { written } else { 0 };
@@ -281,7 +286,8 @@
             group: request.group,
             deadline: request.deadline,
             session: request.session.clone(),
-            // A position, as an age would be cut off at 0 where this clock is behind the members'.
+            // A position rather than an age, because an age would be cut off at 0 if this clock is behind the
+            // members'.
             session_position: (carried > 0).then_some(carried),
             proven_position: (unseen > 0).then_some(unseen),
             repeat: request.repeat,
@@ -325,8 +331,9 @@
         Some(Event::Ended { id, attempt, outcome, complete, spent, note, report })
     }
 
-    /// What the module is told of an attempt: a member that was taken for the primary, or for further on than it is, may serve a
-    /// session read from before the session's last write. Such an answer is not passed on; that it ran stands.
+    /// The outcome to report to the router. A member that was wrongly taken for the primary, or for more recent than
+    /// it is, may have served a session read without the session's last write. Such an answer is not passed on, but
+    /// the attempt still counts as run.
     fn usable(&self, id: RequestId, attempt: u32, outcome: Outcome, note: Option<Note>) -> Outcome {
         let Some(live) = self.live.get(&id).filter(|_| outcome == Outcome::Completed) else { return outcome };
         if live.shows_session(attempt, note.as_ref()) {
@@ -334,17 +341,17 @@
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
         if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
-            log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "an answer is not used: it may be older than its session");
+            log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "answer discarded: it may lack the last write of its session");
         }
         count(Count::stale_caught);
         log::debug!(
             target: REQUEST_LOG_TARGET, id = id.0, attempt, member, note:?, unseen = live.unseen;
-            "answer not used, as it does not prove to be recent enough"
+            "answer discarded: it is not proven to be recent enough"
         );
         Outcome::Stale
     }
 
-    /// An attempt has brought an answer that can be used: its commit is remembered, and the client gets the first value.
+    /// Handles a usable answer: remembers the commit of a write, and sends the first value to the client.
     fn completed(
         &mut self,
         id: RequestId,
@@ -355,10 +362,10 @@
     ) {
         let Some(live) = self.live.get_mut(&id) else { return };
         let write = live.class().consistency == Consistency::Write;
-        // A write whose commit cannot be read was committed by now at the latest.
+        // If the commit's position cannot be read, the current time is a safe upper bound.
         let told = note.and_then(|note| note.position);
         let position = told.or_else(|| write.then(|| self.clock.now()));
-        // Remembered before the answer leaves: whoever has the answer may read at once.
+        // Remembered before the answer is sent, because the client may read as soon as it has the answer.
         if let (true, Some(commit)) = (write, position) {
             for session in sessions(&live.request) {
                 self.sessions.record_commit(session, commit);
@@ -377,7 +384,7 @@
         }
     }
 
-    /// Forgets a request that is over and has nothing out.
+    /// Removes a request that has been answered and has no attempt in flight.
     fn settle(&mut self, id: RequestId) {
         if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.out() == 0) {
             let name = self.live.remove(&id).and_then(|l| l.request.name);
@@ -410,7 +417,7 @@
 
     fn step(&mut self, now: Time, events: &[Event]) {
         let mut actions = std::mem::take(&mut self.actions);
-        // Looked at before each step: a process that has stood still decides nothing by rules that ran out meanwhile.
+        // Checked before each step: after a pause, the process must not decide by rules whose lease has expired.
         if let Some(settings) = self.lease.as_mut().and_then(|lease| lease.turns(now)) {
             self.router.step(now, &[Event::Settings(settings)], &mut actions);
         }
@@ -510,7 +517,7 @@
     }
 }
 
-/// The sessions that a request belongs to: the one it names, and the one that its key names.
+/// The sessions that a request belongs to: its own, and the one named by its key.
 fn sessions(request: &Request) -> impl Iterator<Item = &Arc<str>> {
     request.session.iter().chain(&request.key_session)
 }
--- a/src/core/bookings.rs
+++ b/src/core/bookings.rs
@@ -1,8 +1,8 @@
-//! Bookings that carry a charge and may be tried again by their clients: at most one run for each id.
+//! Charging bookings that clients may retry: each repeat id runs at most once.
 //!
-//! The id is entered before the request is handed to the module, and the request then runs in a task of its own: a
-//! client that resets its connection ends nothing that may have begun. Whoever comes with the same id waits for the same
-//! answer. Where all have left before anything was sent, the booking is dropped and its id free again.
+//! The id is claimed before the request is submitted, and the request runs in a task of its own, so a client that
+//! resets its connection does not stop what may have begun. All tries with the same id wait for the same answer. If
+//! all of them have left before anything was sent, the booking is dropped and its id becomes free again.
 
 use super::counters::{count, Count};
 use super::repeat_ids::RepeatIds;
@@ -13,47 +13,47 @@
 use std::sync::Arc;
 use tokio::sync::{watch, Notify};
 
-/// A try of a booking.
+/// One client request for a booking. A client that retries sends several of them with the same id.
 #[derive(Debug)]
 pub struct BookingTry {
-    /// The id that all tries of the booking share.
+    /// The repeat id, shared by all tries of the booking.
     pub id: String,
-    /// What the ledger needs to know of it.
+    /// The data for claiming the id.
     pub candidate: ClaimRequest,
 }
 
-/// What a try comes to.
+/// Result of one try.
 #[derive(Debug, PartialEq)]
 pub enum BookingOutcome {
-    /// The booking's one answer.
+    /// The booking's answer, the same for all tries.
     Answer(Answer),
-    /// The id stands for another booking.
+    /// The id is in use for a different booking.
     IdConflict,
-    /// It cannot be proved that it has not run already.
+    /// It cannot be proved that the booking has not run already.
     Unprovable,
-    /// Another process of this proxy has taken the id, and its answer is not known here.
+    /// Another process of this proxy has claimed the id, and its answer is not known here.
     ClaimedByPeer,
     /// No room for new ids.
     NoRoom,
 }
 
-/// What tries of one booking share.
+/// What the tries of one booking share.
 #[derive(Clone)]
 pub(super) struct Ticket {
     answer: watch::Receiver<Option<Answer>>,
     waiters: Arc<Waiters>,
 }
 
-/// Tries that wait for a booking's answer.
+/// Counts the tries that wait for a booking's answer.
 #[derive(Default)]
 struct Waiters {
     count: AtomicUsize,
-    /// The last of them has left.
+    /// Notified when the last waiter has left.
     none: Notify,
 }
 
 impl Waiters {
-    /// One more, for as long as what is returned lives.
+    /// Registers a waiter, until the returned guard is dropped.
     fn come(self: &Arc<Self>) -> Waiter {
         self.count.fetch_add(1, Ordering::Relaxed);
         Waiter(self.clone())
@@ -70,7 +70,7 @@
     }
 }
 
-/// All bookings under way and remembered.
+/// All bookings, running or finished.
 #[derive(Clone)]
 pub struct Bookings {
     ids: RepeatIds,
@@ -79,12 +79,12 @@
 }
 
 impl Bookings {
-    /// Bookings whose ids are entered there.
+    /// Creates the bookings of a proxy, with their ids in this ledger.
     pub fn new(core: Handle, clock: Clock, ids: RepeatIds) -> Self {
         Bookings { ids, core, clock }
     }
 
-    /// Runs a booking, or joins the run of its id.
+    /// Runs a booking, or waits for the answer if another try runs it already.
     pub async fn book(&self, attempt: BookingTry, request: Request) -> BookingOutcome {
         let deadline = self.clock.instant(request.deadline);
         let (tell, answer) = watch::channel(None);
@@ -117,7 +117,7 @@
         let told = async { ticket.answer.wait_for(Option::is_some).await.ok().and_then(|a| a.clone()) };
         match tokio::time::timeout_at(deadline, told).await {
             Ok(answer) => BookingOutcome::Answer(answer.unwrap_or(Answer::Failed)),
-            // This try's time is up; the run goes on and a later try may still learn of it.
+            // This try's deadline has passed; the booking continues, and a later try may still get its answer.
             Err(_) => BookingOutcome::Answer(Answer::Late),
         }
     }
@@ -130,14 +130,14 @@
                 tokio::select! {
                     biased;
                     answer = &mut pending => break answer,
-                    // With nobody left to tell, it is sent no more unless it may have run.
+                    // If nobody waits any more, the request is abandoned: it is sent no more unless it may have run.
                     () = waiters.none.notified() => if waiters.count.load(Ordering::Relaxed) == 0 {
                         pending.abandon();
                     },
                 }
             };
             match answer {
-                // Refused means that nothing ran: the next try may run it.
+                // Refused means that nothing ran, so the next try may run the booking.
                 Answer::Refused(_) => this.ids.forget(&id),
                 _ => this.ids.ended(&id),
             }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,10 +1,10 @@
-//! Counts of what is taken in, sent and answered, printed on SIGUSR1 and at exit.
+//! Counters of connections, requests, attempts and answers, printed on SIGUSR1 and at exit.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// What is counted.
+        /// The counters.
         #[allow(non_camel_case_types, missing_docs)]
         #[derive(Debug, Clone, Copy)]
         pub enum Count { $($name),* }
@@ -124,22 +124,22 @@
     agreement_lists,
 );
 
-/// Counts one more.
+/// Increments a counter by one.
 pub fn count(what: Count) {
     add(what, 1);
 }
 
-/// Counts so many more.
+/// Increments a counter.
 pub fn add(what: Count, more: u64) {
     COUNTS[what as usize].fetch_add(more, Ordering::Relaxed);
 }
 
-/// How many so far.
+/// Current value of a counter.
 pub fn counter_value(what: Count) -> u64 {
     COUNTS[what as usize].load(Ordering::Relaxed)
 }
 
-/// All that are not zero, on one line.
+/// All counters that are not zero, on one line.
 pub fn nonzero_line() -> String {
     let all = NAMES.iter().zip(&COUNTS).map(|(n, c)| (n, c.load(Ordering::Relaxed)));
     let some: Vec<String> = all.filter(|(_, c)| *c > 0).map(|(n, c)| format!("{n}={c}")).collect();
--- a/src/core/flow.rs
+++ b/src/core/flow.rs
@@ -1,29 +1,31 @@
-//! A large value on its way from a member to a client: a few pieces at a time, never the whole.
+//! A large value, streamed from a member to a client a few chunks at a time, so that it is never held in memory
+//! whole.
 //!
-//! The member's side puts pieces in and waits while the client has not taken them; the front takes them out. Only the
-//! last word, `Whole`, makes the value one: a flow that ends without it broke off, and whoever passes it on must see
-//! to it that the client can tell.
+//! The member's side sends chunks and waits while the client has not taken them; the front receives them. The value
+//! is complete only if the stream ends with [`Chunk::End`]. A stream that ends without it was cut off, and the front
+//! must make that visible to the client.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Mutex};
 
-/// Pieces that may wait; with the one read and the one written, what a flow holds in memory.
+/// Maximum number of queued chunks. With the one being read and the one being written, this bounds the memory per
+/// stream.
 pub const MAX_QUEUED_CHUNKS: usize = 2;
 
-/// What comes of a value.
+/// An item of a value's stream.
 #[derive(Debug)]
 pub enum Chunk {
-    /// The next bytes.
+    /// The next bytes of the value.
     Bytes(Bytes),
-    /// That was all of them, and the member has said so.
+    /// The value is complete, as confirmed by the member.
     End,
 }
 
-/// Where pieces are put in.
+/// The sending end of a stream.
 pub type ChunkSender = mpsc::Sender<Chunk>;
 
-/// Where they are taken out. Copies are the same one: whoever takes a piece has it alone.
+/// The receiving end of a stream. Clones share one queue: each chunk goes to only one of them.
 #[derive(Debug, Clone)]
 pub struct ValueStream(Arc<Inner>);
 
@@ -42,23 +44,23 @@
 impl Eq for ValueStream {}
 
 impl ValueStream {
-    /// Both ends of a flow of so many bytes.
+    /// Creates a stream of this many bytes and returns both ends.
     pub fn new(length: usize) -> (ChunkSender, ValueStream) {
         let (source, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
         (source, ValueStream(Arc::new(Inner { length, pieces: Mutex::new(pieces) })))
     }
 
-    /// Bytes in all.
+    /// Length of the whole value in bytes.
     pub fn length(&self) -> usize {
         self.0.length
     }
 
-    /// The next piece; none where it broke off.
+    /// The next chunk; `None` if the stream was cut off.
     pub async fn next(&self) -> Option<Chunk> {
         self.0.pieces.lock().await.recv().await
     }
 
-    /// All of it; none where it broke off, or was not as long as was said.
+    /// The whole value; `None` if the stream was cut off or its length is not the announced one.
     pub async fn collect(&self) -> Option<Bytes> {
         let mut all = Vec::with_capacity(self.length());
         loop {
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -1,36 +1,36 @@
-//! Rules that hold by a lease: once it has run out the module gets settings by which nothing may be sent, and its own
-//! again when the lease holds anew. It holds no clock.
+//! Lease on the rules in force. When it expires, the router gets settings under which nothing may be sent; when it is
+//! extended, the router gets the actual settings back. The caller supplies the time.
 
 use super::counters::{count, Count};
 use crate::interface::{Settings, Time};
 
-/// The lease, and the settings that hold under it.
+/// The lease, and the settings that apply while it is valid.
 #[derive(Debug, Default)]
 pub struct Lease {
     until: Time,
-    /// The last settings that the module was to have; none before any came.
+    /// The latest settings for the router; `None` before the first ones arrive.
     own: Option<Box<Settings>>,
-    /// The module has been told that nothing may be sent.
+    /// The router currently has settings under which nothing may be sent.
     lapsed: bool,
 }
 
-/// By these no attempt may be made: what is held is refused, or failed where it may have run.
+/// Settings that allow no attempt. Held requests are refused, or failed if they may have run.
 fn nothing(settings: &Settings) -> Box<Settings> {
     Box::new(Settings { max_attempts: 0, ..settings.clone() })
 }
 
 impl Lease {
-    /// It holds until then.
+    /// Extends the lease to this time; an earlier time than the current one has no effect.
     pub fn holds(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// Until when.
+    /// When the lease expires.
     pub fn until(&self) -> Time {
         self.until
     }
 
-    /// New settings have come: what the module gets of them now.
+    /// Takes in new settings and returns those that the router gets now.
     pub fn settings(&mut self, settings: Box<Settings>, now: Time) -> Box<Settings> {
         self.lapsed = now >= self.until;
         let told = if self.lapsed { nothing(&settings) } else { settings.clone() };
@@ -38,7 +38,7 @@
         told
     }
 
-    /// What the module must be told before it decides anything now, if anything.
+    /// The settings that the router must get before its next decision, if the lease has expired or is valid again.
     pub fn turns(&mut self, now: Time) -> Option<Box<Settings>> {
         let lapsed = now >= self.until;
         let own = self.own.as_ref().filter(|_| lapsed != self.lapsed)?;
@@ -46,11 +46,11 @@
         if lapsed {
             count(Count::agreement_lapses);
             log::warn!(
-                "what is agreed on no longer holds here: nothing is sent until the voters are heard again"
+                "the lease on the agreed rules has expired: nothing is sent until the voters answer again"
             );
             return Some(nothing(own));
         }
-        log::info!("what is agreed on holds again");
+        log::info!("the lease on the agreed rules is valid again");
         Some(own.clone())
     }
 }
@@ -71,12 +71,12 @@
             (most(lease.turns(99)), most(lease.turns(100)), most(lease.turns(101))),
             (None, Some(0), None)
         );
-        // What comes meanwhile is kept, and held back.
+        // Settings that arrive while the lease is expired are kept until it is valid again.
         let more = Box::new(Settings { max_attempts: 7, ..Settings::default() });
         assert_eq!(lease.settings(more, 120).max_attempts, 0);
         lease.holds(200);
         assert_eq!(most(lease.turns(130)), Some(7));
-        // An older word shortens nothing that was seen to hold.
+        // An older, shorter lease does not shorten the current one.
         lease.holds(150);
         assert_eq!((most(lease.turns(199)), most(lease.turns(200))), (None, Some(0)));
     }
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -1,9 +1,9 @@
-//! A request that the core has taken, until its last attempt has ended: who waits for it, and what has become of its attempts.
+//! An open request, from its arrival until its last attempt has ended: its client and the state of its attempts.
 //!
-//! | an attempt is | until | then |
+//! | state of an attempt | ends with | next state |
 //! | --- | --- | --- |
-//! | out | its member's answer, or its end without one | without effect, or possibly run |
-//! | without effect, possibly run | | for good: whatever is made of the answer later changes nothing |
+//! | in flight | the member's answer, or an end without one | without effect, or possibly run |
+//! | without effect, possibly run | | final: discarding the answer later does not change it |
 
 use super::{Answer, Request, Work};
 use crate::interface::*;
@@ -11,7 +11,7 @@
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
-/// What has become of an attempt, by its end on the wire alone.
+/// State of an attempt, which depends only on how it ended on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
     Out,
@@ -24,66 +24,67 @@
     member: MemberId,
     sent: Time,
     state: AttemptState,
-    /// The member was known to be recent enough when this was sent. Positions never go back.
+    /// The member was known to be recent enough when the attempt was sent. This stays true, as positions never go
+    /// back.
     proven_recent: bool,
 }
 
-/// One request.
+/// An open request.
 pub(super) struct LiveRequest {
     pub request: Request,
     pub came: Time,
-    /// Taken by the final answer or when the client leaves.
+    /// Taken when the final answer is sent or the client disconnects.
     pub reply: Option<oneshot::Sender<Answer>>,
-    /// What a session read must see beyond what members check for it; 0: nothing.
+    /// The position that a session read must reflect beyond what members check for it; 0 if none.
     pub unseen: Position,
     attempts: SmallVec<[LiveAttempt; 4]>,
-    /// Nobody waits for its answer, which is to be had all the same once it may have run.
+    /// Nobody waits for the answer any more, but the request continues if it may have run.
     pub abandoned: bool,
 }
 
 impl LiveRequest {
-    /// One that has just come, with nothing sent yet.
+    /// Creates a request that has just arrived, without attempts.
     pub fn new(request: Request, came: Time, reply: oneshot::Sender<Answer>, unseen: Position) -> Self {
         let (reply, attempts) = (Some(reply), SmallVec::new());
         LiveRequest { request, came, reply, unseen, attempts, abandoned: false }
     }
 
-    /// Its class.
+    /// The request's class.
     pub fn class(&self) -> &Class {
         &self.request.class_table.classes[self.request.class]
     }
 
-    /// How many attempts were decided on, sent or not.
+    /// Number of attempts so far, sent or not.
     pub fn attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Its attempts, by number.
+    /// The attempts' numbers and members.
     pub fn numbered(&self) -> impl Iterator<Item = (u32, MemberId)> + '_ {
         self.attempts.iter().enumerate().map(|(number, attempt)| (number as u32, attempt.member))
     }
 
-    /// The member that an attempt went to.
+    /// The member of an attempt.
     pub fn member(&self, attempt: u32) -> Option<MemberId> {
         self.attempts.get(attempt as usize).map(|attempt| attempt.member)
     }
 
-    /// Attempts of which the end is not known.
+    /// Number of attempts in flight.
     pub fn out(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::Out).count()
     }
 
-    /// An attempt may have run.
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::PossiblyRun)
     }
 
-    /// Nothing of it has run, and nothing of it is out.
+    /// Whether no attempt has run or is in flight.
     pub fn untouched(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::WithoutEffect)
     }
 
-    /// The member that the first attempt went to that may have run, or of which the end is not known.
+    /// The member of the first attempt that may have run or is in flight.
     pub fn first_possible_member(&self) -> Option<MemberId> {
         self.first_possible().map(|attempt| attempt.member)
     }
@@ -92,7 +93,7 @@
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::WithoutEffect)
     }
 
-    /// What the rules on repeats and refusals are checked by.
+    /// The state against which the rules on repeats and refusals are checked.
     pub fn progress(&self) -> RequestProgress {
         RequestProgress {
             effect: self.class().effect,
@@ -102,21 +103,23 @@
         }
     }
 
-    /// Whether a refusal would have its client repeat what may have run as something new: members discard the repeats of a
-    /// keyed request by its id, and a front that puts the work into its own words gives each try another.
+    /// Whether the client's retry after a refusal could run again what may have run already. Members discard
+    /// duplicates of a keyed request by its id, but a front that generates the statement gives each of the client's
+    /// tries a new id.
     pub fn repeat_would_be_new(&self) -> bool {
         let keyed = matches!(self.class().effect, Effect::Keyed { .. });
         keyed && matches!(self.request.work, Work::Operation(_)) && !self.untouched()
     }
 
-    /// An attempt is decided on, at a member that has surely reached this position; its number. It counts as out until it has ended.
+    /// Adds an attempt on a member that has certainly reached this position, and returns its number. The attempt
+    /// counts as in flight until it has ended.
     pub fn begin_attempt(&mut self, member: MemberId, sent: Time, reached: Position) -> u32 {
         let proven_recent = reached >= self.unseen;
         self.attempts.push(LiveAttempt { member, sent, state: AttemptState::Out, proven_recent });
         self.attempts.len() as u32 - 1
     }
 
-    /// An attempt has ended so on the wire. Its first end counts.
+    /// Records how an attempt ended on the wire. Only its first end counts.
     pub fn end_attempt(&mut self, attempt: u32, outcome: Outcome) {
         let attempt = self.attempts.get_mut(attempt as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::Out) else { return };
@@ -126,8 +129,8 @@
         };
     }
 
-    /// Whether an answer shows what its session has written. A member that tells its position is taken at its word; of one that
-    /// tells none what was known of it when the attempt was sent must do.
+    /// Whether an answer reflects the session's last write. If the answer tells the member's position, that position
+    /// decides; if not, what was known of the member when the attempt was sent.
     pub fn shows_session(&self, attempt: u32, note: Option<&Note>) -> bool {
         if self.unseen == 0 || note.is_some_and(|note| note.role == Some(Role::Primary)) {
             return true;
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -1,5 +1,5 @@
-//! Times of the members' machines, at the one place where they come in and go out: within the core all times are this
-//! process's (`policy::member_clock`).
+//! Conversion between the members' clock and this process's clock. All times within the core are by this process's
+//! clock (see `policy::member_clock`).
 
 use super::actor::Actor;
 use super::counters::{count, Count};
@@ -8,7 +8,8 @@
 use crate::knowledge::Known;
 
 impl<M: Members> Actor<M> {
-    /// What an answer that came now says of its member; `spent` is the time since it was asked for.
+    /// Converts the state told with an answer that has just arrived; `spent` is the time since the attempt was
+    /// started.
     pub(super) fn heard_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
         let primary = note.role == Some(Role::Primary);
         let sent = now.saturating_sub(spent);
@@ -17,7 +18,8 @@
         Note { position, ..note }
     }
 
-    /// A member's report on itself; none where its position cannot be true, as then nothing of it is believed.
+    /// Converts a member's report; `None` if its position cannot be true, in which case the whole report is
+    /// discarded.
     pub(super) fn heard_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
         let Some(told) = report.position else { return Some(report) };
         let primary = report.primary == Some(true);
@@ -28,14 +30,14 @@
         position.map(|position| Report { position: Some(position), ..report })
     }
 
-    /// A list as discovery words it, by this process's clock.
+    /// Converts the starts in a list from discovery to this process's clock.
     pub(super) fn listed_locally(&self, entries: &mut [ListedMember]) {
         for ListedMember { member, .. } in entries {
             member.up_since = member.up_since.map(|told| self.member_clock.to_local(told));
         }
     }
 
-    /// The same the other way: what is written down is read by other processes, and by later ones.
+    /// The listed members with their starts by the members' clock, for other processes and later starts.
     pub(super) fn listed_as_told(&self) -> Vec<ListedMember> {
         let mut entries: Vec<ListedMember> = self.overlay.listed().cloned().collect();
         for ListedMember { member, .. } in &mut entries {
@@ -44,7 +46,7 @@
         entries
     }
 
-    /// Where the offset has settled since it was last looked at, all starts that lists have told are others.
+    /// Adjusts the starts from earlier lists if the estimated offset of the members' clock has changed.
     pub(super) fn follow_member_clock(&mut self) {
         let offset = self.member_clock.offset();
         let shift = offset - std::mem::replace(&mut self.listed_at_offset, offset);
@@ -61,9 +63,9 @@
     }
 }
 
-/// What was learned, with each time of it changed.
+/// Applies a change to every time in what was learned.
 pub(super) fn with_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
-    // 0 stands for none.
+    // 0 stands for "none".
     let change = |time: Time| if time == 0 { 0 } else { change(time) };
     for facts in known.members.values_mut() {
         facts.start = facts.start.map(change);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -44,7 +44,7 @@
     let member = member.map(|member| member.0);
     log::error!(
         target: REQUEST_LOG_TARGET, id = id.0, member:? = member, violation:? = violation;
-        "a decision breaks a rule"
+        "a decision violates a rule and is not carried out"
     );
 }
 
--- a/src/core/session_ledger.rs
+++ b/src/core/session_ledger.rs
@@ -1,11 +1,12 @@
-//! The last commit of each session, which its later reads must see.
+//! The last commit of each session, which later reads of the session must reflect.
 
 use crate::interface::Position;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Last commit of each session, from whichever front the write came. Bounded: when full, the older half is folded
-/// into a floor that every unknown session must then meet, so that forgetting never lets a stale read through.
+/// The last commit of each session, whichever front the write came through. The number of sessions is bounded: when
+/// the ledger is full, the older half is dropped and its latest commit becomes a floor that reads of all unknown
+/// sessions must reflect, so that dropping entries never allows a stale read.
 pub struct SessionLedger {
     most: usize,
     commits: HashMap<Arc<str>, Position>,
@@ -13,12 +14,12 @@
 }
 
 impl SessionLedger {
-    /// Room for `most` sessions.
+    /// Creates a ledger for up to this many sessions.
     pub fn new(most: usize) -> Self {
         SessionLedger { most: most.max(2), commits: HashMap::new(), floor: 0 }
     }
 
-    /// Takes in a write that went through.
+    /// Records a committed write.
     pub fn record_commit(&mut self, session: &Arc<str>, commit: Position) {
         if self.commits.len() >= self.most && !self.commits.contains_key(session) {
             let mut all: Vec<Position> = self.commits.values().copied().collect();
@@ -32,15 +33,15 @@
         *at = commit.max(*at);
     }
 
-    /// The commits since then, and the latest of all others: what another process must know to let no stale read
-    /// through.
+    /// The commits since then by session, and the latest of all others: what another process needs to prevent stale
+    /// reads.
     pub fn since(&self, then: Position) -> (Vec<(Arc<str>, Position)>, Position) {
         let (late, early): (Vec<_>, Vec<_>) = self.commits.iter().partition(|(_, at)| **at >= then);
         let floor = early.into_iter().map(|(_, at)| *at).max().unwrap_or(0).max(self.floor);
         (late.into_iter().map(|(name, at)| (name.clone(), *at)).collect(), floor)
     }
 
-    /// Takes in what another process knows.
+    /// Takes in the commits known to another process.
     pub fn merge<'a>(
         &mut self,
         sessions: impl Iterator<Item = (&'a Arc<str>, &'a Position)>,
@@ -50,7 +51,7 @@
         sessions.for_each(|(name, at)| self.record_commit(name, *at));
     }
 
-    /// What a read of this session must see, by all that this process knows; 0: nothing.
+    /// The position that a read of this session must reflect, as far as this process knows; 0 if none.
     pub fn written(&self, session: &str) -> Position {
         self.commits.get(session).copied().unwrap_or(0).max(self.floor)
     }
