--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -1,22 +1,22 @@
-//! The terms under which requests are read: classes and tenants by their names. It does no I/O.
+//! The table of classes and tenants by name, against which requests are resolved. It does no I/O.
 //!
-//! Settings may change while requests are open, and these keep the class that they came with. So a class has a slot, by
-//! which the module knows it: a class that is as it was keeps its slot, and one that is new or has changed gets
-//! another. A request holds the terms that it was read under, and a slot is used again only once no terms are left in
-//! which it stood for something else: a thousand reloads take no more slots than the requests still open need.
+//! Settings may change while requests are open, and an open request keeps the class that it came with. Each class
+//! therefore has a slot, by which the router knows it: an unchanged class keeps its slot, and a new or changed one
+//! gets another. A request holds the table that it was resolved against, and a slot is reused only once no table is
+//! left in which it stands for another class. So a thousand reloads take no more slots than the open requests need.
 
 use crate::interface::Class;
 use crate::settings::Names;
 use std::sync::{Arc, Weak};
 
-/// Names and classes, as they hold for the requests that were read under them.
+/// Names and classes as they apply to the requests that were resolved against this table.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClassTable {
-    /// Names, those of classes by slot.
+    /// Names; those of classes by slot.
     pub names: Names,
-    /// Classes by slot, also those that no new request may name.
+    /// Classes by slot, including those that new requests may not name.
     pub classes: Vec<Class>,
-    /// Which slots new requests may name.
+    /// The slots of the classes that new requests may name.
     open: Vec<bool>,
 }
 
@@ -26,18 +26,18 @@
         (0..self.classes.len()).find(|slot| self.open[*slot] && self.names.classes[*slot] == name)
     }
 
-    /// The number of a tenant.
+    /// The index of a tenant.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.names.tenants.iter().position(|n| n == name)
     }
 
-    /// The name of a class by its slot.
+    /// The name of the class in a slot.
     pub fn class_name(&self, slot: usize) -> &str {
         self.names.classes.get(slot).map_or("", |name| name)
     }
 }
 
-/// Gives out slots, and remembers the terms that requests may still hold.
+/// Assigns slots to classes, and keeps track of the tables that open requests may still hold.
 #[derive(Debug, Default)]
 pub struct ClassSlots {
     current: Arc<ClassTable>,
@@ -45,12 +45,12 @@
 }
 
 impl ClassSlots {
-    /// The terms that hold now.
+    /// The current table.
     pub fn current(&self) -> Arc<ClassTable> {
         self.current.clone()
     }
 
-    /// From now on these classes hold, named in the same order.
+    /// Replaces the current table by one with these classes; `names` has their names in the same order.
     pub fn replace(&mut self, names: Names, classes: Vec<Class>) -> Arc<ClassTable> {
         let old = std::mem::take(&mut self.current);
         self.former.push(Arc::downgrade(&old));
@@ -59,12 +59,12 @@
             ..ClassTable::default()
         };
         (next.classes, next.open) = (old.classes.clone(), vec![false; old.classes.len()]);
-        // Nothing but requests holds former terms.
+        // Only requests hold former tables.
         drop(old);
         self.former.retain(|class_table| class_table.strong_count() > 0);
         let held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
         let named: Vec<(String, Class)> = names.classes.into_iter().zip(classes).collect();
-        // First those that stay as they are, so that no other takes their slots.
+        // Unchanged classes first, so that no other class takes their slots.
         let stays = |next: &ClassTable, (name, class): &(String, Class)| {
             (0..next.classes.len()).find(|slot| {
                 !next.open[*slot] && next.names.classes[*slot] == *name && next.classes[*slot] == *class
@@ -122,12 +122,12 @@
         let mut slots = ClassSlots::default();
         let first = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         let (a, b) = (first.class("a"), first.class("b"));
-        // In another order, and b may no longer be repeated.
+        // In another order, and with b changed to unsafe.
         let second = change(&mut slots, &[("b", Effect::Unsafe), ("a", Effect::Safe)]);
         assert_eq!(second.class("a"), a);
         let changed = second.class("b").expect("it is there");
         assert_ne!(Some(changed), b);
-        // A request of the first terms finds its class where it was, by its own terms and by the newest.
+        // A request with the first table finds its class in the same slot of both tables.
         let former = b.expect("it was there");
         assert_eq!(
             (first.classes[former].effect, second.classes[former].effect),
@@ -146,7 +146,7 @@
         let first = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         let second = change(&mut slots, &[("a", Effect::Safe)]);
         assert_eq!((second.class("b"), first.class("b")), (None, Some(1)));
-        // It comes back as it was, into its own slot.
+        // Unchanged when it comes back, so it gets its own slot again.
         assert_eq!(change(&mut slots, &[("b", Effect::Safe)]).class("b"), Some(1));
     }
 
--- a/src/console_client.rs
+++ b/src/console_client.rs
@@ -1,34 +1,34 @@
-//! The command that asks a running process how it is, through its console.
+//! Client for the console of a running process, as used by the `status` and `fleet` commands.
 
 use crate::config;
 use std::io::{Read, Write};
 use std::net::{TcpStream, ToSocketAddrs};
 use std::time::Duration;
 
-/// How long the console may take over an answer: it owes one within a second.
+/// Time limit for connecting and for the answer; a console has to answer within a second.
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// Longest answer, in bytes: that of a fleet of hundreds.
+/// Maximum length of an answer, in bytes; enough for a fleet of hundreds of proxies.
 const LONGEST: u64 = 256 * 1024;
 
-/// What a running process says of itself.
+/// The status of a running process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// It is ready to serve.
+    /// The process is ready to serve.
     pub ready: bool,
-    /// Its answers, to be shown.
+    /// The console's answers, to be printed.
     pub lines: Vec<String>,
 }
 
-/// The console's address, as a start would have it.
+/// The console's address, as configured for a start of the proxy.
 pub(crate) fn configured_address() -> Result<String, String> {
     config::lookup("BALANCER_CONSOLE", "console").map_err(|e| format!("{e}; say --console HOST:PORT"))
 }
 
-/// Says one line to a console, and its answer.
+/// Sends one line to a console and returns its answer.
 ///
 /// # Errors
-/// When nobody answers there, or no console does.
+/// If there is no answer at that address, or it does not come from a console.
 pub fn call(console: &str, line: &str) -> Result<String, String> {
     let bad = |e: std::io::Error| format!("console {console}: {e}");
     let nobody = || format!("console {console}: no such address");
@@ -37,7 +37,7 @@
     stream.set_read_timeout(Some(PATIENCE)).map_err(bad)?;
     stream.write_all(format!("{line}\n").as_bytes()).map_err(bad)?;
     let mut answer = String::new();
-    // A process that is no console's may say anything, for ever.
+    // A process that is not a console may send data without end.
     stream.take(LONGEST).read_to_string(&mut answer).map_err(bad)?;
     match answer.split_once('\n') {
         Some((answer, "")) if answer.starts_with("200 ") || answer.starts_with("400 ") => {
@@ -47,10 +47,10 @@
     }
 }
 
-/// Asks the process with this console, or with the one that the configuration names.
+/// Queries the status of the process at this console address, or at the configured one.
 ///
 /// # Errors
-/// When no process answers there, with one plain message.
+/// If no process answers there, with one plain message.
 pub fn status(console: Option<&str>) -> Result<ProcessStatus, String> {
     let console = console.map_or_else(configured_address, |c| Ok(c.to_string()))?;
     let status = call(&console, "STATUS")?;
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -175,7 +175,8 @@
 /// How long members know a keyed read for a repeat here.
 const WINDOW: Time = 400_000;
 
-/// An actor that is to send a keyed session read to each of these, of which the first breaks the connection; and when.
+/// An actor that is to send a keyed session read to each of these, of which the first breaks the connection; and
+/// when.
 fn sent_by_turns(scope: &str, members: &[ListedMember]) -> (Actor<Still>, Time) {
     let mut json = linentrail_standins::proxy::settings();
     json["services"][SESSION_READ]["idempotency"] = "idempotency_key".into();
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -1,5 +1,5 @@
-//! What the core is asked and told beside its requests: by the operators, by another process of the proxy, and by an
-//! earlier start through what that has stored. All of it reaches the module as events that it knows.
+//! Control commands to the core: from the operators, from another process of the proxy, and from recovery, which
+//! loads what an earlier process stored. Whatever concerns the router reaches it as ordinary events.
 
 use super::actor::Actor;
 use super::counters::{add, count, Count};
@@ -13,13 +13,13 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Commits no older than this, in us, are handed on by session; of the others the latest stands for all.
+/// Commits of at most this age, in us, are exported by session; of all older ones only the latest is exported.
 const RECENT: Time = 20_000_000;
-/// How far ahead of this process's clock a commit may seem to lie, in us.
+/// How far ahead of this process's clock a commit's position may be, in us.
 const COMMIT_AHEAD_MAX: Time = 1_000_000;
 
 impl<M: Members> Actor<M> {
-    /// What the operators ask, or another process tells, and what of it the module must know.
+    /// Carries out a command and returns the events that the router must get.
     pub(super) fn order(&mut self, order: CoreCommand) -> Vec<Event> {
         let now = self.clock.now();
         let (told, reply) = match order {
@@ -90,7 +90,7 @@
                 return Vec::new();
             }
             CoreCommand::SetPeer(peer_commits, reply) => {
-                // What the one that has gone said last still counts.
+                // The last commits of the process that is being disconnected still count.
                 self.catch_up();
                 self.peer_commits = peer_commits;
                 let _ = reply.send(());
@@ -115,7 +115,7 @@
         }
     }
 
-    /// What has come of the way back to full service.
+    /// Advances the startup phases and logs what has changed.
     pub(super) fn look_back(&mut self, now: Time) {
         let news = self.returning.at(now, || self.overlay.serves());
         self.told_of_return(news);
@@ -126,11 +126,11 @@
             match one {
                 News::Over(phase, lasted) => {
                     let ms = lasted / 1000;
-                    log::info!(phase = phase.name(), ms; "{} is over: waited for {}", phase.name(), phase.awaits());
+                    log::info!(phase = phase.name(), ms; "startup phase {} has ended; it waited for {}", phase.name(), phase.awaits());
                 }
                 News::Overstayed(phase) => {
                     count(Count::phase_overstays);
-                    log::warn!("{} lasts longer than it should: waits for {}", phase.name(), phase.awaits());
+                    log::warn!("startup phase {} exceeds its time limit; it waits for {}", phase.name(), phase.awaits());
                 }
                 News::Full(told) => {
                     if told.seen {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes in what sessions have written by another process of this proxy.
+    /// Takes in what sessions have written through another process of this proxy.
     pub(super) fn catch_up(&mut self) {
         let Some(other) = &mut self.peer_commits else { return };
         let PeerCommits { commits, complete } = other.take_received();
@@ -151,7 +151,7 @@
         let (all, named): (Vec<_>, Vec<_>) = news.partition(|(name, _)| name.is_empty());
         let now = self.clock.now();
         let untold = if complete { 0 } else { now };
-        // Nothing is committed far ahead of now, whatever stands in a file.
+        // No commit is far ahead of the present, so a position in a file that claims it is capped.
         let latest = now + COMMIT_AHEAD_MAX;
         let floor = all.into_iter().map(|(_, at)| at.min(latest)).max().unwrap_or(0).max(untold);
         if floor > 0 || !named.is_empty() {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// What was learned so far, for another process of this proxy.
+    /// What this process has learned, for another process of this proxy.
     fn export(&self, now: Time) -> Known {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.overlay.listed().map(|e| (e.member.id, &e.name)).collect();
@@ -170,9 +170,9 @@
         with_times(known, |local| self.member_clock.to_member(local))
     }
 
-    /// What another process has learned, as the events that would have told it here: a start that discovery does not
-    /// know of, and a report on position and role. Only what is news here: what is not says nothing of a member that is
-    /// in doubt here.
+    /// Converts what another process has learned to the events by which this process would have learned it: a start
+    /// that discovery does not know of, and a report on position and role. Only positions that are new here are
+    /// passed on; an old one says nothing about a member that is in doubt here.
     pub(super) fn learn(&mut self, known: &Known) -> Vec<Event> {
         self.sessions.merge(known.sessions.iter(), known.floor);
         let mut events = Vec::new();
@@ -187,15 +187,15 @@
         told
     }
 
-    /// Warm-ups that discovery may not know of: none is warmer than its latest start allows.
+    /// Takes in starts that discovery may not know of: a member's warm-up counts from its latest known start.
     fn warms(&mut self, known: &Known) -> Vec<Event> {
         let begun = known.members.iter().filter_map(|(name, m)| Some((name, m.cold_from?)));
         let told = begun.filter_map(|(name, at)| self.overlay.warms(name, at)).collect();
         self.operator(told)
     }
 
-    /// What was written down before this process began. What binds does from now on; what is of a member's life waits
-    /// for a list that tells whether the member still lives it.
+    /// Takes in what was stored before this process started. Suspensions, session commits and warm-ups apply from now
+    /// on; facts that depend on a member not having restarted wait for a list that confirms it.
     pub(super) fn recall(&mut self, all: Knowledge) -> Vec<Event> {
         self.blind = self.clock.now();
         let all = Knowledge { known: with_times(all.known, |told| self.member_clock.to_local(told)), ..all };
@@ -209,8 +209,8 @@
         events
     }
 
-    /// A list has come: what was stored of members may be used as far as it says; of one that is no older than this
-    /// process more than of one that may be.
+    /// Uses a new list to decide which stored facts about members may be used. A list that is not older than this
+    /// process (`own`) allows more than one that may be.
     pub(super) fn confirm(&mut self, own: bool) {
         let Actor { recalled, overlay, .. } = self;
         let life = |name: &str| overlay.again(name).map_or(Life::Absent, |e| Life::Named(e.member.up_since));
@@ -233,9 +233,10 @@
     }
 }
 
-/// A position that a member has surely reached, as the report that would have told it.
+/// A position that a member has certainly reached, as the report that would have told it.
 fn heard(member: MemberId, position: Position, primary: Option<bool>) -> Event {
-    // The module takes a report's position for rounded up; this one is exact, and would be news for ever.
+    // The router assumes that a report's position was rounded up. This one is exact; without the correction it would
+    // count as news every time.
     let report = Report { position: Some(position + REPORT_ROUNDING), primary, busy: None };
     Event::Probed { member, ok: true, report: Some(report) }
 }
--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -1,10 +1,10 @@
-//! The ids of charging bookings, as all processes of one proxy know them.
+//! The ids of charging bookings, shared by all processes of one proxy.
 //!
-//! | state | an id that is not entered here | ends by |
+//! | state | an id that is not in this ledger | ends when |
 //! | --- | --- | --- |
-//! | alone | is new: no other process can enter one | another process that asks for the ids: shared |
-//! | unheard | may have been entered by another process that has not told its ids yet | its word: shared; its end: alone |
-//! | shared | is new to whoever claims it in the store that both see | the other process's end: alone |
+//! | alone | is new, since no other process can claim ids | another process asks for the ids: shared |
+//! | awaiting peer | may be claimed by a process whose ids are unknown | it tells its ids: shared; it ends: alone |
+//! | shared | is new for the process that claims it in the common store | the other process ends: alone |
 
 use super::bookings::Ticket;
 use super::counters::{count, Count};
@@ -20,53 +20,53 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a booking waits for another process to tell its ids.
+/// How long a booking waits for another process's ids.
 const UNHEARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an id could not be claimed.
 #[derive(Debug)]
 pub enum ClaimError {
-    /// It is claimed already, for a request with this fingerprint; none where that cannot be read.
+    /// It is claimed already, for a request with this fingerprint; `None` if the fingerprint cannot be read.
     Taken(Option<u64>),
     /// It is not claimed, and there is no room to claim it.
     NoSpace,
-    /// Whether it is claimed cannot be told.
+    /// It is unknown whether it is claimed.
     Unknown(io::Error),
 }
 
-/// Where two processes of a proxy claim ids, each for itself alone. A claim outlives the process that made it.
+/// Store in which two processes of a proxy claim ids exclusively. A claim outlives the process that made it.
 pub trait ClaimStore: Send {
-    /// Claims an id; of two processes that try at once one succeeds.
+    /// Claims an id. If two processes try at the same time, exactly one succeeds.
     ///
     /// # Errors
-    /// When it is claimed already, or the store cannot be used.
+    /// If the id is claimed already, or the store cannot be used.
     fn claim(&self, id: &str, entry: SharedEntry) -> Result<(), ClaimError>;
 
-    /// The fingerprint of a claimed id, none within where it cannot be read; none where it is not claimed.
+    /// The fingerprint of a claimed id, with `None` inside if it cannot be read; `None` if the id is not claimed.
     ///
     /// # Errors
-    /// When the store cannot be read.
+    /// If the store cannot be read.
     fn find(&self, id: &str) -> io::Result<Option<Option<u64>>>;
 
-    /// Gives a claim back.
+    /// Releases a claim.
     ///
     /// # Errors
-    /// When the store cannot be written; the id then stays claimed.
+    /// If the store cannot be written; the id then stays claimed.
     fn release(&self, id: &str) -> io::Result<()>;
 }
 
-/// What one process tells of its ledger, beside the ids themselves; times in us by its own clock.
+/// What one process tells another about its ledger besides the ids; times in us by the teller's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerSummary {
-    /// Ids that it holds.
+    /// Number of ids in the ledger.
     pub ids: usize,
-    /// Bytes of their answers.
+    /// Total size of their answers, in bytes.
     pub bytes: usize,
-    /// When this was written.
+    /// When this summary was written.
     pub now: Time,
-    /// All ids that were first sent since then are known.
+    /// Every id that was first sent at or after this time is known.
     pub complete_since: Time,
-    /// How long it remembers ids, in us.
+    /// How long the ledger remembers ids, in us.
     pub span: Time,
 }
 
@@ -80,12 +80,12 @@
     ledger: RepeatLedger<Ticket>,
     state: State,
     clock: Clock,
-    /// How far the clock of the process that this one took over from was ahead: ids are judged by the later one, so that
-    /// a step of the wall clock between two starts makes no old id new.
+    /// How far the clock of the process that this one took over from was ahead. Ids are judged by the later of the
+    /// two clocks, so that a step of the wall clock between two starts does not make an old id look new.
     clock_ahead: Time,
     limits: LedgerSize,
     span: Time,
-    /// How long ids are remembered while the other process may forget them sooner.
+    /// How long ids are remembered while the other process may forget them earlier than this one.
     shared_span: Time,
 }
 
@@ -94,7 +94,7 @@
         self.clock.now() + self.clock_ahead
     }
 
-    /// Half of what is left beside `held` is the other process's.
+    /// Leaves half of the capacity that `held` does not use to the other process.
     fn halve_capacity(&mut self, held: LedgerSize) {
         self.ledger.set_capacity(self.ledger.held().plus(self.limits.minus(held).half()));
     }
@@ -118,7 +118,7 @@
                     ClaimError::Unknown(e) => unknown(&e),
                 }
             }
-            // The other process may have it: then it may have run, and is not refused.
+            // The other process may have claimed the id; then the booking may have run and must not be refused.
             Claim::Full => match store.find(id) {
                 Ok(None) => Claim::Full,
                 Ok(Some(by)) => taken(by, request.fingerprint),
@@ -137,7 +137,7 @@
         if let State::Shared(store) = &self.state {
             if let Err(e) = store.release(id) {
                 count(Count::repeat_ids_unshared);
-                log::warn!("an id stays claimed: {e}");
+                log::warn!("the claim of a repeat id could not be released: {e}");
             }
         }
     }
@@ -152,11 +152,11 @@
 
 fn unknown<T>(error: &io::Error) -> Claim<T> {
     count(Count::repeat_ids_unshared);
-    log::warn!("whether an id is claimed cannot be told: {error}");
+    log::warn!("cannot find out whether a repeat id is claimed: {error}");
     Claim::Unprovable
 }
 
-/// The ids of one proxy's bookings. Clones share them.
+/// The repeat ids of one proxy's bookings. Clones share the same ids.
 #[derive(Clone)]
 pub struct RepeatIds {
     inner: Arc<Mutex<Inner>>,
@@ -164,7 +164,7 @@
 }
 
 impl RepeatIds {
-    /// None so far. Holds up to `limits`, each id for `span` us.
+    /// Creates an empty ledger of up to this size, which remembers each id for `span` us.
     pub fn new(limits: LedgerSize, span: Time, clock: Clock) -> Self {
         let ledger = RepeatLedger::new(limits, span, clock.now());
         let inner =
@@ -176,7 +176,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The name under which an id, of any length and bytes, is entered and claimed.
+    /// The digest under which an id, which may have any length and content, is stored and claimed.
     pub fn digest(id: &str) -> String {
         let digest = Sha256::digest(id);
         let mut name = String::with_capacity(2 * digest.len());
@@ -191,7 +191,7 @@
         self.inner().span
     }
 
-    /// Waits until the ids of another process have been heard; false if they were not, by this deadline or for too long.
+    /// Waits until the ids of the other process are known; false if that takes too long or until the deadline.
     /// Cancel safe.
     pub async fn heard(&self, deadline: Instant) -> bool {
         let mut heard = self.heard.subscribe();
@@ -200,40 +200,40 @@
         told.is_ok()
     }
 
-    /// Claims an id for a request. A new one is entered as running, here and where the other process sees it.
+    /// Claims an id for a request. A new id is entered as running, both here and in the common store.
     pub(super) fn claim(&self, id: &str, request: ClaimRequest, ticket: Ticket) -> Claim<Ticket> {
         self.inner().claim(id, request, ticket)
     }
 
-    /// The request of an id has ended; its answer is kept.
+    /// Marks the request of an id as ended; its answer stays.
     pub fn ended(&self, id: &str) {
         self.inner().ledger.ended(id);
     }
 
-    /// Takes an id back whose request provably never ran, so that a retry may run it, by either process.
+    /// Removes an id whose request provably never ran, so that either process may run a retry.
     pub fn forget(&self, id: &str) {
         let mut inner = self.inner();
         inner.ledger.forget(id);
         inner.release(id);
     }
 
-    /// Whether no other process can enter ids.
+    /// Whether no other process can claim ids.
     pub fn is_alone(&self) -> bool {
         matches!(self.inner().state, State::Alone)
     }
 
-    /// Whether another process's ids have still to be heard.
+    /// Whether the ids of another process are still unknown.
     pub fn is_awaiting_peer(&self) -> bool {
         matches!(self.inner().state, State::Unheard)
     }
 
-    /// Another process may have entered ids: until it has told them, none counts as new.
+    /// Another process may have claimed ids: until it has told them, no id counts as new.
     pub fn expect_peer(&self) {
         self.inner().state = State::Unheard;
         self.heard.send_replace(false);
     }
 
-    /// From now on ids are claimed in the store, unless another process's are still unheard.
+    /// From now on ids are claimed in the store, unless another process's ids are still unknown.
     pub fn share(&self, store: impl ClaimStore + 'static) {
         let mut inner = self.inner();
         if matches!(inner.state, State::Alone) {
@@ -241,13 +241,13 @@
         }
     }
 
-    /// What the other process, which remembers ids for `peer_span` us, has to know beside the ids. From then on each may take
-    /// half of what is left, and the shorter span holds for both.
+    /// The summary for another process, which remembers ids for `peer_span` us. From now on each process may use half
+    /// of the remaining capacity, and the shorter of the two spans applies to both.
     pub fn summarize_for_peer(&self, peer_span: Time) -> LedgerSummary {
         let mut inner = self.inner();
         let now = inner.now();
         if matches!(inner.state, State::Unheard) {
-            // The one that was waited for is gone, and what it entered until now may be lost.
+            // The awaited process has ended, and ids that it entered until now may be lost.
             inner.ledger.set_complete_since(now);
         }
         inner.shared_span = inner.span.min(peer_span);
@@ -259,7 +259,7 @@
         LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span }
     }
 
-    /// The other process has told its ledger, and every id in it is claimed in the store.
+    /// Takes in the other process's summary; every id in its ledger has been claimed in the store.
     pub fn accept_summary(&self, told: LedgerSummary, store: impl ClaimStore + 'static) {
         let mut inner = self.inner();
         inner.clock_ahead = told.now.saturating_sub(inner.clock.now());
@@ -274,11 +274,13 @@
         self.heard.send_replace(true);
     }
 
-    /// The other process has ended, and all that the store holds has been admitted: no id need be claimed there.
+    /// The other process has ended and every id in the store has been entered here, so ids need not be claimed there
+    /// any more.
     pub fn stop_sharing(&self) {
         let mut inner = self.inner();
         let now = inner.now();
-        // What it had not told by then may be lost; what it had told it may have forgotten after the shorter span.
+        // Ids that it had not told may be lost, and ids that it had told may have been forgotten after the shorter
+        // span.
         let complete_since = match inner.state {
             State::Alone => inner.ledger.complete_since(),
             State::Unheard => now,
@@ -292,7 +294,7 @@
         self.heard.send_replace(true);
     }
 
-    /// Enters an id that was claimed by another process; one whose claim cannot be read stays for a whole span.
+    /// Enters an id that was claimed by another process. One whose claim cannot be read is kept for the whole span.
     pub fn insert_foreign(&self, id: String, entry: Option<SharedEntry>) {
         let mut inner = self.inner();
         let (now, span) = (inner.now(), inner.span);
@@ -300,18 +302,18 @@
         inner.ledger.insert_foreign(id, entry.unwrap_or(unreadable), now);
     }
 
-    /// How much more it may hold.
+    /// The remaining capacity.
     pub fn free_capacity(&self) -> LedgerSize {
         let inner = self.inner();
         inner.ledger.capacity().minus(inner.ledger.held())
     }
 
-    /// All ids, by their names.
+    /// The digests of all ids.
     pub fn digests(&self) -> Vec<String> {
         self.inner().ledger.ids()
     }
 
-    /// What other processes have to know of an id.
+    /// What another process needs to know about an id.
     pub fn entry(&self, id: &str) -> Option<SharedEntry> {
         let inner = self.inner();
         inner.ledger.shared(id, inner.now())
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -1,73 +1,73 @@
-//! The ids of bookings that their clients may repeat, and what became of each.
+//! Ledger of the repeat ids of charging bookings, and the state of each booking.
 
 use crate::interface::Time;
 use std::collections::HashMap;
 
-/// Expired entries that one call removes at most: a full ledger is emptied over several requests.
+/// Maximum number of expired entries removed per call, so that a full ledger is emptied over several requests.
 const EXPIRED_PER_CALL_MAX: usize = 64;
 
-/// What the ledger says to one more use of an id.
+/// Result of claiming an id.
 #[derive(Debug, PartialEq)]
 pub enum Claim<T> {
-    /// New: it was entered and may be sent.
+    /// The id is new: it was entered, and the request may be sent.
     New,
-    /// The same request, known, with what was entered for it.
+    /// The id is known for the same request; with the ticket that was entered for it.
     Known(T),
-    /// The same request, entered by another process, which alone knows its answer.
+    /// The id is known for the same request, but another process entered it and has the answer.
     Elsewhere,
-    /// Another request used this id.
+    /// The id is known for a different request.
     Differs,
-    /// Too old or from before all that is known: it cannot be proved that it has not run.
+    /// The id is too old, or older than the ledger: it cannot be proved that the request has not run.
     Unprovable,
-    /// No room; nothing within its span may be forgotten.
+    /// No room: no entry may be removed before its span is over.
     Full,
 }
 
-/// How much a ledger may hold, and how much it holds.
+/// Size or capacity of a ledger.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LedgerSize {
-    /// Ids.
+    /// Number of ids.
     pub ids: usize,
-    /// Bytes of all remembered answers together, and those that are spoken for.
+    /// Total size of the answers in bytes, including the room reserved for answers that are still to come.
     pub bytes: usize,
 }
 
 impl LedgerSize {
-    /// What is left of this beside what is held.
+    /// This size less another one, at least zero.
     pub fn minus(self, held: LedgerSize) -> LedgerSize {
         LedgerSize { ids: self.ids.saturating_sub(held.ids), bytes: self.bytes.saturating_sub(held.bytes) }
     }
 
-    /// Both together.
+    /// The sum of both sizes.
     pub fn plus(self, more: LedgerSize) -> LedgerSize {
         LedgerSize { ids: self.ids + more.ids, bytes: self.bytes + more.bytes }
     }
 
-    /// One of two equal shares.
+    /// Half of this size.
     pub fn half(self) -> LedgerSize {
         LedgerSize { ids: self.ids / 2, bytes: self.bytes / 2 }
     }
 }
 
-/// A request that names a repeat id.
+/// A request to claim a repeat id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Fingerprint of what it asks for.
+    /// Fingerprint of the request's content.
     pub fingerprint: u64,
-    /// Bytes that its answer may take.
+    /// Maximum size of its answer in bytes.
     pub answer_bytes: usize,
-    /// When its client first sent it, by the client's clock.
+    /// When the client first sent the request, by the client's clock.
     pub first_sent: Time,
 }
 
-/// An entry as other processes need to know it.
+/// A ledger entry as shared with other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharedEntry {
-    /// Fingerprint of what it asks for; none where it could not be read.
+    /// Fingerprint of the request's content; `None` if it could not be read.
     pub fingerprint: Option<u64>,
-    /// When its client first sent it.
+    /// When the client first sent the request.
     pub first_sent: Time,
-    /// How much longer it has to be remembered, in us.
+    /// How much longer the entry has to be kept, in us.
     pub remaining: Time,
 }
 
@@ -77,23 +77,23 @@
     answer_bytes: usize,
     until: Time,
     running: bool,
-    /// None for one that another process entered.
+    /// `None` if another process entered the id.
     ticket: Option<T>,
 }
 
-/// Ids of charging bookings and what became of them. An id is entered before the first send and kept for `span`
-/// after it was entered; what is still within its span is never evicted.
+/// Ledger of repeat ids and their bookings. An id is entered before its request is first sent and kept for `span`
+/// after that; an entry is never evicted before its span is over.
 pub struct RepeatLedger<T> {
     capacity: LedgerSize,
     held: LedgerSize,
     span: Time,
-    /// All ids that were first sent since then, by the clock of this ledger, are known.
+    /// Every id that was first sent at or after this time is known, by the ledger's clock.
     complete_since: Time,
     kept: HashMap<String, Kept<T>>,
 }
 
 impl<T: Clone> RepeatLedger<T> {
-    /// A ledger that began at `began` and keeps each id for `span`.
+    /// Creates a ledger that is complete from `began` on and keeps each id for `span`.
     pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
         RepeatLedger {
             capacity,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Claims an id for a request. A new one is entered as running, with `ticket`.
+    /// Claims an id for a request. A new id is entered as running, with this ticket.
     pub fn claim(&mut self, id: &str, request: ClaimRequest, now: Time, ticket: T) -> Claim<T> {
         let ClaimRequest { fingerprint, answer_bytes, first_sent } = request;
         if let Some(kept) = self.kept.get(id) {
@@ -114,8 +114,9 @@
                 (None, _) => Claim::Elsewhere,
             };
         }
-        // An id is kept for `span` from its arrival, or from its first send should that lie ahead by the client's
-        // clock: one that is unknown, and was first sent within the span and since all is known, is provably new.
+        // An id is kept for `span` from its arrival, or from its first send if that is later by the client's clock.
+        // An unknown id that was first sent within the span, and since the ledger is complete, is therefore provably
+        // new.
         if first_sent < self.complete_since || now > first_sent.saturating_add(self.span) {
             return Claim::Unprovable;
         }
@@ -134,13 +135,13 @@
         self.kept.insert(id, kept);
     }
 
-    /// Whether there is no room for one more answer of `answer_bytes` bytes.
+    /// Whether there is no room for another answer of this size.
     pub fn is_full(&self, answer_bytes: usize) -> bool {
         self.held.ids >= self.capacity.ids
             || self.held.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
-    /// Removes some of the entries whose span is over, and returns their ids.
+    /// Removes some entries whose span is over, and returns their ids.
     pub fn remove_expired(&mut self, now: Time) -> Vec<String> {
         let expired = self.kept.iter().filter(|(_, kept)| !kept.running && now > kept.until);
         let expired: Vec<String> = expired.take(EXPIRED_PER_CALL_MAX).map(|(id, _)| id.clone()).collect();
@@ -148,21 +149,21 @@
         expired
     }
 
-    /// The request of an id has ended; its answer is kept.
+    /// Marks the request of an id as ended; its answer stays.
     pub fn ended(&mut self, id: &str) {
         if let Some(kept) = self.kept.get_mut(id) {
             kept.running = false;
         }
     }
 
-    /// Takes an id back whose request provably never ran, so that a retry may run it.
+    /// Removes an id whose request provably never ran, so that a retry may run it.
     pub fn forget(&mut self, id: &str) {
         if let Some(kept) = self.kept.remove(id) {
             self.held = self.held.minus(LedgerSize { ids: 1, bytes: kept.answer_bytes });
         }
     }
 
-    /// Enters an id that another process has entered; one that is known stays as it is.
+    /// Enters an id from another process; an id that is known already is left unchanged.
     pub fn insert_foreign(&mut self, id: String, entry: SharedEntry, now: Time) {
         if self.kept.contains_key(&id) {
             return;
@@ -178,39 +179,39 @@
         self.kept.keys().cloned().collect()
     }
 
-    /// An entry as other processes need to know it.
+    /// The entry of an id as shared with other processes.
     pub fn shared(&self, id: &str, now: Time) -> Option<SharedEntry> {
         let kept = self.kept.get(id)?;
         let remaining = kept.until.saturating_sub(now);
         Some(SharedEntry { fingerprint: kept.fingerprint, first_sent: kept.first_sent, remaining })
     }
 
-    /// How much it holds.
+    /// The size of what the ledger holds.
     pub fn held(&self) -> LedgerSize {
         self.held
     }
 
-    /// How much it may hold.
+    /// The ledger's capacity.
     pub fn capacity(&self) -> LedgerSize {
         self.capacity
     }
 
-    /// How much it may hold from now on; what it holds beyond that stays until its span is over.
+    /// Changes the capacity. Entries beyond a smaller capacity stay until their span is over.
     pub fn set_capacity(&mut self, capacity: LedgerSize) {
         self.capacity = capacity;
     }
 
-    /// How long ids count as remembered from now on.
+    /// Changes how long ids are kept.
     pub fn set_span(&mut self, span: Time) {
         self.span = span;
     }
 
-    /// All ids that were first sent since then are known.
+    /// Every id that was first sent at or after this time is known.
     pub fn complete_since(&self) -> Time {
         self.complete_since
     }
 
-    /// Ids that were first sent before that may be missing.
+    /// Sets the time before which ids may be missing.
     pub fn set_complete_since(&mut self, since: Time) {
         self.complete_since = since;
     }
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -1,51 +1,50 @@
-//! The member list as the module gets it: what discovery says, and what the operators say by hand, joined in this one
-//! place. It does no I/O and holds no clock.
+//! The member list as the router gets it: the list from discovery with the operators' suspensions applied. It does no
+//! I/O, and the caller supplies the time.
 //!
-//! A member that was taken out by hand is told as draining for as long as it is out, whatever discovery lists of it in
-//! the meantime; where discovery says that it is gone, it is gone. Being out goes by the member's id, so that it lasts
-//! over whole lists, over the member's leaving and over its return. Put back, a member counts as started at that
-//! moment, since whoever took it out is likely to have restarted it; a start since it went out that discovery knows of
-//! is better knowledge and wins.
+//! A suspended member is reported as draining until it is restored, whatever discovery lists of it in the meantime; a
+//! member that discovery reports as gone is gone. Suspensions are kept by member id, so they survive new lists and
+//! the member's leaving and returning. A restored member counts as started at the time of the restore, because it was
+//! probably restarted while it was suspended; a start after the suspension that discovery reports takes precedence.
 
 use crate::interface::{ListKind, Member, ServiceState, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Most members that may be out at a time.
+/// Maximum number of members that may be suspended at a time.
 pub const MAX_SUSPENDED: usize = 1_024;
-/// Most ids remembered of members that have left, and how long, in us: a call about one of them is no mistake.
+/// Maximum number of ids remembered of members that have left, and how long, in us: calls about them are accepted.
 const LEFT_MOST: usize = 4_096;
 const LEFT_KEPT: Time = 600_000_000;
-/// How long it is remembered that a member was put back, in us: much longer than any takes to warm up.
+/// How long a restore is remembered, in us: much longer than any member takes to warm up.
 const BACK_KEPT: Time = 600_000_000;
 
 /// An entry of the member list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedMember {
-    /// Its id, as the list names it.
+    /// Its id in the list.
     pub name: Arc<str>,
-    /// What the module needs to know.
+    /// The entry as the router needs it.
     pub member: Member,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
-/// Why a call about a member is refused.
+/// Why a member cannot be suspended or restored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspensionError {
-    /// No list has named it.
+    /// No list has named a member of this id.
     UnknownMember,
-    /// As many are out as may be.
+    /// The maximum number of members is suspended already.
     TooManySuspended,
 }
 
-/// What the operators said of a member.
+/// The latest suspension of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Suspension {
-    /// When they took it out.
+    /// When the operators suspended it.
     pub suspended_at: Time,
-    /// When they put it back; none: it is out.
+    /// When they restored it; `None` while it is suspended.
     pub restored_at: Option<Time>,
 }
 
@@ -55,25 +54,25 @@
     }
 }
 
-/// All that the operators said, by the members' ids.
+/// All suspensions, by the members' ids.
 pub type Suspensions = BTreeMap<Arc<str>, Suspension>;
 
-/// Both words on every member.
+/// The member list from discovery together with the operators' suspensions.
 #[derive(Debug, Default)]
 pub struct EffectiveList {
-    /// What discovery last said of the members that it lists.
+    /// The listed members, as last reported by discovery.
     listed: BTreeMap<Arc<str>, ListedMember>,
     hands: Suspensions,
-    /// Those that discovery no longer lists, and since when.
+    /// Members that discovery no longer lists, and since when.
     left: BTreeMap<Arc<str>, Time>,
-    /// Starts that others have seen and discovery may not know of.
+    /// Starts of warm-ups that discovery may not know of.
     begun: BTreeMap<Arc<str>, Time>,
-    /// Those that are out by hand for the whole fleet.
+    /// Members that are suspended in the whole fleet.
     fleet: BTreeSet<Arc<str>>,
 }
 
 impl EffectiveList {
-    /// Discovery's word, turned into what the module is to be told.
+    /// Takes in a list from discovery and returns it as the router has to get it.
     pub fn list(&mut self, kind: ListKind, entries: Vec<ListedMember>, now: Time) -> Vec<ListedMember> {
         if matches!(kind, ListKind::Disk | ListKind::Full) {
             let named: BTreeSet<&Arc<str>> = entries.iter().map(|e| &e.name).collect();
@@ -109,7 +108,7 @@
         self.begun.retain(|name, at| now < *at + BACK_KEPT && listed.contains_key(name));
     }
 
-    /// An entry of discovery's as the module is to see it.
+    /// A listed entry with the suspensions applied, as the router gets it.
     fn told(&self, mut entry: ListedMember) -> ListedMember {
         let member = &mut entry.member;
         if member.service_state == ServiceState::Active && self.fleet.contains(&entry.name) {
@@ -129,8 +128,9 @@
         entry
     }
 
-    /// A member was seen to begin its warm-up then; what the module is to be told, if that is later than it knows. It
-    /// lasts over later lists, until one no longer names the member: none is warmer than its latest start allows.
+    /// Takes in the start of a member's warm-up. Returns the entry for the router if the start is later than the
+    /// known one. The start is kept until a list no longer names the member: the warm-up counts from the latest known
+    /// start.
     pub fn warms(&mut self, name: &Arc<str>, at: Time) -> Option<ListedMember> {
         let known = self.again(name).map(|e| e.member.up_since);
         if known.is_some_and(|start| start >= Some(at)) {
@@ -140,17 +140,18 @@
         self.again(name)
     }
 
-    /// Discovery's word on the members that it lists.
+    /// The listed members, as reported by discovery.
     pub fn listed(&self) -> impl Iterator<Item = &ListedMember> {
         self.listed.values()
     }
 
-    /// What the module is to be told of a listed member.
+    /// The entry of a listed member, as the router gets it.
     pub fn again(&self, name: &str) -> Option<ListedMember> {
         self.listed.get(name).map(|entry| self.told(entry.clone()))
     }
 
-    /// The clock that lists tell starts by is by so many us further ahead than was thought; what the module is to be told.
+    /// The members' clock is ahead by `us` more than was assumed: adjusts the listed starts, and returns the changed
+    /// entries for the router.
     pub fn shift_starts(&mut self, us: i64) -> Vec<ListedMember> {
         let started = self.listed.values_mut().filter(|entry| entry.member.up_since.is_some());
         let names: Vec<Arc<str>> = started
@@ -162,21 +163,22 @@
         names.iter().filter_map(|name| self.again(name)).collect()
     }
 
-    /// Whether a member of this id may be called about: a list has named it, or another process of this proxy knew it.
+    /// Whether a member of this id may be suspended or restored: a list has named it, or another process of this
+    /// proxy knew it.
     pub fn knows(&self, name: &str) -> bool {
         self.listed.contains_key(name) || self.left.contains_key(name) || self.hands.contains_key(name)
     }
 
-    /// Whether any member is listed that may be sent to.
+    /// Whether any listed member can be sent requests.
     pub fn serves(&self) -> bool {
         let usable = |e: &ListedMember| e.member.service_state == ServiceState::Active;
         self.listed.values().any(|entry| usable(&self.told(entry.clone())))
     }
 
-    /// Takes a member out, which may be said more than once; what the module is to be told, if anything.
+    /// Suspends a member; suspending it again has no effect. Returns the changed entry for the router, if any.
     ///
     /// # Errors
-    /// Why that cannot be done.
+    /// Why the member cannot be suspended.
     pub fn suspend(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
         if !self.knows(name) {
             return Err(SuspensionError::UnknownMember);
@@ -187,19 +189,16 @@
         if self.hands.values().filter(|h| h.is_out()).count() >= MAX_SUSPENDED {
             return Err(SuspensionError::TooManySuspended);
         }
-        // Later than all that was said before, also by a process whose clock was ahead of this one's.
-        let before = self
-            .hands
-            .get(name)
-            .map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
+        // Later than the previous suspension and restore, even if those were made by a process whose clock was ahead.
+        let before = self.hands.get(name).map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
         self.hands.insert(name.into(), Suspension { suspended_at: now.max(before), restored_at: None });
         Ok(self.again(name))
     }
 
-    /// Puts a member back, however often it was taken out; what the module is to be told, if anything.
+    /// Restores a member, however often it was suspended. Returns the changed entry for the router, if any.
     ///
     /// # Errors
-    /// Why that cannot be done.
+    /// Why the member cannot be restored.
     pub fn restore(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
         if !self.knows(name) {
             return Err(SuspensionError::UnknownMember);
@@ -211,8 +210,8 @@
         Ok(self.again(name))
     }
 
-    /// These are out for the whole fleet, in place of all that were; what the module is to be told. One that comes back
-    /// counts as started now, like one that is put back here.
+    /// Replaces the set of members that are suspended in the whole fleet, and returns the changed entries for the
+    /// router. A member that is restored by this counts as started now, as after [`EffectiveList::restore`].
     pub fn fleet(&mut self, out: BTreeSet<Arc<str>>, now: Time) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.fleet, out);
         let back: Vec<Arc<str>> = former.difference(&self.fleet).cloned().collect();
@@ -222,13 +221,13 @@
         former.symmetric_difference(&self.fleet).filter_map(|name| self.again(name)).collect()
     }
 
-    /// All that the operators said.
+    /// All suspensions made by the operators.
     pub fn hands(&self) -> &Suspensions {
         &self.hands
     }
 
-    /// What the operators said to any process of this proxy, in place of what is known of it here; what the module is
-    /// to be told.
+    /// Replaces the suspensions by those known to all processes of this proxy, and returns the changed entries for
+    /// the router.
     pub fn adopt(&mut self, hands: Suspensions) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.hands, hands);
         let changed = |name: &&Arc<str>| former.get(*name) != self.hands.get(*name);
--- a/src/phases.rs
+++ b/src/phases.rs
@@ -1,45 +1,46 @@
-//! How far a process is on its way back to full service, and how long that took: the phases, what each waits for, and
-//! the first second in which its clients are served as before. It does no I/O and holds no clock; the core tells it what
-//! happens until full service is reached, and nothing after that.
+//! Startup of a process: its phases, what each of them waits for and how long it takes, up to the first second of
+//! full service. It does no I/O, and the caller supplies the time. Events are passed in only until full service is
+//! reached.
 //!
-//! Full service is what `docs/rig.md` measures from outside: the first second in which the share of good answers, served
-//! within their aim, is 98% of the share before. A process does not know that share, so that it goes by all of them.
+//! `docs/rig.md` defines full service as measured from outside: the first second in which the share of good answers,
+//! that is of those served within their aim, is 98% of the share before the restart. A process does not know that
+//! share and therefore requires 98% of all requests.
 
 use crate::interface::Time;
 use std::collections::VecDeque;
 use std::fmt::{self, Display};
 
-/// Full service: this share of good answers ...
+/// Share of good answers that counts as full service ...
 const FULL: f64 = 0.98;
-/// ... among what was asked within so long, in us.
+/// ... among the requests that arrived within this time, in us.
 const SECOND: Time = 1_000_000;
-/// Width of a step of the curve, in us.
+/// Width of the buckets in which requests are counted, in us.
 const STEP: Time = 10_000;
-/// Longest stays, in us. A process stays with what it waits for in listing, as it can serve nobody without a list; it goes
-/// on from the others, as no client may come who would tell.
+/// Time limits of the phases, in us. `Listing` continues after its limit, as nothing can be served without a list;
+/// the other phases end at their limit, as there may be no client whose requests could show that they are over.
 const LISTING_MOST: Time = 10_000_000;
 const CONFIRMING_MOST: Time = 5_000_000;
 const RAMPING_MOST: Time = 30_000_000;
 
-/// Where a process is.
+/// Phase of a process's startup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It reads its configuration and what was stored; clients are not taken yet.
+    /// Reads its configuration and stored state; clients are not accepted yet.
     Loading,
-    /// No list that it has names a member that could be asked: what clients ask is held.
+    /// No known list names a member that could be sent requests; requests are held.
     Listing,
-    /// No member has been heard yet: what is known of roles and positions is hints and bounds.
+    /// No member has answered yet; roles and positions are only known as hints and bounds.
     Confirming,
-    /// First connections and first writes come in turns; not all is served in time yet.
+    /// First connections and first writes are being spread over time; not everything is served within its aim yet.
     Ramping,
-    /// All is served as before.
+    /// Full service.
     Full,
 }
 
 const ALL: [Phase; 4] = [Phase::Loading, Phase::Listing, Phase::Confirming, Phase::Ramping];
 
 impl Phase {
-    /// Its name.
+    /// The phase's name.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Loading => "loading",
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What it waits for.
+    /// What the phase waits for.
     pub fn awaits(self) -> &'static str {
         match self {
             Phase::Loading => "configuration, store and sockets",
@@ -71,28 +72,28 @@
     }
 }
 
-/// What is to be told.
+/// A change to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum News {
-    /// A phase is over after so long, in us.
+    /// A phase has ended after this time, in us.
     Over(Phase, Time),
-    /// A phase lasts longer than it should.
+    /// A phase has exceeded its time limit.
     Overstayed(Phase),
-    /// Full service, or the end of waiting for it.
+    /// Full service was reached, or is no longer waited for.
     Full(Progress),
 }
 
-/// Where a process stands.
+/// How far the startup has come.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Progress {
-    /// The phase.
+    /// The current phase.
     pub phase: Phase,
-    /// Lengths of those that are over, in us.
+    /// Durations of the phases that have ended, in us.
     pub lasted: Vec<(Phase, Time)>,
-    /// Since the process began, in us; at full service until the good second began, which may be before the last phases
-    /// were over.
+    /// Time since the process started, in us. At full service, the time until the first good second began, which may
+    /// be before the last phases ended.
     pub since: Time,
-    /// Full service was seen; else nobody asked, or answers stayed bad for longer than is waited.
+    /// Whether full service was observed. If not, there were no requests, or answers stayed bad until the time limit.
     pub seen: bool,
 }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// Requests of a step: all, those that ended well, and those that ended otherwise.
+/// Counts of the requests that arrived within one bucket: all, those that ended well, and those that ended otherwise.
 #[derive(Debug, Clone, Copy, Default)]
 struct Step {
     asked: u32,
@@ -129,18 +130,18 @@
     bad: u32,
 }
 
-/// The way back of one process.
+/// Tracks the startup of one process.
 #[derive(Debug)]
 pub struct Returning {
     began: Time,
     phase: Phase,
-    /// When the phase began.
+    /// When the current phase began.
     entered: Time,
     lasted: Vec<(Phase, Time)>,
     heard: Option<Time>,
-    /// Told that this phase lasts too long.
+    /// Whether the current phase has been reported as exceeding its limit.
     overstayed: bool,
-    /// Steps from `from` on, of which those before the window that is looked at are forgotten.
+    /// Buckets from this time on; buckets before the current window have been dropped.
     from: Time,
     steps: VecDeque<Step>,
     seen: bool,
@@ -148,7 +149,7 @@
 }
 
 impl Returning {
-    /// A process that began at this time, or is thought to until it says when it serves.
+    /// Starts tracking a process that started at this time; [`StartupTracker::start_serving`] may correct the time.
     pub fn new(began: Time) -> Self {
         Returning {
             began,
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Whether it needs to hear no more.
+    /// Whether the startup is over and no more events are needed.
     pub fn over(&self) -> bool {
         self.phase == Phase::Full
     }
 
-    /// Clients are taken from now on, by a process that began then.
+    /// Clients are accepted from now on; `began` is when the process started.
     pub fn serves(&mut self, began: Time, now: Time) -> Vec<News> {
         let mut news = Vec::new();
         (self.began, self.entered, self.from) = (began, began, now);
@@ -198,14 +199,14 @@
         self.steps.get_mut(n)
     }
 
-    /// A request has come.
+    /// A request has arrived.
     pub fn asked(&mut self, now: Time) {
         if let Some(step) = self.step(now) {
             step.asked += 1;
         }
     }
 
-    /// One that came at `asked` has ended: served within its aim, or otherwise.
+    /// A request that arrived at `asked` has ended; `good` if it was served within its aim.
     pub fn ended(&mut self, asked: Time, good: bool) {
         if let Some(step) = self.step(asked) {
             step.good += u32::from(good);
@@ -221,7 +222,8 @@
         (self.entered, self.overstayed) = (now, false);
     }
 
-    /// Drops what can no longer be part of a good second, and tells the beginning of the first one, if there is one.
+    /// Drops buckets that can no longer be part of a good second, and returns the beginning of the first good second,
+    /// if there is one.
     fn second(&mut self, now: Time) -> Option<Time> {
         const STEPS: usize = (SECOND / STEP) as usize;
         while now >= self.from + SECOND {
@@ -233,7 +235,7 @@
             });
             let most = f64::from(all.asked) * (1.0 - FULL);
             if all.asked > 0 && f64::from(all.bad) <= most {
-                // Those still open may end either way.
+                // Open requests may still end either way.
                 let open = all.asked.saturating_sub(all.good + all.bad);
                 return (f64::from(all.bad + open) <= most).then_some(self.from);
             }
@@ -243,7 +245,7 @@
         None
     }
 
-    /// Looks at what has come of it by now; `named` says whether a member is listed that requests could go to.
+    /// Advances the phases; `named` tells whether any listed member can be sent requests.
     pub fn at(&mut self, now: Time, named: impl FnOnce() -> bool) -> Vec<News> {
         let mut news = Vec::new();
         if self.phase == Phase::Listing && named() {
@@ -254,7 +256,8 @@
         }
         if self.phase == Phase::Ramping {
             if let Some(begins) = self.second(now) {
-                // All may have been good from the first request on, before anything was confirmed.
+                // The good second may have begun before the last phases ended, if all answers were good from the
+                // start.
                 (self.seen, self.ended) = (true, begins);
                 self.next(begins.max(self.entered), &mut news);
             }
@@ -275,7 +278,7 @@
         news
     }
 
-    /// Where it stands.
+    /// How far the startup has come.
     pub fn progress(&self, now: Time) -> Progress {
         let until = if self.over() { self.ended } else { now };
         let since = until.saturating_sub(self.began);
@@ -290,7 +293,7 @@
     const MS: Time = 1_000;
     const BEGAN: Time = 5_000 * MS;
 
-    /// Requests at 20 a step of 10 ms from `from` on for so many steps, of which `bad` of 20 end badly, each 30 ms later.
+    /// Sends 20 requests per step of 10 ms, for this many steps from `from` on; `bad` of each 20 end badly.
     fn asks(way: &mut Returning, from: Time, steps: u64, bad: u64) {
         for n in 0..steps {
             for k in 0..20 {
@@ -341,7 +344,7 @@
         (0..45).for_each(|_| way.ended(BEGAN + 500 * MS, true));
         let news = way.at(BEGAN + 1_060 * MS, || true);
         assert_eq!(phases(&news), [Phase::Ramping]);
-        // Had they ended badly, no second with them would be good.
+        // If they had ended badly, no second that contains them would be good.
         let mut way = Returning::new(BEGAN);
         way.heard(BEGAN);
         way.serves(BEGAN, BEGAN);
@@ -386,7 +389,7 @@
         let told = way.progress(BEGAN + 9 * LISTING_MOST);
         assert_eq!((told.phase, told.since), (Phase::Listing, 9 * LISTING_MOST));
         assert!(told.to_string().contains("waits for a list that names a member: loading 0 ms"));
-        // What comes after all that is not kept for ever.
+        // Buckets after the time limits are not kept.
         asks(&mut way, BEGAN + 60_000 * MS, 10, 0);
         assert!(way.steps.len() < 5_000);
     }
--- a/src/router_export.rs
+++ b/src/router_export.rs
@@ -1,32 +1,33 @@
-//! What a router has learned, for another process of the same proxy that goes on from there. Beside the module, as
-//! nothing here decides anything: what it hands on is taken in as events like any other.
+//! Read access to what a router has learned, for another process of the same proxy that continues from there. It is
+//! not part of the `policy` module because it makes no decisions; the other process takes the facts in as ordinary
+//! events.
 
 use crate::interface::{MemberId, Position};
 use crate::knowledge::MemberFacts;
 use crate::policy::invariants::MemberLocation;
 use crate::policy::Router;
 
-/// What a router knows of a member, by its number.
+/// What a router knows of a member.
 #[derive(Debug, Clone)]
 pub struct LearnedMember {
     /// The member.
     pub id: MemberId,
-    /// What it has shown.
+    /// What the member has shown.
     pub facts: MemberFacts,
 }
 
 impl Router {
-    /// How many things it remembers, all kinds together.
+    /// Total number of entries in the router's tables.
     pub fn entry_count(&self) -> usize {
         self.members.len() + self.groups.len() + self.open.len() + self.held.len()
     }
 
-    /// The highest position heard of a member; 0: none.
+    /// The highest known position of a member; 0 if none.
     pub fn position(&self, member: MemberId) -> Position {
         self.members.get(&member).map_or(0, |m| m.position)
     }
 
-    /// Where a member stands; none where it is not known any more.
+    /// The zone and group of a member; `None` if the member is unknown.
     pub fn place(&self, member: MemberId) -> Option<MemberLocation> {
         self.members.get(&member).map(|m| MemberLocation { zone: m.zone, group: m.group })
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,16 +1,16 @@
-//! Settings as the operators name them, turned into [`Settings`]. The adapter reads them from its text wire, the
-//! proxy from JSON; both come here as flat `path = value` pairs. Unknown names are ignored, so that new ones do no
-//! harm; a bad or missing value ends in one plain message.
+//! Parses the operators' settings into [`Settings`]. The adapter reads them from its text protocol, the proxy from
+//! JSON; both are converted to flat `path = value` pairs first. Unknown names are ignored, so that newer settings can
+//! be read; a bad or missing value is reported with one message.
 
 use crate::interface::*;
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// Flat settings: `services.0.aim_us` = `200000`. A list of plain values is joined by commas.
+/// Flat settings, such as `services.0.aim_us` = `200000`. A list of plain values is joined by commas.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct FlatSettings(HashMap<String, String>);
 
-/// Names that the wires use for what the module numbers.
+/// Names used by the wire protocols for what the router knows by index.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
     /// Classes, in the order of [`Settings::classes`].
@@ -22,7 +22,7 @@
 }
 
 impl Names {
-    /// What is wrong with them: of classes and of tenants, no two may have one name.
+    /// Reports duplicate names among the classes and among the tenants.
     pub fn duplicates(&self) -> impl Iterator<Item = String> + '_ {
         [("class", &self.classes), ("tenant", &self.tenants)].into_iter().filter_map(|(what, list)| {
             let twice = list.iter().enumerate().find(|(n, name)| list[..*n].contains(name));
@@ -31,12 +31,12 @@
     }
 }
 
-/// Limits that concern sockets rather than decisions.
+/// Settings for sockets, which the router does not use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketTimes {
-    /// Idle connections are closed by the members' machines after this, in us.
+    /// The members' machines close idle connections after this time, in us.
     pub keepalive: Time,
-    /// Patience with a new connection, in us.
+    /// Time limit for establishing a connection, in us.
     pub connect_timeout: Time,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl FlatSettings {
-    /// Flattens nested JSON into pairs.
+    /// Flattens nested JSON.
     pub fn from_json(json: &serde_json::Value) -> Self {
         let mut pairs = FlatSettings::default();
         pairs.flatten(String::new(), json);
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Names that `running` has and these lack, those of lists of things aside: where all of the running list's have a
-    /// field, all of this one's must.
+    /// Keys that `running` has and these settings lack. For lists of services and tenants, a field that every entry
+    /// of the running list has is required in every entry of the new list.
     pub fn missing_keys(&self, running: &FlatSettings) -> Vec<String> {
         let within = |name: &str, list: &str| name.contains(&format!("{list}."));
         let listed = |name: &str| within(name, "services") || within(name, "tenants");
@@ -148,16 +148,16 @@
     /// Names of classes, tenants and zones.
     ///
     /// # Errors
-    /// When a class or tenant has no name.
+    /// If a class or tenant has no name.
     pub fn names(&self) -> Result<Names, String> {
         let (classes, tenants) = (self.names_under("services")?, self.names_under("tenants")?);
         Ok(Names { classes, tenants, zones: self.list("zones") })
     }
 
-    /// Times that concern sockets.
+    /// Times for sockets.
     ///
     /// # Errors
-    /// When one of them is malformed.
+    /// If one of them is malformed.
     pub fn socket_times(&self) -> Result<SocketTimes, String> {
         Ok(SocketTimes {
             keepalive: self.may("limits.keepalive_us")?.unwrap_or(30_000_000),
@@ -201,10 +201,10 @@
         })
     }
 
-    /// The settings of one router, with `seed` for its random numbers.
+    /// The settings of one router, with this seed for its random numbers.
     ///
     /// # Errors
-    /// With one plain message on the first value that is missing or malformed.
+    /// A message about the first value that is missing or malformed.
     pub fn settings(&self, seed: u64) -> Result<Settings, String> {
         let count: usize = self.must("services.count")?;
         let (needs, ages) = (self.list("family_info.needs_by_class"), self.list("family_info.max_age_us"));
@@ -260,7 +260,7 @@
         })
     }
 
-    /// Where nothing is told, a member in slow start gets no more than it can do.
+    /// If not set, a member in slow start is sent no more than its current capacity.
     fn fall_multiple(&self) -> Result<f64, String> {
         let told = self.may("rules.fall_multiple")?.unwrap_or(1.0);
         (f64::is_finite(told) && told > 0.0)
@@ -268,18 +268,18 @@
             .ok_or_else(|| Self::wrong("rules.fall_multiple", &told.to_string()))
     }
 
-    /// Where the positions of the adapter's wire are counted from.
+    /// The origin of the positions in the adapter's protocol.
     ///
     /// # Errors
-    /// When it is missing or malformed.
+    /// If it is missing or malformed.
     pub fn position_origin(&self) -> Result<Time, String> {
         self.must("family_info.counted_from_us")
     }
 
-    /// Seed of the adapter's wire.
+    /// Seed for the adapter's random numbers.
     ///
     /// # Errors
-    /// When it is missing or malformed.
+    /// If it is missing or malformed.
     pub fn entropy(&self) -> Result<u64, String> {
         self.must("entropy")
     }
