--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -17,13 +17,13 @@
     /// Classes by slot, including those that new requests may not name.
     pub classes: Vec<Class>,
     /// The slots of the classes that new requests may name.
-    open: Vec<bool>,
+    selectable: Vec<bool>,
 }
 
 impl ClassTable {
     /// The slot of a class that new requests may name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        (0..self.classes.len()).find(|slot| self.open[*slot] && self.names.classes[*slot] == name)
+        (0..self.classes.len()).find(|slot| self.selectable[*slot] && self.names.classes[*slot] == name)
     }
 
     /// The index of a tenant.
@@ -54,39 +54,37 @@
     pub fn replace(&mut self, names: Names, classes: Vec<Class>) -> Arc<ClassTable> {
         let old = std::mem::take(&mut self.current);
         self.former.push(Arc::downgrade(&old));
-        let mut next = ClassTable {
-            names: Names { classes: old.names.classes.clone(), ..names },
-            ..ClassTable::default()
-        };
-        (next.classes, next.open) = (old.classes.clone(), vec![false; old.classes.len()]);
+        let mut next =
+            ClassTable { names: Names { classes: old.names.classes.clone(), ..names }, ..ClassTable::default() };
+        (next.classes, next.selectable) = (old.classes.clone(), vec![false; old.classes.len()]);
         // Only requests hold former tables.
         drop(old);
         self.former.retain(|class_table| class_table.strong_count() > 0);
-        let held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
+        let still_held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
         let named: Vec<(String, Class)> = names.classes.into_iter().zip(classes).collect();
         // Unchanged classes first, so that no other class takes their slots.
-        let stays = |next: &ClassTable, (name, class): &(String, Class)| {
+        let find_unchanged = |next: &ClassTable, (name, class): &(String, Class)| {
             (0..next.classes.len()).find(|slot| {
-                !next.open[*slot] && next.names.classes[*slot] == *name && next.classes[*slot] == *class
+                !next.selectable[*slot] && next.names.classes[*slot] == *name && next.classes[*slot] == *class
             })
         };
         let mut new = Vec::new();
         for entry in named {
-            match stays(&next, &entry) {
-                Some(slot) => next.open[slot] = true,
+            match find_unchanged(&next, &entry) {
+                Some(slot) => next.selectable[slot] = true,
                 None => new.push(entry),
             }
         }
         for (name, class) in new {
-            let busy = |slot: usize| held.iter().any(|t| t.open.get(slot).is_some_and(|open| *open));
-            match (0..next.classes.len()).find(|slot| !next.open[*slot] && !busy(*slot)) {
+            let in_use = |slot: usize| still_held.iter().any(|t| t.selectable.get(slot).is_some_and(|selectable| *selectable));
+            match (0..next.classes.len()).find(|slot| !next.selectable[*slot] && !in_use(*slot)) {
                 Some(slot) => {
-                    (next.names.classes[slot], next.classes[slot], next.open[slot]) = (name, class, true);
+                    (next.names.classes[slot], next.classes[slot], next.selectable[slot]) = (name, class, true);
                 }
                 None => {
                     next.names.classes.push(name);
                     next.classes.push(class);
-                    next.open.push(true);
+                    next.selectable.push(true);
                 }
             }
         }
@@ -118,7 +116,7 @@
     }
 
     #[test]
-    fn a_class_keeps_its_slot_and_a_changed_one_gets_another_while_a_request_holds_it() {
+    fn an_unchanged_class_keeps_its_slot_and_a_changed_one_gets_another_while_a_request_holds_it() {
         let mut slots = ClassSlots::default();
         let first = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         let (a, b) = (first.class("a"), first.class("b"));
@@ -141,7 +139,7 @@
     }
 
     #[test]
-    fn a_dropped_class_has_no_name_for_new_requests() {
+    fn new_requests_cannot_name_a_removed_class() {
         let mut slots = ClassSlots::default();
         let first = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         let second = change(&mut slots, &[("a", Effect::Safe)]);
@@ -151,15 +149,15 @@
     }
 
     #[test]
-    fn a_thousand_changes_take_no_more_slots_than_open_requests_need() {
+    fn a_thousand_reloads_take_no_more_slots_than_open_requests_need() {
         let mut slots = ClassSlots::default();
-        let held = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
+        let still_held = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         for n in 0..1_000 {
             let (x, y) = (format!("x{n}"), format!("y{n}"));
             let class_table =
                 change(&mut slots, &[(&x, Effect::Safe), ("b", Effect::Unsafe), (&y, Effect::Unsafe)]);
             assert!(class_table.classes.len() <= 7, "{}", class_table.classes.len());
-            assert_eq!(class_table.classes[0], held.classes[0]);
+            assert_eq!(class_table.classes[0], still_held.classes[0]);
         }
         assert!(slots.former.len() <= 2);
     }
--- a/src/console_client.rs
+++ b/src/console_client.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 /// Time limit for connecting and for the answer; a console has to answer within a second.
-const PATIENCE: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Maximum length of an answer, in bytes; enough for a fleet of hundreds of proxies.
-const LONGEST: u64 = 256 * 1024;
+const MAX_ANSWER_BYTES: u64 = 256 * 1024;
 
 /// The status of a running process.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,12 +33,12 @@
     let bad = |e: std::io::Error| format!("console {console}: {e}");
     let nobody = || format!("console {console}: no such address");
     let address = console.to_socket_addrs().map_err(bad)?.next().ok_or_else(nobody)?;
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(bad)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(bad)?;
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).map_err(bad)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(bad)?;
     stream.write_all(format!("{line}\n").as_bytes()).map_err(bad)?;
     let mut answer = String::new();
     // A process that is not a console may send data without end.
-    stream.take(LONGEST).read_to_string(&mut answer).map_err(bad)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).map_err(bad)?;
     match answer.split_once('\n') {
         Some((answer, "")) if answer.starts_with("200 ") || answer.starts_with("400 ") => {
             Ok(answer.to_string())
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -14,7 +14,7 @@
 use crate::effective_list::EffectiveList;
 use crate::interface::*;
 use crate::knowledge::evidence::Recalled;
-use crate::phases::Returning;
+use crate::phases::StartupTracker;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
 use bytes::Bytes;
@@ -26,15 +26,15 @@
 use tokio::time::Instant;
 
 /// Maximum number of messages per step.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// One of this many discarded answers is logged as a warning.
-const STALE_ANSWERS_TOLD: u64 = 1_000;
+const STALE_ANSWERS_PER_WARNING: u64 = 1_000;
 /// A failure this close to the deadline or later, in us, is reported as late.
-const LATE_LEAD: Time = 20_000;
+const LATE_MARGIN: Time = 20_000;
 /// Number of sessions whose last commit is remembered.
-const SESSIONS: usize = 16_384;
+const MAX_SESSIONS: usize = 16_384;
 
-fn given_up(why: GiveUpReason) -> Count {
+fn given_up_counter(why: GiveUpReason) -> Count {
     match why {
         GiveUpReason::NoTime => Count::given_up_no_time,
         GiveUpReason::HalfTimeOver => Count::given_up_half_time_over,
@@ -45,7 +45,7 @@
     }
 }
 
-fn ended_count(outcome: Outcome) -> Count {
+fn outcome_counter(outcome: Outcome) -> Count {
     match outcome {
         Outcome::Completed => Count::completed,
         Outcome::Errored => Count::errored,
@@ -68,31 +68,31 @@
     pub(super) clock: Clock,
     mailbox: mpsc::Receiver<Input>,
     /// Control commands, read before the mailbox: a full mailbox must not delay them.
-    pub(super) orders: mpsc::Receiver<CoreCommand>,
+    pub(super) commands: mpsc::Receiver<CoreCommand>,
     /// Replies to commands, sent once the router has taken in their effect.
-    pub(super) taken: Vec<(oneshot::Sender<SuspensionResult>, SuspensionResult)>,
-    pub(super) overlay: EffectiveList,
+    pub(super) suspension_replies: Vec<(oneshot::Sender<SuspensionResult>, SuspensionResult)>,
+    pub(super) effective_list: EffectiveList,
     /// The exchange of commits with another process of this proxy, while there is one.
     pub(super) peer_commits: Option<Box<dyn CommitExchange>>,
     live: FxHashMap<RequestId, LiveRequest>,
     /// The ids that clients gave to the requests in `live`.
-    names: HashSet<Bytes>,
+    open_client_ids: HashSet<Bytes>,
     pub(super) sessions: SessionLedger,
     /// Stored facts about members, kept until a list tells what they may be used for.
-    pub(super) recalled: Recalled,
+    pub(super) stored_facts: Recalled,
     /// Up to this time, sessions whose reads carry no position may have written without this process knowing it.
-    pub(super) blind: Position,
+    pub(super) unmarked_writes_until: Position,
     /// Until this time, suspensions made by the operators may be missing.
-    pub(super) unconfirmed: Time,
+    pub(super) unconfirmed_until: Time,
     /// Tracks the startup until full service is reached.
-    pub(super) returning: Returning,
+    pub(super) startup: StartupTracker,
     /// The lease on the rules, if they are valid by a lease.
     pub(super) lease: Option<Lease>,
     /// The members' clock, and its offset when the starts in the member lists were last converted.
     pub(super) member_clock: MemberClock,
-    pub(super) listed_at_offset: i64,
+    pub(super) listed_offset: i64,
     /// Events that followed immediately from actions, for the next step.
-    pub(super) local: VecDeque<Event>,
+    pub(super) next_events: VecDeque<Event>,
     wake: Option<Time>,
     /// Reused between steps to keep its allocation.
     actions: Vec<Action>,
@@ -107,7 +107,7 @@
         settings: Settings,
         members: M,
         clock: Clock,
-        (mailbox, orders): (mpsc::Receiver<Input>, mpsc::Receiver<CoreCommand>),
+        (mailbox, commands): (mpsc::Receiver<Input>, mpsc::Receiver<CoreCommand>),
     ) -> Result<Self, SettingsError> {
         let max_attempts = settings.max_attempts as usize;
         Ok(Actor {
@@ -116,21 +116,21 @@
             members,
             clock,
             mailbox,
-            orders,
-            taken: Vec::new(),
-            overlay: EffectiveList::default(),
+            commands,
+            suspension_replies: Vec::new(),
+            effective_list: EffectiveList::default(),
             peer_commits: None,
             live: FxHashMap::default(),
-            names: HashSet::new(),
-            sessions: SessionLedger::new(SESSIONS),
-            recalled: Recalled::default(),
-            blind: 0,
-            unconfirmed: 0,
-            returning: Returning::new(clock.now()),
+            open_client_ids: HashSet::new(),
+            sessions: SessionLedger::new(MAX_SESSIONS),
+            stored_facts: Recalled::default(),
+            unmarked_writes_until: 0,
+            unconfirmed_until: 0,
+            startup: StartupTracker::new(clock.now()),
             lease: None,
             member_clock: MemberClock::default(),
-            listed_at_offset: 0,
-            local: VecDeque::new(),
+            listed_offset: 0,
+            next_events: VecDeque::new(),
             wake: None,
             actions: Vec::new(),
         })
@@ -138,34 +138,34 @@
 
     /// Runs until all handles are dropped.
     pub async fn run(mut self) {
-        let mut inputs = Vec::with_capacity(BATCH);
-        let mut events = Vec::with_capacity(BATCH + 1);
+        let mut inputs = Vec::with_capacity(MAX_BATCH);
+        let mut events = Vec::with_capacity(MAX_BATCH + 1);
         // Reset only if the wake-up time has changed, which is rare.
-        let (mut timer, mut set) = (pin!(tokio::time::sleep_until(Instant::now())), None);
-        let mut asked = true;
+        let (mut timer, mut armed_for) = (pin!(tokio::time::sleep_until(Instant::now())), None);
+        let mut commands_open = true;
         loop {
-            if self.wake != set {
-                set = self.wake;
-                if let Some(at) = set {
+            if self.wake != armed_for {
+                armed_for = self.wake;
+                if let Some(at) = armed_for {
                     timer.as_mut().reset(self.clock.instant(at));
                 }
             }
             let woken = tokio::select! {
                 biased;
-                order = self.orders.recv(), if asked => {
-                    match order {
-                        Some(order) => events.extend(self.order(order)),
-                        None => asked = false,
+                command = self.commands.recv(), if commands_open => {
+                    match command {
+                        Some(command) => events.extend(self.handle_command(command)),
+                        None => commands_open = false,
                     }
                     false
                 }
-                n = self.mailbox.recv_many(&mut inputs, BATCH) => {
+                n = self.mailbox.recv_many(&mut inputs, MAX_BATCH) => {
                     if n == 0 {
                         return;
                     }
                     false
                 }
-                () = timer.as_mut(), if set.is_some() => true,
+                () = timer.as_mut(), if armed_for.is_some() => true,
             };
             let now = self.clock.now();
             if woken || self.wake.is_some_and(|t| now >= t) {
@@ -173,70 +173,70 @@
                 events.extend(self.wake.take().map(|tag| Event::Wake { tag }));
             }
             for input in inputs.drain(..) {
-                events.extend(self.take(input, now));
+                events.extend(self.handle_input(input, now));
             }
-            self.follow_member_clock();
+            self.apply_clock_offset();
             self.step(now, &events);
             events.clear();
-            while !self.local.is_empty() {
-                events.extend(self.local.drain(..));
+            while !self.next_events.is_empty() {
+                events.extend(self.next_events.drain(..));
                 self.step(now, &events);
                 events.clear();
             }
-            for (reply, answer) in self.taken.drain(..) {
+            for (reply, answer) in self.suspension_replies.drain(..) {
                 let _ = reply.send(answer);
             }
-            self.look_back(now);
+            self.advance_startup(now);
         }
     }
 
     /// Passes a list to the members' side and returns the event that passes it to the router.
-    pub(super) fn told(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
+    pub(super) fn list_event(&mut self, kind: ListKind, entries: Vec<ListedMember>) -> Event {
         self.members.update_list(kind, &entries);
         Event::List { kind, members: entries.into_iter().map(|e| e.member).collect() }
     }
 
-    fn take(&mut self, input: Input, now: Time) -> Option<Event> {
+    fn handle_input(&mut self, input: Input, now: Time) -> Option<Event> {
         match input {
             Input::Submit(id, request, reply) => self.submit(id, request, reply, now),
             Input::Disconnected(id) => {
                 let live = self.live.get_mut(&id)?;
                 live.reply.take()?;
-                self.returning.ended(live.came, false);
+                self.startup.request_ended(live.arrived_at, false);
                 count(Count::left);
                 self.withdraw(id);
-                self.settle(id);
+                self.remove_if_done(id);
                 Some(Event::Disconnected { id })
             }
             Input::Abandoned(id) => {
                 let live = self.live.get_mut(&id).filter(|live| live.reply.is_some())?;
                 live.abandoned = true;
-                let untouched = live.untouched();
+                let had_no_effect = live.had_no_effect();
                 self.withdraw(id);
-                untouched.then(|| {
+                had_no_effect.then(|| {
                     self.answer(id, Answer::Refused(None));
                     Event::Disconnected { id }
                 })
             }
-            Input::Ended(id, attempt, ending) => self.ended(id, attempt, ending, now),
+            Input::Ended(id, attempt, end) => self.attempt_ended(id, attempt, end, now),
             Input::Probed(member, report, spent) => {
                 let ok = report.is_some();
                 count(if ok { Count::probes } else { Count::probes_failed });
                 if ok {
-                    self.returning.heard(now);
+                    self.startup.member_answered(now);
                 }
                 // A report that cannot be true only shows that the member answers.
-                let heard = |report| self.heard_report(report, spent, now).unwrap_or_default();
+                let heard = |report| self.localize_report(report, spent, now).unwrap_or_default();
                 Some(Event::Probed { member, ok, report: report.map(heard) })
             }
             Input::List(kind, mut entries) => {
-                self.listed_locally(&mut entries);
-                let entries = self.overlay.list(kind, entries, now);
-                let told = self.told(kind, entries);
-                if kind != ListKind::Failed && !self.recalled.is_empty() {
-                    self.confirm(kind != ListKind::Disk);
+                self.localize_starts(&mut entries);
+                let entries = self.effective_list.list(kind, entries, now);
+                let event = self.list_event(kind, entries);
+                if kind != ListKind::Failed && !self.stored_facts.is_empty() {
+                    self.apply_stored_facts(kind != ListKind::Disk);
                 }
-                Some(told)
+                Some(event)
             }
         }
     }
@@ -244,7 +244,7 @@
     /// Withdraws the request's attempts that still wait for a connection, so that they do not begin after the client
     /// has gone. Attempts that have begun are stopped by the router.
     fn withdraw(&mut self, id: RequestId) {
-        for (number, member) in self.live.get(&id).iter().flat_map(|live| live.numbered()) {
+        for (number, member) in self.live.get(&id).iter().flat_map(|live| live.numbered_attempts()) {
             self.members.withdraw(member, id, number);
         }
     }
@@ -262,7 +262,7 @@
         };
         // Members identify a request by its id: a second one under the same id could end the first or be taken for
         // it.
-        if request.name.as_ref().is_some_and(|name| !self.names.insert(name.clone())) {
+        if request.name.as_ref().is_some_and(|name| !self.open_client_ids.insert(name.clone())) {
             count(Count::taken_ids);
             let _ = reply.send(Answer::Taken);
             return None;
@@ -271,14 +271,14 @@
         // commit. Members check only what the read carries; for a later commit the router must choose by proven
         // positions.
         if need == Consistency::Session {
-            self.catch_up();
+            self.sync_peer_commits();
         }
-        let carried = request.after.map_or(0, |told| self.member_clock.to_local(told));
+        let carried = request.after.map_or(0, |at| self.member_clock.to_local(at));
         let written = sessions(&request).map(|s| self.sessions.written(s)).max().unwrap_or(0);
         // Where the protocol has no mark for "never wrote", a read without a position may be of a session that wrote
         // through an earlier process.
         let unmarked = request.after.is_none() && matches!(request.work, Work::Operation(_));
-        let written = if unmarked { written.max(self.blind) } else { written };
+        let written = if unmarked { written.max(self.unmarked_writes_until) } else { written };
         let unseen = if need == Consistency::Session && written > carried { written } else { 0 };
         let event = Event::Request {
             id,
@@ -298,61 +298,61 @@
             "taken"
         );
         self.live.insert(id, LiveRequest::new(request, now, reply, unseen));
-        self.returning.asked(now);
+        self.startup.request_arrived(now);
         Some(event)
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ending: AttemptEnd, now: Time) -> Option<Event> {
-        count(ended_count(ending.outcome));
+    fn attempt_ended(&mut self, id: RequestId, attempt: u32, end: AttemptEnd, now: Time) -> Option<Event> {
+        count(outcome_counter(end.outcome));
         let member = self.live.get(&id).and_then(|live| live.member(attempt)).map_or(0, |member| member.0);
         log::debug!(
-            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, outcome:? = ending.outcome, us = ending.spent;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, outcome:? = end.outcome, us = end.spent;
             "attempt ended"
         );
         let live = self.live.get_mut(&id)?;
-        live.end_attempt(attempt, ending.outcome);
-        let AttemptEnd { outcome, value, note, report, spent } = ending;
-        let note = note.map(|note| self.heard_note(note, spent, now));
-        let report = report.and_then(|report| self.heard_report(report, spent, now));
-        let outcome = self.usable(id, attempt, outcome, note);
+        live.end_attempt(attempt, end.outcome);
+        let AttemptEnd { outcome, value, note, report, spent } = end;
+        let note = note.map(|note| self.localize_note(note, spent, now));
+        let report = report.and_then(|report| self.localize_report(report, spent, now));
+        let outcome = self.checked_outcome(id, attempt, outcome, note);
         if outcome == Outcome::Completed {
-            self.completed(id, attempt, value, note, now);
+            self.attempt_completed(id, attempt, value, note, now);
         }
         if outcome.answered() {
-            self.returning.heard(now);
+            self.startup.member_answered(now);
         }
         let live = self.live.get_mut(&id)?;
-        let abandoned = live.abandoned && live.untouched();
+        let abandoned = live.abandoned && live.had_no_effect();
         let complete = live.reply.is_none() || abandoned;
         if abandoned {
             self.answer(id, Answer::Refused(None));
         }
-        self.settle(id);
+        self.remove_if_done(id);
         Some(Event::Ended { id, attempt, outcome, complete, spent, note, report })
     }
 
     /// The outcome to report to the router. A member that was wrongly taken for the primary, or for more recent than
     /// it is, may have served a session read without the session's last write. Such an answer is not passed on, but
     /// the attempt still counts as run.
-    fn usable(&self, id: RequestId, attempt: u32, outcome: Outcome, note: Option<Note>) -> Outcome {
+    fn checked_outcome(&self, id: RequestId, attempt: u32, outcome: Outcome, note: Option<Note>) -> Outcome {
         let Some(live) = self.live.get(&id).filter(|_| outcome == Outcome::Completed) else { return outcome };
-        if live.shows_session(attempt, note.as_ref()) {
+        if live.reflects_session(attempt, note.as_ref()) {
             return outcome;
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
-        if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_TOLD) {
+        if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_PER_WARNING) {
             log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "answer discarded: it may lack the last write of its session");
         }
         count(Count::stale_caught);
         log::debug!(
-            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, note:?, unseen = live.unseen;
+            target: REQUEST_LOG_TARGET, id = id.0, attempt, member, note:?, unseen = live.unchecked_position;
             "answer discarded: it is not proven to be recent enough"
         );
         Outcome::Stale
     }
 
     /// Handles a usable answer: remembers the commit of a write, and sends the first value to the client.
-    fn completed(
+    fn attempt_completed(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -363,32 +363,32 @@
         let Some(live) = self.live.get_mut(&id) else { return };
         let write = live.class().consistency == Consistency::Write;
         // If the commit's position cannot be read, the current time is a safe upper bound.
-        let told = note.and_then(|note| note.position);
-        let position = told.or_else(|| write.then(|| self.clock.now()));
+        let reported = note.and_then(|note| note.position);
+        let position = reported.or_else(|| write.then(|| self.clock.now()));
         // Remembered before the answer is sent, because the client may read as soon as it has the answer.
         if let (true, Some(commit)) = (write, position) {
             for session in sessions(&live.request) {
                 self.sessions.record_commit(session, commit);
-                let told = self.member_clock.to_member(commit);
-                self.peer_commits.iter_mut().for_each(|other| other.record_commit(session, told));
+                let member_time = self.member_clock.to_member(commit);
+                self.peer_commits.iter_mut().for_each(|peer| peer.record_commit(session, member_time));
             }
         }
-        let in_time = now <= live.came + live.class().aim;
+        let in_time = now <= live.arrived_at + live.class().aim;
         if let (Some(value), Some(reply)) = (value, live.reply.take()) {
             count(Count::served);
             let member = live.member(attempt).map_or(0, |member| member.0);
             log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt, member; "served");
             let commit = position.map(|local| self.member_clock.to_member(local));
             let _ = reply.send(Answer::Served(value, commit));
-            self.returning.ended(live.came, in_time);
+            self.startup.request_ended(live.arrived_at, in_time);
         }
     }
 
     /// Removes a request that has been answered and has no attempt in flight.
-    fn settle(&mut self, id: RequestId) {
-        if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.out() == 0) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.live.get(&id).is_some_and(|l| l.reply.is_none() && l.in_flight() == 0) {
             let name = self.live.remove(&id).and_then(|l| l.request.name);
-            name.map(|name| self.names.remove(&name));
+            name.map(|name| self.open_client_ids.remove(&name));
         }
     }
 
@@ -396,7 +396,7 @@
         let Some(live) = self.live.get_mut(&id) else { return };
         let Some(reply) = live.reply.take() else { return };
         log::debug!(
-            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempts(), out = live.out(),
+            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempt_count(), out = live.in_flight(),
             may_have_run = live.may_have_run();
             "answered without a value"
         );
@@ -406,27 +406,27 @@
             _ => Count::failed,
         });
         let _ = reply.send(answer);
-        self.returning.ended(live.came, false);
-        self.settle(id);
+        self.startup.request_ended(live.arrived_at, false);
+        self.remove_if_done(id);
     }
 
     fn fail(&mut self, id: RequestId, now: Time) {
-        let late = self.live.get(&id).is_some_and(|live| now + LATE_LEAD >= live.request.deadline);
+        let late = self.live.get(&id).is_some_and(|live| now + LATE_MARGIN >= live.request.deadline);
         self.answer(id, if late { Answer::Late } else { Answer::Failed });
     }
 
     fn step(&mut self, now: Time, events: &[Event]) {
         let mut actions = std::mem::take(&mut self.actions);
         // Checked before each step: after a pause, the process must not decide by rules whose lease has expired.
-        if let Some(settings) = self.lease.as_mut().and_then(|lease| lease.turns(now)) {
+        if let Some(settings) = self.lease.as_mut().and_then(|lease| lease.take_change(now)) {
             self.router.step(now, &[Event::Settings(settings)], &mut actions);
         }
         self.router.step(now, events, &mut actions);
-        actions.drain(..).for_each(|action| self.act(now, action));
+        actions.drain(..).for_each(|action| self.carry_out(now, action));
         self.actions = actions;
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Send { id, member, stop_at } => self.send(now, id, member, stop_at),
             Action::Cancel { id, attempt } => {
@@ -434,31 +434,31 @@
                     self.members.cancel(member, id, attempt);
                 }
             }
-            Action::Refuse { id, .. } if self.live.get(&id).is_some_and(LiveRequest::repeat_would_be_new) => {
+            Action::Refuse { id, .. } if self.live.get(&id).is_some_and(LiveRequest::retry_would_run_again) => {
                 self.fail(id, now);
             }
             Action::Refuse { id, retry_after } => {
-                let kept = self.live.get(&id).map_or(Ok(()), |live| live.progress().may_refuse());
-                if let Err(violation) = kept {
+                let allowed = self.live.get(&id).map_or(Ok(()), |live| live.progress().may_refuse());
+                if let Err(violation) = allowed {
                     report_violation(id, None, violation);
                     return self.answer(id, Answer::Failed);
                 }
                 self.answer(id, Answer::Refused(retry_after));
             }
             Action::Explain { id, reason } => {
-                count(given_up(reason));
+                count(given_up_counter(reason));
                 log::debug!(target: REQUEST_LOG_TARGET, id = id.0, why:? = reason; "given up");
             }
             Action::Fail { id } => self.fail(id, now),
             Action::Probe { member } => {
                 if !self.members.probe(member) {
-                    self.local.push_back(Event::Probed { member, ok: false, report: None });
+                    self.next_events.push_back(Event::Probed { member, ok: false, report: None });
                 }
             }
             Action::CloseIdle { member } => self.members.close_idle(member),
             Action::Subscribe => {
                 if !self.members.subscribe() {
-                    self.local.push_back(Event::List { kind: ListKind::Failed, members: Vec::new() });
+                    self.next_events.push_back(Event::List { kind: ListKind::Failed, members: Vec::new() });
                 }
             }
             Action::Wake { after, .. } => {
@@ -472,9 +472,9 @@
     fn send(&mut self, now: Time, id: RequestId, member: MemberId, stop_at: Option<Time>) {
         let Some(live) = self.live.get_mut(&id) else { return };
         let progress = live.progress();
-        let first = live.first_possible_member().and_then(|first| self.router.place(first));
+        let first = live.first_maybe_run_member().and_then(|first| self.router.place(first));
         let to = self.router.place(member);
-        let kept =
+        let allowed =
             progress.may_send(now).and_then(|()| progress.may_go_to(to, first.map(|first| first.zone)));
         let number = live.begin_attempt(member, now, self.router.position(member));
         let stop_at = stop_at.unwrap_or(Time::MAX).min(live.request.deadline);
@@ -492,20 +492,20 @@
             dedup_until: progress.dedup_until(),
             fresh_until: self.router.fresh_until(live.request.group, member, live.class().consistency),
             client: live.request.client.clone().filter(|_| !live.abandoned),
-            client_seen: live.came,
+            client_seen: live.arrived_at,
         };
-        let may = live.reply.is_some() && now < stop_at && live.attempts() <= self.max_attempts;
-        if let Err(violation) = kept {
+        let can_send = live.reply.is_some() && now < stop_at && live.attempt_count() <= self.max_attempts;
+        if let Err(violation) = allowed {
             report_violation(id, Some(member), violation);
         }
-        if may && kept.is_ok() && self.members.start_attempt(member, attempt) {
+        if can_send && allowed.is_ok() && self.members.start_attempt(member, attempt) {
             count(Count::attempts);
             log::debug!(target: REQUEST_LOG_TARGET, id = id.0, attempt = number, member = member.0; "sent");
             return;
         }
         live.end_attempt(number, Outcome::Superseded);
         count(Count::superseded);
-        self.local.push_back(Event::Ended {
+        self.next_events.push_back(Event::Ended {
             id,
             attempt: number,
             outcome: Outcome::Superseded,
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -1,4 +1,5 @@
-//! What the actor makes of what others have learned.
+//! Tests of the core's actor: facts from another process and from the store, repeats, session reads and bounded
+//! reads.
 
 use super::*;
 use crate::class_table::{ClassSlots, ClassTable};
@@ -6,13 +7,13 @@
 use crate::net::member_state::SharedMemberState;
 use std::net::SocketAddr;
 
-/// Members that only stand there, and what they were given.
+/// Members that do nothing but record their attempts.
 #[derive(Default)]
-struct Still {
+struct RecordingMembers {
     attempts: Vec<Attempt>,
 }
 
-impl Members for Still {
+impl Members for RecordingMembers {
     fn start_attempt(&mut self, _: MemberId, attempt: Attempt) -> bool {
         self.attempts.push(attempt);
         true
@@ -32,7 +33,7 @@
 
 fn settings() -> Settings {
     let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
-    pairs.settings(1).expect("sound settings")
+    pairs.settings(1).expect("valid settings")
 }
 
 pub(super) fn listed(id: u32, start: Option<Time>) -> ListedMember {
@@ -41,17 +42,17 @@
     ListedMember { name: format!("m{id}").into(), address: SocketAddr::from(([127, 0, 0, 1], 9)), member }
 }
 
-/// An actor that has heard a list of these.
-fn actor(members: Vec<ListedMember>) -> Actor<Still> {
+/// An actor that has received a list of these members.
+fn actor(members: Vec<ListedMember>) -> Actor<RecordingMembers> {
     actor_with(settings(), members)
 }
 
-/// The same with settings of its own.
-fn actor_with(settings: Settings, members: Vec<ListedMember>) -> Actor<Still> {
-    let (clock, inbox, orders) = (Clock::start(), mpsc::channel(1).1, mpsc::channel(1).1);
-    let mut actor = Actor::new(settings, Still::default(), clock, (inbox, orders)).expect("sound settings");
+/// The same with these settings.
+fn actor_with(settings: Settings, members: Vec<ListedMember>) -> Actor<RecordingMembers> {
+    let (clock, mailbox, commands) = (Clock::start(), mpsc::channel(1).1, mpsc::channel(1).1);
+    let mut actor = Actor::new(settings, RecordingMembers::default(), clock, (mailbox, commands)).expect("valid settings");
     let now = actor.clock.now();
-    let event = actor.take(Input::List(ListKind::Full, members), now).expect("the module hears of it");
+    let event = actor.handle_input(Input::List(ListKind::Full, members), now).expect("an event for the router");
     actor.step(now, &[event]);
     actor
 }
@@ -63,32 +64,32 @@
 }
 
 #[test]
-fn what_another_process_has_learned_is_told_to_the_module_once_and_only_where_it_is_news() {
+fn facts_from_another_process_reach_the_router_once_and_only_if_they_are_new() {
     in_runtime(|| {
         let mut actor = actor(vec![listed(1, None), listed(2, None)]);
         let now = actor.clock.now();
         let facts = |position| MemberFacts { position, primary: Some(false), ..MemberFacts::default() };
-        let told = |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
-        let first = actor.learn(&told(now - 5_000));
+        let known_with = |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
+        let first = actor.learn(&known_with(now - 5_000));
         assert!(matches!(&first[..], [Event::Probed { member: MemberId(1), ok: true, .. }]), "{first:?}");
         actor.step(now, &first);
-        // The same again would only make a member that is in doubt here be tried on hearsay.
-        assert_eq!(actor.learn(&told(now - 5_000)), []);
-        assert_eq!(actor.learn(&told(now - 6_000)), []);
-        assert_eq!(actor.learn(&told(now - 1_000)).len(), 1);
-        // Nobody here has heard of the third.
-        let stranger = Known { members: [("m3".into(), facts(now))].into(), ..Known::default() };
-        assert_eq!(actor.learn(&stranger), []);
+        // Repeating a fact would only cause a member that is in doubt here to be tried without a new reason.
+        assert_eq!(actor.learn(&known_with(now - 5_000)), []);
+        assert_eq!(actor.learn(&known_with(now - 6_000)), []);
+        assert_eq!(actor.learn(&known_with(now - 1_000)).len(), 1);
+        // No list here has named the third member.
+        let unknown_member = Known { members: [("m3".into(), facts(now))].into(), ..Known::default() };
+        assert_eq!(actor.learn(&unknown_member), []);
     });
 }
 
-fn recalled(members: &[(&str, MemberFacts)]) -> Knowledge {
+fn stored_knowledge(members: &[(&str, MemberFacts)]) -> Knowledge {
     let members = members.iter().map(|(name, facts)| ((*name).into(), facts.clone())).collect();
     Knowledge { known: Known { members, ..Known::default() }, ..Knowledge::default() }
 }
 
 #[test]
-fn a_stored_position_counts_once_a_list_of_this_process_names_the_same_start_and_never_otherwise() {
+fn a_stored_position_counts_only_if_a_new_list_names_the_same_start() {
     in_runtime(|| {
         let start = Some(1_000_000);
         let facts = MemberFacts { start, position: 5_000_000, primary: Some(true), ..MemberFacts::default() };
@@ -97,33 +98,33 @@
             (start, ListKind::Changes, true),
             (Some(2_000_000), ListKind::Full, false),
             (None, ListKind::Full, false),
-            // What a start finds in its configuration is as old as what was stored.
+            // A list from the configuration at startup may be as old as the stored facts.
             (start, ListKind::Disk, false),
         ] {
             let mut actor = actor(vec![]);
-            actor.recall(recalled(&[("m1", facts.clone())]));
+            actor.restore_knowledge(stored_knowledge(&[("m1", facts.clone())]));
             let now = actor.clock.now();
-            let event = actor.take(Input::List(kind, vec![listed(1, listed_start)]), now).expect("an event");
+            let event = actor.handle_input(Input::List(kind, vec![listed(1, listed_start)]), now).expect("an event for the router");
             actor.step(now, &[event]);
-            let follows: Vec<Event> = actor.local.drain(..).collect();
-            actor.step(now, &follows);
+            let follow_up: Vec<Event> = actor.next_events.drain(..).collect();
+            actor.step(now, &follow_up);
             let position = actor.router.position(MemberId(1));
             assert_eq!(position, if counts { 5_000_000 } else { 0 }, "{listed_start:?} {kind:?}");
-            // A stored role is never more than whom a write tries first: nobody is taken for the primary by it.
+            // A stored role is only a hint for which member a write tries first; it makes no member the primary.
             assert!(actor.router.learned_members().all(|m| m.facts.primary != Some(true)));
         }
     });
 }
 
 #[test]
-fn a_stored_warm_up_lasts_over_lists_that_do_not_know_of_it() {
+fn a_stored_warm_up_outlasts_lists_without_it() {
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let now = actor.clock.now();
         let began = Some(now - 1_000_000);
-        actor.recall(recalled(&[("m1", MemberFacts { cold_from: began, ..MemberFacts::default() })]));
+        actor.restore_knowledge(stored_knowledge(&[("m1", MemberFacts { cold_from: began, ..MemberFacts::default() })]));
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
-            let event = actor.take(Input::List(kind, vec![listed(1, None)]), now).expect("an event");
+            let event = actor.handle_input(Input::List(kind, vec![listed(1, None)]), now).expect("an event for the router");
             actor.step(now, &[event]);
             let cold =
                 actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
@@ -133,15 +134,14 @@
 }
 
 #[test]
-fn the_operators_word_binds_from_the_first_list_on() {
+fn a_stored_suspension_applies_from_the_first_list_on() {
     in_runtime(|| {
         let mut actor = actor(vec![]);
-        let mut all = recalled(&[]);
-        all.hands
-            .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
-        actor.recall(all);
+        let mut all = stored_knowledge(&[]);
+        all.hands.insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
+        actor.restore_knowledge(all);
         let now = actor.clock.now();
-        let event = actor.take(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
+        let event = actor.handle_input(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
         let Some(Event::List { members, .. }) = event else { panic!("{event:?}") };
         let of = |id| members.iter().find(|m| m.id == MemberId(id)).map(|m| m.service_state);
         assert_eq!((of(1), of(2)), (Some(ServiceState::Draining), Some(ServiceState::Active)));
@@ -151,10 +151,10 @@
 /// Index of the class of session reads.
 const SESSION_READ: usize = 1;
 
-/// Index of the class of reads of data up to an age.
+/// Index of the class of reads with a maximum age.
 const BOUNDED_READ: usize = 0;
 
-/// A read of the class of session reads, under these terms.
+/// A session read, resolved against this class table.
 fn session_read(class_table: Arc<ClassTable>, deadline: Time) -> Request {
     Request {
         class_table,
@@ -172,57 +172,57 @@
     }
 }
 
-/// How long members know a keyed read for a repeat here.
+/// For how long members detect a repeat of a keyed read in these tests.
 const WINDOW: Time = 400_000;
 
-/// An actor that is to send a keyed session read to each of these, of which the first breaks the connection; and
-/// when.
-fn sent_by_turns(scope: &str, members: &[ListedMember]) -> (Actor<Still>, Time) {
+/// An actor that was told to send a keyed session read to each of these members in turn, the first attempt being
+/// reset; and the time of the request's arrival.
+fn actor_with_failed_attempts(scope: &str, members: &[ListedMember]) -> (Actor<RecordingMembers>, Time) {
     let mut json = linentrail_standins::proxy::settings();
     json["services"][SESSION_READ]["idempotency"] = "idempotency_key".into();
     json["services"][SESSION_READ]["group"] = scope.into();
     json["services"][SESSION_READ]["window_us"] = WINDOW.into();
     let pairs = crate::settings::FlatSettings::from_json(&json);
-    let settings = pairs.settings(1).expect("sound settings");
+    let settings = pairs.settings(1).expect("valid settings");
     let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, members.to_vec());
-    let (id, came) = (RequestId(1), actor.clock.now());
-    let submit = Input::Submit(id, session_read(class_table, came + 1_000_000), oneshot::channel().0);
-    actor.take(submit, came).expect("it is taken");
+    let (id, arrived_at) = (RequestId(1), actor.clock.now());
+    let submit = Input::Submit(id, session_read(class_table, arrived_at + 1_000_000), oneshot::channel().0);
+    actor.handle_input(submit, arrived_at).expect("an event for the router");
     for listed in members {
-        actor.act(came, Action::Send { id, member: listed.member.id, stop_at: None });
+        actor.carry_out(arrived_at, Action::Send { id, member: listed.member.id, stop_at: None });
         let ended = AttemptEnd { outcome: Outcome::Reset, value: None, note: None, report: None, spent: 1 };
-        actor.take(Input::Ended(id, 0, ended), came).expect("the module hears of it");
+        actor.handle_input(Input::Ended(id, 0, ended), arrived_at).expect("an event for the router");
     }
-    (actor, came)
+    (actor, arrived_at)
 }
 
 #[test]
-fn a_keyed_repeat_that_waits_for_its_connection_begins_behind_its_window() {
+fn a_keyed_repeat_carries_the_end_of_its_deduplication_window() {
     in_runtime(|| {
-        let (actor, came) = sent_by_turns("all", &[listed(1, None), listed(2, None)]);
+        let (actor, arrived_at) = actor_with_failed_attempts("all", &[listed(1, None), listed(2, None)]);
         let dedup_until: Vec<Time> = actor.members.attempts.iter().map(|a| a.dedup_until).collect();
-        assert_eq!(dedup_until, [Time::MAX, came + WINDOW]);
+        assert_eq!(dedup_until, [Time::MAX, arrived_at + WINDOW]);
     });
 }
 
 #[test]
-fn a_keyed_repeat_is_handed_to_a_member_that_does_not_know_it() {
+fn a_keyed_repeat_goes_only_to_members_that_deduplicate_it() {
     in_runtime(|| {
         let place = |id, zone, group| {
-            let near = listed(id, None);
-            ListedMember { member: Member { zone, group, ..near.member.clone() }, ..near }
+            let base = listed(id, None);
+            ListedMember { member: Member { zone, group, ..base.member.clone() }, ..base }
         };
         for (scope, allowed) in [("all", 3), ("zone", 2), ("cell", 2)] {
             let (other_zone, other_group) = (place(2, 1, 1), place(3, 0, 2));
-            let (actor, _) = sent_by_turns(scope, &[place(1, 0, 1), other_zone, other_group]);
+            let (actor, _) = actor_with_failed_attempts(scope, &[place(1, 0, 1), other_zone, other_group]);
             assert_eq!(actor.members.attempts.len(), allowed, "{scope}");
         }
     });
 }
 
 #[test]
-fn a_session_read_goes_by_the_position_it_carries_also_where_this_clock_is_behind() {
+fn a_session_read_needs_its_carried_position_even_if_this_clock_is_behind() {
     in_runtime(|| {
         const MS: Time = 1_000;
         let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
@@ -230,15 +230,15 @@
         let class_table =
             ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
         let mut actor = actor_with(settings, vec![listed(2, None)]);
-        // Late enough that nothing waits for its turn.
+        // Late enough that no attempt is delayed by the spreading of first requests after a start.
         let now = actor.clock.now() + 4_000 * MS;
         let report = Report { position: Some(now + 100 * MS), primary: Some(false), busy: None };
-        let heard = actor.take(Input::Probed(MemberId(2), Some(report), 0), now).expect("it is heard");
+        let heard = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
         actor.step(now, &[heard]);
         let (reply, mut answer) = oneshot::channel();
         let deadline = now + 1_000 * MS;
         let read = Request { after: Some(now + 600 * MS), ..session_read(class_table, deadline) };
-        let asked = actor.take(Input::Submit(RequestId(1), read, reply), now).expect("it is taken");
+        let asked = actor.handle_input(Input::Submit(RequestId(1), read, reply), now).expect("an event for the router");
         actor.step(now, &[asked]);
         for at in (now..=deadline).step_by(10 * MS as usize) {
             actor.step(at, &[Event::Wake { tag: 0 }]);
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_bounded_read_does_not_begin_once_the_position_it_was_chosen_by_is_too_old() {
+async fn a_bounded_read_does_not_begin_once_its_members_position_is_too_old() {
     const MS: Time = 1_000;
     let pairs = crate::settings::FlatSettings::from_json(&linentrail_standins::proxy::settings());
     let settings = Settings { when_behind: WhenBehind::Answers, ..settings() };
@@ -260,16 +260,16 @@
     };
     let class_table = ClassSlots::default().replace(pairs.names().expect("names"), settings.classes.clone());
     let mut actor = actor_with(settings, vec![listed(2, None)]);
-    // Late enough that nothing waits for its turn.
+    // Late enough that no attempt is delayed by the spreading of first requests after a start.
     tokio::time::advance(std::time::Duration::from_secs(4)).await;
     let now = actor.clock.now();
     let position = now - age + 100 * MS;
     let report = Report { position: Some(position), primary: Some(false), busy: None };
-    let heard = actor.take(Input::Probed(MemberId(2), Some(report), 0), now).expect("it is heard");
+    let heard = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
     actor.step(now, &[heard]);
     let read = Request { class: BOUNDED_READ, session: None, ..session_read(class_table, now + 1_000 * MS) };
     let asked =
-        actor.take(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("it is taken");
+        actor.handle_input(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("an event for the router");
     actor.step(now, &[asked]);
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
@@ -278,7 +278,7 @@
         state.lock().gate.register(attempt.key());
         state.begin(attempt, &actor.clock).is_ok()
     };
-    assert!(begins(), "its member is recent enough");
+    assert!(begins(), "the member is recent enough");
     tokio::time::advance(std::time::Duration::from_millis(100)).await;
-    assert!(!begins(), "nothing newer was heard of it");
+    assert!(!begins(), "no newer position is known");
 }
--- a/src/core/bookings.rs
+++ b/src/core/bookings.rs
@@ -49,12 +49,12 @@
 struct Waiters {
     count: AtomicUsize,
     /// Notified when the last waiter has left.
-    none: Notify,
+    all_left: Notify,
 }
 
 impl Waiters {
     /// Registers a waiter, until the returned guard is dropped.
-    fn come(self: &Arc<Self>) -> Waiter {
+    fn register(self: &Arc<Self>) -> Waiter {
         self.count.fetch_add(1, Ordering::Relaxed);
         Waiter(self.clone())
     }
@@ -65,7 +65,7 @@
 impl Drop for Waiter {
     fn drop(&mut self) {
         if self.0.count.fetch_sub(1, Ordering::Relaxed) == 1 {
-            self.0.none.notify_one();
+            self.0.all_left.notify_one();
         }
     }
 }
@@ -85,44 +85,44 @@
     }
 
     /// Runs a booking, or waits for the answer if another try runs it already.
-    pub async fn book(&self, attempt: BookingTry, request: Request) -> BookingOutcome {
+    pub async fn book(&self, booking: BookingTry, request: Request) -> BookingOutcome {
         let deadline = self.clock.instant(request.deadline);
-        let (tell, answer) = watch::channel(None);
+        let (answer_sender, answer) = watch::channel(None);
         let ticket = Ticket { answer, waiters: Arc::default() };
-        let id = RepeatIds::digest(&attempt.id);
-        if !self.ids.heard(deadline).await {
+        let id = RepeatIds::digest(&booking.id);
+        if !self.ids.wait_for_peer_ids(deadline).await {
             count(Count::repeat_ids_unshared);
             return BookingOutcome::Unprovable;
         }
-        let claim = self.ids.claim(&id, attempt.candidate, ticket.clone());
+        let claim = self.ids.claim(&id, booking.candidate, ticket.clone());
         let mut ticket = match claim {
             Claim::New => {
-                self.run(id, request, tell, ticket.waiters.clone());
+                self.run(id, request, answer_sender, ticket.waiters.clone());
                 ticket
             }
-            Claim::Known(known) => {
-                count(if known.answer.borrow().is_some() {
+            Claim::Existing(existing) => {
+                count(if existing.answer.borrow().is_some() {
                     Count::odata_replayed
                 } else {
                     Count::odata_joined
                 });
-                known
+                existing
             }
-            Claim::Differs => return BookingOutcome::IdConflict,
+            Claim::IdConflict => return BookingOutcome::IdConflict,
             Claim::Unprovable => return BookingOutcome::Unprovable,
-            Claim::Elsewhere => return BookingOutcome::ClaimedByPeer,
-            Claim::Full => return BookingOutcome::NoRoom,
+            Claim::ClaimedByPeer => return BookingOutcome::ClaimedByPeer,
+            Claim::NoRoom => return BookingOutcome::NoRoom,
         };
-        let _waits = ticket.waiters.come();
-        let told = async { ticket.answer.wait_for(Option::is_some).await.ok().and_then(|a| a.clone()) };
-        match tokio::time::timeout_at(deadline, told).await {
+        let _waiter = ticket.waiters.register();
+        let received = async { ticket.answer.wait_for(Option::is_some).await.ok().and_then(|a| a.clone()) };
+        match tokio::time::timeout_at(deadline, received).await {
             Ok(answer) => BookingOutcome::Answer(answer.unwrap_or(Answer::Failed)),
             // This try's deadline has passed; the booking continues, and a later try may still get its answer.
             Err(_) => BookingOutcome::Answer(Answer::Late),
         }
     }
 
-    fn run(&self, id: String, request: Request, tell: watch::Sender<Option<Answer>>, waiters: Arc<Waiters>) {
+    fn run(&self, id: String, request: Request, answer_sender: watch::Sender<Option<Answer>>, waiters: Arc<Waiters>) {
         let this = self.clone();
         tokio::spawn(async move {
             let mut pending = this.core.submit(request).await;
@@ -131,17 +131,17 @@
                     biased;
                     answer = &mut pending => break answer,
                     // If nobody waits any more, the request is abandoned: it is sent no more unless it may have run.
-                    () = waiters.none.notified() => if waiters.count.load(Ordering::Relaxed) == 0 {
+                    () = waiters.all_left.notified() => if waiters.count.load(Ordering::Relaxed) == 0 {
                         pending.abandon();
                     },
                 }
             };
             match answer {
                 // Refused means that nothing ran, so the next try may run the booking.
-                Answer::Refused(_) => this.ids.forget(&id),
-                _ => this.ids.ended(&id),
+                Answer::Refused(_) => this.ids.remove(&id),
+                _ => this.ids.mark_ended(&id),
             }
-            let _ = tell.send(Some(answer));
+            let _ = answer_sender.send(Some(answer));
         });
     }
 }
--- a/src/core/flow.rs
+++ b/src/core/flow.rs
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Inner {
     length: usize,
-    pieces: Mutex<mpsc::Receiver<Chunk>>,
+    chunks: Mutex<mpsc::Receiver<Chunk>>,
 }
 
 impl PartialEq for ValueStream {
@@ -46,8 +46,8 @@
 impl ValueStream {
     /// Creates a stream of this many bytes and returns both ends.
     pub fn new(length: usize) -> (ChunkSender, ValueStream) {
-        let (source, pieces) = mpsc::channel(MAX_QUEUED_CHUNKS);
-        (source, ValueStream(Arc::new(Inner { length, pieces: Mutex::new(pieces) })))
+        let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        (sender, ValueStream(Arc::new(Inner { length, chunks: Mutex::new(chunks) })))
     }
 
     /// Length of the whole value in bytes.
@@ -57,18 +57,18 @@
 
     /// The next chunk; `None` if the stream was cut off.
     pub async fn next(&self) -> Option<Chunk> {
-        self.0.pieces.lock().await.recv().await
+        self.0.chunks.lock().await.recv().await
     }
 
     /// The whole value; `None` if the stream was cut off or its length is not the announced one.
     pub async fn collect(&self) -> Option<Bytes> {
-        let mut all = Vec::with_capacity(self.length());
+        let mut value = Vec::with_capacity(self.length());
         loop {
             match self.next().await? {
-                Chunk::Bytes(bytes) if all.len() + bytes.len() <= self.length() => {
-                    all.extend_from_slice(&bytes)
+                Chunk::Bytes(bytes) if value.len() + bytes.len() <= self.length() => {
+                    value.extend_from_slice(&bytes)
                 }
-                Chunk::End if all.len() == self.length() => return Some(all.into()),
+                Chunk::End if value.len() == self.length() => return Some(value.into()),
                 _ => return None,
             }
         }
@@ -80,24 +80,24 @@
     use super::*;
 
     #[test]
-    fn only_a_flow_that_says_so_is_whole() {
+    fn only_a_stream_with_its_length_and_end_marker_is_complete() {
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         runtime.block_on(async {
             let bytes = |text: &'static str| Chunk::Bytes(Bytes::from_static(text.as_bytes()));
-            for (pieces, whole) in [
+            for (chunks, is_complete) in [
                 (vec![bytes("ab"), bytes("c"), Chunk::End], true),
                 (vec![bytes("ab"), bytes("c")], false),
                 (vec![bytes("ab"), Chunk::End], false),
                 (vec![bytes("ab"), bytes("cd"), Chunk::End], false),
             ] {
-                let (source, flow) = ValueStream::new(3);
-                let put = async move {
-                    for piece in pieces {
-                        let _ = source.send(piece).await;
+                let (sender, stream) = ValueStream::new(3);
+                let send_all = async move {
+                    for chunk in chunks {
+                        let _ = sender.send(chunk).await;
                     }
                 };
-                let (_, all) = tokio::join!(put, flow.collect());
-                assert_eq!(all, whole.then(|| Bytes::from_static(b"abc")));
+                let (_, value) = tokio::join!(send_all, stream.collect());
+                assert_eq!(value, is_complete.then(|| Bytes::from_static(b"abc")));
             }
         });
     }
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -14,7 +14,7 @@
 /// State of an attempt, which depends only on how it ended on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
-    Out,
+    InFlight,
     WithoutEffect,
     PossiblyRun,
 }
@@ -32,11 +32,11 @@
 /// An open request.
 pub(super) struct LiveRequest {
     pub request: Request,
-    pub came: Time,
+    pub arrived_at: Time,
     /// Taken when the final answer is sent or the client disconnects.
     pub reply: Option<oneshot::Sender<Answer>>,
     /// The position that a session read must reflect beyond what members check for it; 0 if none.
-    pub unseen: Position,
+    pub unchecked_position: Position,
     attempts: SmallVec<[LiveAttempt; 4]>,
     /// Nobody waits for the answer any more, but the request continues if it may have run.
     pub abandoned: bool,
@@ -44,9 +44,9 @@
 
 impl LiveRequest {
     /// Creates a request that has just arrived, without attempts.
-    pub fn new(request: Request, came: Time, reply: oneshot::Sender<Answer>, unseen: Position) -> Self {
+    pub fn new(request: Request, arrived_at: Time, reply: oneshot::Sender<Answer>, unchecked_position: Position) -> Self {
         let (reply, attempts) = (Some(reply), SmallVec::new());
-        LiveRequest { request, came, reply, unseen, attempts, abandoned: false }
+        LiveRequest { request, arrived_at, reply, unchecked_position, attempts, abandoned: false }
     }
 
     /// The request's class.
@@ -55,12 +55,12 @@
     }
 
     /// Number of attempts so far, sent or not.
-    pub fn attempts(&self) -> usize {
+    pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
     /// The attempts' numbers and members.
-    pub fn numbered(&self) -> impl Iterator<Item = (u32, MemberId)> + '_ {
+    pub fn numbered_attempts(&self) -> impl Iterator<Item = (u32, MemberId)> + '_ {
         self.attempts.iter().enumerate().map(|(number, attempt)| (number as u32, attempt.member))
     }
 
@@ -70,8 +70,8 @@
     }
 
     /// Number of attempts in flight.
-    pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.state == AttemptState::Out).count()
+    pub fn in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
     /// Whether an attempt may have run.
@@ -80,16 +80,16 @@
     }
 
     /// Whether no attempt has run or is in flight.
-    pub fn untouched(&self) -> bool {
+    pub fn had_no_effect(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::WithoutEffect)
     }
 
     /// The member of the first attempt that may have run or is in flight.
-    pub fn first_possible_member(&self) -> Option<MemberId> {
-        self.first_possible().map(|attempt| attempt.member)
+    pub fn first_maybe_run_member(&self) -> Option<MemberId> {
+        self.first_maybe_run().map(|attempt| attempt.member)
     }
 
-    fn first_possible(&self) -> Option<&LiveAttempt> {
+    fn first_maybe_run(&self) -> Option<&LiveAttempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::WithoutEffect)
     }
 
@@ -98,7 +98,7 @@
         RequestProgress {
             effect: self.class().effect,
             group: self.request.group,
-            first_possible_run: self.first_possible().map(|attempt| attempt.sent),
+            first_possible_run: self.first_maybe_run().map(|attempt| attempt.sent),
             deadline: self.request.deadline,
         }
     }
@@ -106,23 +106,23 @@
     /// Whether the client's retry after a refusal could run again what may have run already. Members discard
     /// duplicates of a keyed request by its id, but a front that generates the statement gives each of the client's
     /// tries a new id.
-    pub fn repeat_would_be_new(&self) -> bool {
+    pub fn retry_would_run_again(&self) -> bool {
         let keyed = matches!(self.class().effect, Effect::Keyed { .. });
-        keyed && matches!(self.request.work, Work::Operation(_)) && !self.untouched()
+        keyed && matches!(self.request.work, Work::Operation(_)) && !self.had_no_effect()
     }
 
     /// Adds an attempt on a member that has certainly reached this position, and returns its number. The attempt
     /// counts as in flight until it has ended.
     pub fn begin_attempt(&mut self, member: MemberId, sent: Time, reached: Position) -> u32 {
-        let proven_recent = reached >= self.unseen;
-        self.attempts.push(LiveAttempt { member, sent, state: AttemptState::Out, proven_recent });
+        let proven_recent = reached >= self.unchecked_position;
+        self.attempts.push(LiveAttempt { member, sent, state: AttemptState::InFlight, proven_recent });
         self.attempts.len() as u32 - 1
     }
 
     /// Records how an attempt ended on the wire. Only its first end counts.
     pub fn end_attempt(&mut self, attempt: u32, outcome: Outcome) {
         let attempt = self.attempts.get_mut(attempt as usize);
-        let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::Out) else { return };
+        let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::InFlight) else { return };
         attempt.state = match outcome.never_ran() {
             true => AttemptState::WithoutEffect,
             false => AttemptState::PossiblyRun,
@@ -131,13 +131,13 @@
 
     /// Whether an answer reflects the session's last write. If the answer tells the member's position, that position
     /// decides; if not, what was known of the member when the attempt was sent.
-    pub fn shows_session(&self, attempt: u32, note: Option<&Note>) -> bool {
-        if self.unseen == 0 || note.is_some_and(|note| note.role == Some(Role::Primary)) {
+    pub fn reflects_session(&self, attempt: u32, note: Option<&Note>) -> bool {
+        if self.unchecked_position == 0 || note.is_some_and(|note| note.role == Some(Role::Primary)) {
             return true;
         }
         let attempt = self.attempts.get(attempt as usize);
         match note.and_then(|note| note.position) {
-            Some(position) => position >= self.unseen,
+            Some(position) => position >= self.unchecked_position,
             None => attempt.is_some_and(|attempt| attempt.proven_recent),
         }
     }
--- a/src/core/live_tests.rs
+++ b/src/core/live_tests.rs
@@ -13,16 +13,16 @@
 const WRITTEN: Position = 50;
 const DEADLINE: Time = 1_000;
 
-/// The platform's terms, with session reads that may be repeated so.
+/// The class table of the test settings, with this idempotency for session reads.
 fn class_table(repeat: &str) -> Arc<ClassTable> {
     let mut settings = proxy::settings();
     settings["services"][SESSION_READ]["idempotency"] = repeat.into();
     let pairs = FlatSettings::from_json(&settings);
-    let classes = pairs.settings(1).expect("sound settings").classes;
+    let classes = pairs.settings(1).expect("valid settings").classes;
     ClassSlots::default().replace(pairs.names().expect("names"), classes)
 }
 
-/// A session read that must see a write which members do not know of.
+/// A session read that must reflect a write whose position members do not check.
 fn session_read(repeat: &str) -> LiveRequest {
     let request = Request {
         class_table: class_table(repeat),
@@ -46,19 +46,19 @@
 }
 
 #[test]
-fn a_served_read_whose_answer_is_not_used_still_counts_as_run() {
+fn a_served_read_with_a_discarded_answer_counts_as_run() {
     let mut live = session_read("non_idempotent");
     let first = live.begin_attempt(REPLICA, 10, 0);
     live.end_attempt(first, Outcome::Completed);
-    assert!(!live.shows_session(first, Some(&note(Role::Replica, None))));
-    assert!(live.may_have_run() && !live.untouched());
+    assert!(!live.reflects_session(first, Some(&note(Role::Replica, None))));
+    assert!(live.may_have_run() && !live.had_no_effect());
     let progress = live.progress();
     assert_eq!(progress.may_send(20), Err(Violation::UnsafeResent));
     assert_eq!(progress.may_refuse(), Err(Violation::UnsafeRefused));
 }
 
 #[test]
-fn the_first_end_of_an_attempt_counts() {
+fn only_the_first_end_of_an_attempt_counts() {
     let mut live = session_read("non_idempotent");
     let first = live.begin_attempt(REPLICA, 10, 0);
     live.end_attempt(first, Outcome::Reset);
@@ -67,34 +67,34 @@
 }
 
 #[test]
-fn what_was_turned_away_untouched_may_be_sent_again_and_refused() {
+fn an_attempt_that_never_ran_may_be_repeated_or_refused() {
     for outcome in [Outcome::Miss, Outcome::Saturated, Outcome::Refused, Outcome::Superseded] {
         let mut live = session_read("non_idempotent");
         let first = live.begin_attempt(REPLICA, 10, 0);
         assert_eq!(live.progress().may_refuse(), Err(Violation::UnsafeRefused), "{outcome:?}");
         live.end_attempt(first, outcome);
-        assert!(live.untouched(), "{outcome:?}");
+        assert!(live.had_no_effect(), "{outcome:?}");
         assert_eq!((live.progress().may_send(20), live.progress().may_refuse()), (Ok(()), Ok(())));
     }
 }
 
 #[test]
-fn an_answer_that_tells_no_position_shows_what_its_member_had_reached_when_it_was_sent() {
+fn an_answer_without_a_position_reflects_what_its_member_had_reached_when_the_attempt_was_sent() {
     let mut live = session_read("read_like");
     let behind = live.begin_attempt(REPLICA, 10, WRITTEN - 1);
     let recent = live.begin_attempt(REPLICA, 11, WRITTEN);
-    for told in [None, Some(note(Role::Replica, None))] {
-        assert!(!live.shows_session(behind, told.as_ref()), "{told:?}");
-        assert!(live.shows_session(recent, told.as_ref()), "{told:?}");
+    for note in [None, Some(note(Role::Replica, None))] {
+        assert!(!live.reflects_session(behind, note.as_ref()), "{note:?}");
+        assert!(live.reflects_session(recent, note.as_ref()), "{note:?}");
     }
 }
 
 #[test]
-fn a_position_told_with_an_answer_goes_before_what_was_known_of_its_member() {
+fn a_position_told_with_an_answer_takes_precedence() {
     let mut live = session_read("read_like");
     let behind = live.begin_attempt(REPLICA, 10, WRITTEN - 1);
     let recent = live.begin_attempt(REPLICA, 11, WRITTEN);
-    assert!(live.shows_session(behind, Some(&note(Role::Replica, Some(WRITTEN)))));
-    assert!(live.shows_session(behind, Some(&note(Role::Primary, Some(0)))));
-    assert!(!live.shows_session(recent, Some(&note(Role::Replica, Some(WRITTEN - 1)))));
+    assert!(live.reflects_session(behind, Some(&note(Role::Replica, Some(WRITTEN)))));
+    assert!(live.reflects_session(behind, Some(&note(Role::Primary, Some(0)))));
+    assert!(!live.reflects_session(recent, Some(&note(Role::Replica, Some(WRITTEN - 1)))));
 }
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -10,20 +10,20 @@
 impl<M: Members> Actor<M> {
     /// Converts the state told with an answer that has just arrived; `spent` is the time since the attempt was
     /// started.
-    pub(super) fn heard_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
+    pub(super) fn localize_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
         let primary = note.role == Some(Role::Primary);
         let sent = now.saturating_sub(spent);
         let position =
-            note.position.and_then(|told| self.member_clock.observe_position(told, sent, now, primary));
+            note.position.and_then(|at| self.member_clock.observe_position(at, sent, now, primary));
         Note { position, ..note }
     }
 
     /// Converts a member's report; `None` if its position cannot be true, in which case the whole report is
     /// discarded.
-    pub(super) fn heard_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
-        let Some(told) = report.position else { return Some(report) };
+    pub(super) fn localize_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
+        let Some(at) = report.position else { return Some(report) };
         let primary = report.primary == Some(true);
-        let position = self.member_clock.observe_position(told, now.saturating_sub(spent), now, primary);
+        let position = self.member_clock.observe_position(at, now.saturating_sub(spent), now, primary);
         if position.is_none() {
             count(Count::member_bad_reports);
         }
@@ -31,15 +31,15 @@
     }
 
     /// Converts the starts in a list from discovery to this process's clock.
-    pub(super) fn listed_locally(&self, entries: &mut [ListedMember]) {
+    pub(super) fn localize_starts(&self, entries: &mut [ListedMember]) {
         for ListedMember { member, .. } in entries {
-            member.up_since = member.up_since.map(|told| self.member_clock.to_local(told));
+            member.up_since = member.up_since.map(|at| self.member_clock.to_local(at));
         }
     }
 
     /// The listed members with their starts by the members' clock, for other processes and later starts.
-    pub(super) fn listed_as_told(&self) -> Vec<ListedMember> {
-        let mut entries: Vec<ListedMember> = self.overlay.listed().cloned().collect();
+    pub(super) fn listed_by_member_clock(&self) -> Vec<ListedMember> {
+        let mut entries: Vec<ListedMember> = self.effective_list.listed().cloned().collect();
         for ListedMember { member, .. } in &mut entries {
             member.up_since = member.up_since.map(|local| self.member_clock.to_member(local));
         }
@@ -47,24 +47,24 @@
     }
 
     /// Adjusts the starts from earlier lists if the estimated offset of the members' clock has changed.
-    pub(super) fn follow_member_clock(&mut self) {
+    pub(super) fn apply_clock_offset(&mut self) {
         let offset = self.member_clock.offset();
-        let shift = offset - std::mem::replace(&mut self.listed_at_offset, offset);
+        let shift = offset - std::mem::replace(&mut self.listed_offset, offset);
         if shift == 0 {
             return;
         }
         count(Count::member_clock_offsets);
         log::warn!("the members' clock is {} ms ahead of this process's", offset / 1000);
-        let told = self.overlay.shift_starts(shift);
-        if !told.is_empty() {
-            let event = self.told(ListKind::Operator, told);
-            self.local.push_back(event);
+        let changed = self.effective_list.shift_starts(shift);
+        if !changed.is_empty() {
+            let event = self.list_event(ListKind::Operator, changed);
+            self.next_events.push_back(event);
         }
     }
 }
 
 /// Applies a change to every time in what was learned.
-pub(super) fn with_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
+pub(super) fn map_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
     // 0 stands for "none".
     let change = |time: Time| if time == 0 { 0 } else { change(time) };
     for facts in known.members.values_mut() {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -20,7 +20,7 @@
 use crate::effective_list::{SuspensionError, Suspensions};
 use crate::interface::*;
 use crate::knowledge::{Knowledge, Known};
-use crate::phases::Progress;
+use crate::phases::StartupProgress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
 use crate::settings::SocketTimes;
@@ -277,7 +277,7 @@
     /// Clients are accepted from now on. With the time at which the process started.
     StartServing(Time, oneshot::Sender<()>),
     /// Returns how far the startup has come.
-    QueryStartup(oneshot::Sender<Progress>),
+    QueryStartup(oneshot::Sender<StartupProgress>),
     /// Returns the members as listed by discovery.
     QueryMembers(oneshot::Sender<Vec<ListedMember>>),
     /// Suspends a member, by its id.
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -3,30 +3,30 @@
 
 use super::actor::Actor;
 use super::counters::{add, count, Count};
-use super::member_times::with_times;
+use super::member_times::map_times;
 use super::{CoreCommand, ListedMember, Members, PeerCommits, Readiness};
 use crate::interface::*;
-use crate::knowledge::evidence::{Listed as Life, Recalled, Usable};
+use crate::knowledge::evidence::{Listed as ListedStart, Recalled, Usable};
 use crate::knowledge::{merge_hands, Knowledge, Known};
-use crate::phases::News;
+use crate::phases::StartupEvent;
 use crate::policy::REPORT_ROUNDING;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
 /// Commits of at most this age, in us, are exported by session; of all older ones only the latest is exported.
-const RECENT: Time = 20_000_000;
+const EXPORTED_COMMIT_AGE: Time = 20_000_000;
 /// How far ahead of this process's clock a commit's position may be, in us.
-const COMMIT_AHEAD_MAX: Time = 1_000_000;
+const MAX_COMMIT_AHEAD: Time = 1_000_000;
 
 impl<M: Members> Actor<M> {
     /// Carries out a command and returns the events that the router must get.
-    pub(super) fn order(&mut self, order: CoreCommand) -> Vec<Event> {
+    pub(super) fn handle_command(&mut self, command: CoreCommand) -> Vec<Event> {
         let now = self.clock.now();
-        let (told, reply) = match order {
-            CoreCommand::Suspend(name, reply) => (self.overlay.suspend(&name, now), reply),
-            CoreCommand::Restore(name, reply) => (self.overlay.restore(&name, now), reply),
+        let (changed, reply) = match command {
+            CoreCommand::Suspend(name, reply) => (self.effective_list.suspend(&name, now), reply),
+            CoreCommand::Restore(name, reply) => (self.effective_list.restore(&name, now), reply),
             CoreCommand::QueryReadiness(reply) => {
-                let _ = reply.send(match (self.overlay.serves(), now < self.unconfirmed) {
+                let _ = reply.send(match (self.effective_list.has_usable_member(), now < self.unconfirmed_until) {
                     (_, true) => Readiness::SuspensionsUnconfirmed,
                     (true, _) => Readiness::Ready,
                     (false, _) => Readiness::NoUsableMember,
@@ -34,31 +34,31 @@
                 return Vec::new();
             }
             CoreCommand::RestoreKnowledge(all, until, reply) => {
-                self.unconfirmed = until;
+                self.unconfirmed_until = until;
                 let _ = reply.send(());
-                return self.recall(*all);
+                return self.restore_knowledge(*all);
             }
             CoreCommand::ConfirmSuspensions(reply) => {
-                let _ = reply.send(now < std::mem::take(&mut self.unconfirmed));
+                let _ = reply.send(now < std::mem::take(&mut self.unconfirmed_until));
                 return Vec::new();
             }
             CoreCommand::StartServing(began, reply) => {
-                let news = self.returning.serves(began, now);
-                self.told_of_return(news);
+                let events = self.startup.start_serving(began, now);
+                self.log_startup(events);
                 let _ = reply.send(());
                 return Vec::new();
             }
             CoreCommand::QueryStartup(reply) => {
-                self.look_back(now);
-                let _ = reply.send(self.returning.progress(now));
+                self.advance_startup(now);
+                let _ = reply.send(self.startup.progress(now));
                 return Vec::new();
             }
             CoreCommand::QueryMembers(reply) => {
-                let _ = reply.send(self.listed_as_told());
+                let _ = reply.send(self.listed_by_member_clock());
                 return Vec::new();
             }
             CoreCommand::QuerySuspensions(reply) => {
-                let _ = reply.send(self.overlay.hands().clone());
+                let _ = reply.send(self.effective_list.suspensions().clone());
                 return Vec::new();
             }
             CoreCommand::ApplySettings(settings, times, reply) => {
@@ -66,24 +66,24 @@
                 self.max_attempts = settings.max_attempts as usize;
                 self.members.set_socket_times(times);
                 let settings = match &mut self.lease {
-                    Some(lease) => lease.settings(settings, now),
+                    Some(lease) => lease.apply_settings(settings, now),
                     None => settings,
                 };
                 return vec![Event::Settings(settings)];
             }
             CoreCommand::ExtendLease(until) => {
-                self.lease.get_or_insert_default().holds(until);
+                self.lease.get_or_insert_default().extend(until);
                 return Vec::new();
             }
             CoreCommand::SetFleetSuspensions(out, reply) => {
-                let told = self.overlay.fleet(out, now);
+                let changed = self.effective_list.set_fleet_suspended(out, now);
                 let _ = reply.send(());
-                return self.operator(told);
+                return self.operator_list_event(changed);
             }
-            CoreCommand::ReplaceSuspensions(hands, reply) => {
-                let told = self.overlay.adopt(hands);
+            CoreCommand::ReplaceSuspensions(suspensions, reply) => {
+                let changed = self.effective_list.replace_suspensions(suspensions);
                 let _ = reply.send(());
-                return self.operator(told);
+                return self.operator_list_event(changed);
             }
             CoreCommand::ExportLearned(reply) => {
                 let _ = reply.send(self.export(now));
@@ -91,51 +91,51 @@
             }
             CoreCommand::SetPeer(peer_commits, reply) => {
                 // The last commits of the process that is being disconnected still count.
-                self.catch_up();
+                self.sync_peer_commits();
                 self.peer_commits = peer_commits;
                 let _ = reply.send(());
                 return Vec::new();
             }
             CoreCommand::ImportLearned(known, reply) => {
                 let _ = reply.send(());
-                let known = with_times(known, |told| self.member_clock.to_local(told));
+                let known = map_times(known, |at| self.member_clock.to_local(at));
                 return self.learn(&known);
             }
         };
-        self.taken.push((reply, told.as_ref().map(|_| ()).map_err(|no| *no)));
-        let told = told.ok().flatten().into_iter().collect();
-        self.operator(told)
+        self.suspension_replies.push((reply, changed.as_ref().map(|_| ()).map_err(|error| *error)));
+        let changed = changed.ok().flatten().into_iter().collect();
+        self.operator_list_event(changed)
     }
 
-    fn operator(&mut self, told: Vec<ListedMember>) -> Vec<Event> {
-        if told.is_empty() {
+    fn operator_list_event(&mut self, changed: Vec<ListedMember>) -> Vec<Event> {
+        if changed.is_empty() {
             Vec::new()
         } else {
-            vec![self.told(ListKind::Operator, told)]
+            vec![self.list_event(ListKind::Operator, changed)]
         }
     }
 
     /// Advances the startup phases and logs what has changed.
-    pub(super) fn look_back(&mut self, now: Time) {
-        let news = self.returning.at(now, || self.overlay.serves());
-        self.told_of_return(news);
+    pub(super) fn advance_startup(&mut self, now: Time) {
+        let events = self.startup.advance(now, || self.effective_list.has_usable_member());
+        self.log_startup(events);
     }
 
-    fn told_of_return(&self, news: Vec<News>) {
-        for one in news {
-            match one {
-                News::Over(phase, lasted) => {
+    fn log_startup(&self, events: Vec<StartupEvent>) {
+        for event in events {
+            match event {
+                StartupEvent::PhaseEnded(phase, lasted) => {
                     let ms = lasted / 1000;
-                    log::info!(phase = phase.name(), ms; "startup phase {} has ended; it waited for {}", phase.name(), phase.awaits());
+                    log::info!(phase = phase.name(), ms; "startup phase {} has ended; it waited for {}", phase.name(), phase.waits_for());
                 }
-                News::Overstayed(phase) => {
+                StartupEvent::PhaseOverdue(phase) => {
                     count(Count::phase_overstays);
-                    log::warn!("startup phase {} exceeds its time limit; it waits for {}", phase.name(), phase.awaits());
+                    log::warn!("startup phase {} exceeds its time limit; it waits for {}", phase.name(), phase.waits_for());
                 }
-                News::Full(told) => {
-                    if told.seen {
+                StartupEvent::Finished(progress) => {
+                    if progress.full_service_seen {
                         count(Count::full_service);
-                        add(Count::full_service_ms, told.since / 1000);
+                        add(Count::full_service_ms, progress.elapsed / 1000);
                     }
                     log::info!("{told}");
                 }
@@ -144,16 +144,16 @@
     }
 
     /// Takes in what sessions have written through another process of this proxy.
-    pub(super) fn catch_up(&mut self) {
-        let Some(other) = &mut self.peer_commits else { return };
-        let PeerCommits { commits, complete } = other.take_received();
-        let news = commits.into_iter().map(|(name, told)| (name, self.member_clock.to_local(told)));
-        let (all, named): (Vec<_>, Vec<_>) = news.partition(|(name, _)| name.is_empty());
+    pub(super) fn sync_peer_commits(&mut self) {
+        let Some(peer) = &mut self.peer_commits else { return };
+        let PeerCommits { commits, complete } = peer.take_received();
+        let commits = commits.into_iter().map(|(name, at)| (name, self.member_clock.to_local(at)));
+        let (all, named): (Vec<_>, Vec<_>) = commits.partition(|(name, _)| name.is_empty());
         let now = self.clock.now();
-        let untold = if complete { 0 } else { now };
+        let unknown_until = if complete { 0 } else { now };
         // No commit is far ahead of the present, so a position in a file that claims it is capped.
-        let latest = now + COMMIT_AHEAD_MAX;
-        let floor = all.into_iter().map(|(_, at)| at.min(latest)).max().unwrap_or(0).max(untold);
+        let latest = now + MAX_COMMIT_AHEAD;
+        let floor = all.into_iter().map(|(_, at)| at.min(latest)).max().unwrap_or(0).max(unknown_until);
         if floor > 0 || !named.is_empty() {
             self.sessions.merge(named.iter().map(|(name, at)| (name, at)), floor);
         }
@@ -162,12 +162,11 @@
     /// What this process has learned, for another process of this proxy.
     fn export(&self, now: Time) -> Known {
         let named: FxHashMap<MemberId, &Arc<str>> =
-            self.overlay.listed().map(|e| (e.member.id, &e.name)).collect();
-        let members =
-            self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
-        let (sessions, floor) = self.sessions.since(now.saturating_sub(RECENT));
+            self.effective_list.listed().map(|e| (e.member.id, &e.name)).collect();
+        let members = self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
+        let (sessions, floor) = self.sessions.since(now.saturating_sub(EXPORTED_COMMIT_AGE));
         let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
-        with_times(known, |local| self.member_clock.to_member(local))
+        map_times(known, |local| self.member_clock.to_member(local))
     }
 
     /// Converts what another process has learned to the events by which this process would have learned it: a start
@@ -177,64 +176,64 @@
         self.sessions.merge(known.sessions.iter(), known.floor);
         let mut events = Vec::new();
         for (name, m) in &known.members {
-            let Some(entry) = self.overlay.again(name) else { continue };
+            let Some(entry) = self.effective_list.entry(name) else { continue };
             if m.position > self.router.position(entry.member.id) {
-                events.push(heard(entry.member.id, m.position, m.primary));
+                events.push(position_report(entry.member.id, m.position, m.primary));
             }
         }
-        let mut told = self.warms(known);
-        told.append(&mut events);
-        told
+        let mut changed = self.learn_warm_ups(known);
+        changed.append(&mut events);
+        changed
     }
 
     /// Takes in starts that discovery may not know of: a member's warm-up counts from its latest known start.
-    fn warms(&mut self, known: &Known) -> Vec<Event> {
-        let begun = known.members.iter().filter_map(|(name, m)| Some((name, m.cold_from?)));
-        let told = begun.filter_map(|(name, at)| self.overlay.warms(name, at)).collect();
-        self.operator(told)
+    fn learn_warm_ups(&mut self, known: &Known) -> Vec<Event> {
+        let warm_ups = known.members.iter().filter_map(|(name, m)| Some((name, m.cold_from?)));
+        let changed = warm_ups.filter_map(|(name, at)| self.effective_list.add_warm_up(name, at)).collect();
+        self.operator_list_event(changed)
     }
 
     /// Takes in what was stored before this process started. Suspensions, session commits and warm-ups apply from now
     /// on; facts that depend on a member not having restarted wait for a list that confirms it.
-    pub(super) fn recall(&mut self, all: Knowledge) -> Vec<Event> {
-        self.blind = self.clock.now();
-        let all = Knowledge { known: with_times(all.known, |told| self.member_clock.to_local(told)), ..all };
+    pub(super) fn restore_knowledge(&mut self, all: Knowledge) -> Vec<Event> {
+        self.unmarked_writes_until = self.clock.now();
+        let all = Knowledge { known: map_times(all.known, |at| self.member_clock.to_local(at)), ..all };
         self.sessions.merge(all.known.sessions.iter(), all.known.floor);
-        let mut hands = self.overlay.hands().clone();
-        merge_hands(&mut hands, &all.hands);
-        let told = self.overlay.adopt(hands);
-        let mut events = self.operator(told);
-        events.append(&mut self.warms(&all.known));
-        self.recalled = Recalled::new(all.known);
+        let mut suspensions = self.effective_list.suspensions().clone();
+        merge_hands(&mut suspensions, &all.hands);
+        let changed = self.effective_list.replace_suspensions(suspensions);
+        let mut events = self.operator_list_event(changed);
+        events.append(&mut self.learn_warm_ups(&all.known));
+        self.stored_facts = Recalled::new(all.known);
         events
     }
 
     /// Uses a new list to decide which stored facts about members may be used. A list that is not older than this
     /// process (`own`) allows more than one that may be.
-    pub(super) fn confirm(&mut self, own: bool) {
-        let Actor { recalled, overlay, .. } = self;
-        let life = |name: &str| overlay.again(name).map_or(Life::Absent, |e| Life::Named(e.member.up_since));
-        let Usable { bounds, primaries } = match own {
-            true => recalled.confirm(life),
-            false => Usable { primaries: recalled.hints(life), ..Usable::default() },
+    pub(super) fn apply_stored_facts(&mut self, from_this_process: bool) {
+        let Actor { stored_facts, effective_list, .. } = self;
+        let listed_start = |name: &str| effective_list.entry(name).map_or(ListedStart::Absent, |e| ListedStart::Named(e.member.up_since));
+        let Usable { bounds, primaries } = match from_this_process {
+            true => stored_facts.confirm(listed_start),
+            false => Usable { primaries: stored_facts.hints(listed_start), ..Usable::default() },
         };
         let bounds =
-            bounds.into_iter().filter_map(|(name, at)| Some((self.overlay.again(&name)?.member.id, at)));
-        let events: Vec<Event> = bounds.map(|(id, at)| heard(id, at, None)).collect();
-        self.local.extend(events);
+            bounds.into_iter().filter_map(|(name, at)| Some((self.effective_list.entry(&name)?.member.id, at)));
+        let events: Vec<Event> = bounds.map(|(id, at)| position_report(id, at, None)).collect();
+        self.next_events.extend(events);
         let hint = |name: Arc<str>| {
-            let mut entry = self.overlay.again(&name)?;
+            let mut entry = self.effective_list.entry(&name)?;
             entry.member.primary = true;
             Some(entry)
         };
         let hints = primaries.into_iter().filter_map(hint).collect();
-        let hints = self.operator(hints);
-        self.local.extend(hints);
+        let hints = self.operator_list_event(hints);
+        self.next_events.extend(hints);
     }
 }
 
 /// A position that a member has certainly reached, as the report that would have told it.
-fn heard(member: MemberId, position: Position, primary: Option<bool>) -> Event {
+fn position_report(member: MemberId, position: Position, primary: Option<bool>) -> Event {
     // The router assumes that a report's position was rounded up. This one is exact; without the correction it would
     // count as news every time.
     let report = Report { position: Some(position + REPORT_ROUNDING), primary, busy: None };
--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// How long a booking waits for another process's ids.
-const UNHEARD_TIMEOUT: Duration = Duration::from_secs(2);
+const PEER_IDS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an id could not be claimed.
 #[derive(Debug)]
@@ -72,7 +72,7 @@
 
 enum State {
     Alone,
-    Unheard,
+    AwaitingPeer,
     Shared(Box<dyn ClaimStore>),
 }
 
@@ -96,35 +96,35 @@
 
     /// Leaves half of the capacity that `held` does not use to the other process.
     fn halve_capacity(&mut self, held: LedgerSize) {
-        self.ledger.set_capacity(self.ledger.held().plus(self.limits.minus(held).half()));
+        self.ledger.set_capacity(self.ledger.size().plus(self.limits.minus(held).half()));
     }
 
     fn claim(&mut self, id: &str, request: ClaimRequest, ticket: Ticket) -> Claim<Ticket> {
         let now = self.now();
         let mut claim = self.ledger.claim(id, request, now, ticket.clone());
-        if matches!(claim, Claim::Full) {
+        if matches!(claim, Claim::NoRoom) {
             self.remove_expired(now);
             claim = self.ledger.claim(id, request, now, ticket);
         }
         let State::Shared(store) = &self.state else { return claim };
         match claim {
             Claim::New => {
-                let Some(entry) = self.ledger.shared(id, now) else { return Claim::New };
+                let Some(entry) = self.ledger.shared_entry(id, now) else { return Claim::New };
                 let Err(error) = store.claim(id, entry) else { return Claim::New };
-                self.ledger.forget(id);
+                self.ledger.remove(id);
                 match error {
-                    ClaimError::Taken(by) => taken(by, request.fingerprint),
-                    ClaimError::NoSpace => Claim::Full,
-                    ClaimError::Unknown(e) => unknown(&e),
+                    ClaimError::Taken(claimed_for) => claimed_by_peer(claimed_for, request.fingerprint),
+                    ClaimError::NoSpace => Claim::NoRoom,
+                    ClaimError::Unknown(e) => unprovable(&e),
                 }
             }
             // The other process may have claimed the id; then the booking may have run and must not be refused.
-            Claim::Full => match store.find(id) {
-                Ok(None) => Claim::Full,
-                Ok(Some(by)) => taken(by, request.fingerprint),
-                Err(e) => unknown(&e),
+            Claim::NoRoom => match store.find(id) {
+                Ok(None) => Claim::NoRoom,
+                Ok(Some(claimed_for)) => claimed_by_peer(claimed_for, request.fingerprint),
+                Err(e) => unprovable(&e),
             },
-            known => known,
+            other => other,
         }
     }
 
@@ -143,14 +143,14 @@
     }
 }
 
-fn taken<T>(by: Option<u64>, fingerprint: u64) -> Claim<T> {
-    match by {
-        Some(other) if other != fingerprint => Claim::Differs,
-        _ => Claim::Elsewhere,
+fn claimed_by_peer<T>(claimed_for: Option<u64>, fingerprint: u64) -> Claim<T> {
+    match claimed_for {
+        Some(claimed_for) if claimed_for != fingerprint => Claim::IdConflict,
+        _ => Claim::ClaimedByPeer,
     }
 }
 
-fn unknown<T>(error: &io::Error) -> Claim<T> {
+fn unprovable<T>(error: &io::Error) -> Claim<T> {
     count(Count::repeat_ids_unshared);
     log::warn!("cannot find out whether a repeat id is claimed: {error}");
     Claim::Unprovable
@@ -160,7 +160,7 @@
 #[derive(Clone)]
 pub struct RepeatIds {
     inner: Arc<Mutex<Inner>>,
-    heard: Arc<watch::Sender<bool>>,
+    peer_ids_known: Arc<watch::Sender<bool>>,
 }
 
 impl RepeatIds {
@@ -169,7 +169,7 @@
         let ledger = RepeatLedger::new(limits, span, clock.now());
         let inner =
             Inner { ledger, state: State::Alone, clock, clock_ahead: 0, limits, span, shared_span: span };
-        RepeatIds { inner: Arc::new(Mutex::new(inner)), heard: Arc::new(watch::Sender::new(true)) }
+        RepeatIds { inner: Arc::new(Mutex::new(inner)), peer_ids_known: Arc::new(watch::Sender::new(true)) }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
@@ -193,11 +193,11 @@
 
     /// Waits until the ids of the other process are known; false if that takes too long or until the deadline.
     /// Cancel safe.
-    pub async fn heard(&self, deadline: Instant) -> bool {
-        let mut heard = self.heard.subscribe();
-        let timeout_at = deadline.min(Instant::now() + UNHEARD_TIMEOUT);
-        let told = tokio::time::timeout_at(timeout_at, heard.wait_for(|heard| *heard)).await;
-        told.is_ok()
+    pub async fn wait_for_peer_ids(&self, deadline: Instant) -> bool {
+        let mut peer_ids_known = self.peer_ids_known.subscribe();
+        let timeout_at = deadline.min(Instant::now() + PEER_IDS_TIMEOUT);
+        let result = tokio::time::timeout_at(timeout_at, peer_ids_known.wait_for(|known| *known)).await;
+        result.is_ok()
     }
 
     /// Claims an id for a request. A new id is entered as running, both here and in the common store.
@@ -206,14 +206,14 @@
     }
 
     /// Marks the request of an id as ended; its answer stays.
-    pub fn ended(&self, id: &str) {
-        self.inner().ledger.ended(id);
+    pub fn mark_ended(&self, id: &str) {
+        self.inner().ledger.mark_ended(id);
     }
 
     /// Removes an id whose request provably never ran, so that either process may run a retry.
-    pub fn forget(&self, id: &str) {
+    pub fn remove(&self, id: &str) {
         let mut inner = self.inner();
-        inner.ledger.forget(id);
+        inner.ledger.remove(id);
         inner.release(id);
     }
 
@@ -224,13 +224,13 @@
 
     /// Whether the ids of another process are still unknown.
     pub fn is_awaiting_peer(&self) -> bool {
-        matches!(self.inner().state, State::Unheard)
+        matches!(self.inner().state, State::AwaitingPeer)
     }
 
     /// Another process may have claimed ids: until it has told them, no id counts as new.
     pub fn expect_peer(&self) {
-        self.inner().state = State::Unheard;
-        self.heard.send_replace(false);
+        self.inner().state = State::AwaitingPeer;
+        self.peer_ids_known.send_replace(false);
     }
 
     /// From now on ids are claimed in the store, unless another process's ids are still unknown.
@@ -246,12 +246,12 @@
     pub fn summarize_for_peer(&self, peer_span: Time) -> LedgerSummary {
         let mut inner = self.inner();
         let now = inner.now();
-        if matches!(inner.state, State::Unheard) {
+        if matches!(inner.state, State::AwaitingPeer) {
             // The awaited process has ended, and ids that it entered until now may be lost.
             inner.ledger.set_complete_since(now);
         }
         inner.shared_span = inner.span.min(peer_span);
-        let (held, span) = (inner.ledger.held(), inner.span);
+        let (held, span) = (inner.ledger.size(), inner.span);
         let shared_span = inner.shared_span;
         inner.ledger.set_span(shared_span);
         inner.halve_capacity(held);
@@ -260,18 +260,18 @@
     }
 
     /// Takes in the other process's summary; every id in its ledger has been claimed in the store.
-    pub fn accept_summary(&self, told: LedgerSummary, store: impl ClaimStore + 'static) {
+    pub fn accept_summary(&self, peer: LedgerSummary, store: impl ClaimStore + 'static) {
         let mut inner = self.inner();
-        inner.clock_ahead = told.now.saturating_sub(inner.clock.now());
+        inner.clock_ahead = peer.now.saturating_sub(inner.clock.now());
         let now = inner.now();
-        inner.shared_span = inner.span.min(told.span);
-        let known_for = told.now.saturating_sub(told.complete_since).min(inner.shared_span);
+        inner.shared_span = inner.span.min(peer.span);
+        let known_for = peer.now.saturating_sub(peer.complete_since).min(inner.shared_span);
         let shared_span = inner.shared_span;
         inner.ledger.set_complete_since(now.saturating_sub(known_for));
         inner.ledger.set_span(shared_span);
-        inner.halve_capacity(LedgerSize { ids: told.ids, bytes: told.bytes });
+        inner.halve_capacity(LedgerSize { ids: peer.ids, bytes: peer.bytes });
         inner.state = State::Shared(Box::new(store));
-        self.heard.send_replace(true);
+        self.peer_ids_known.send_replace(true);
     }
 
     /// The other process has ended and every id in the store has been entered here, so ids need not be claimed there
@@ -283,7 +283,7 @@
         // span.
         let complete_since = match inner.state {
             State::Alone => inner.ledger.complete_since(),
-            State::Unheard => now,
+            State::AwaitingPeer => now,
             State::Shared(_) => inner.ledger.complete_since().max(now.saturating_sub(inner.shared_span)),
         };
         inner.ledger.set_complete_since(complete_since);
@@ -291,7 +291,7 @@
         inner.ledger.set_span(span);
         inner.ledger.set_capacity(limits);
         inner.state = State::Alone;
-        self.heard.send_replace(true);
+        self.peer_ids_known.send_replace(true);
     }
 
     /// Enters an id that was claimed by another process. One whose claim cannot be read is kept for the whole span.
@@ -305,7 +305,7 @@
     /// The remaining capacity.
     pub fn free_capacity(&self) -> LedgerSize {
         let inner = self.inner();
-        inner.ledger.capacity().minus(inner.ledger.held())
+        inner.ledger.capacity().minus(inner.ledger.size())
     }
 
     /// The digests of all ids.
@@ -316,6 +316,6 @@
     /// What another process needs to know about an id.
     pub fn entry(&self, id: &str) -> Option<SharedEntry> {
         let inner = self.inner();
-        inner.ledger.shared(id, inner.now())
+        inner.ledger.shared_entry(id, inner.now())
     }
 }
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -12,15 +12,15 @@
     /// The id is new: it was entered, and the request may be sent.
     New,
     /// The id is known for the same request; with the ticket that was entered for it.
-    Known(T),
+    Existing(T),
     /// The id is known for the same request, but another process entered it and has the answer.
-    Elsewhere,
+    ClaimedByPeer,
     /// The id is known for a different request.
-    Differs,
+    IdConflict,
     /// The id is too old, or older than the ledger: it cannot be proved that the request has not run.
     Unprovable,
     /// No room: no entry may be removed before its span is over.
-    Full,
+    NoRoom,
 }
 
 /// Size or capacity of a ledger.
@@ -34,13 +34,13 @@
 
 impl LedgerSize {
     /// This size less another one, at least zero.
-    pub fn minus(self, held: LedgerSize) -> LedgerSize {
-        LedgerSize { ids: self.ids.saturating_sub(held.ids), bytes: self.bytes.saturating_sub(held.bytes) }
+    pub fn minus(self, other: LedgerSize) -> LedgerSize {
+        LedgerSize { ids: self.ids.saturating_sub(other.ids), bytes: self.bytes.saturating_sub(other.bytes) }
     }
 
     /// The sum of both sizes.
-    pub fn plus(self, more: LedgerSize) -> LedgerSize {
-        LedgerSize { ids: self.ids + more.ids, bytes: self.bytes + more.bytes }
+    pub fn plus(self, other: LedgerSize) -> LedgerSize {
+        LedgerSize { ids: self.ids + other.ids, bytes: self.bytes + other.bytes }
     }
 
     /// Half of this size.
@@ -71,7 +71,7 @@
     pub remaining: Time,
 }
 
-struct Kept<T> {
+struct Entry<T> {
     fingerprint: Option<u64>,
     first_sent: Time,
     answer_bytes: usize,
@@ -85,33 +85,27 @@
 /// after that; an entry is never evicted before its span is over.
 pub struct RepeatLedger<T> {
     capacity: LedgerSize,
-    held: LedgerSize,
+    size: LedgerSize,
     span: Time,
     /// Every id that was first sent at or after this time is known, by the ledger's clock.
     complete_since: Time,
-    kept: HashMap<String, Kept<T>>,
+    entries: HashMap<String, Entry<T>>,
 }
 
 impl<T: Clone> RepeatLedger<T> {
     /// Creates a ledger that is complete from `began` on and keeps each id for `span`.
     pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
-        RepeatLedger {
-            capacity,
-            held: LedgerSize::default(),
-            span,
-            complete_since: began,
-            kept: HashMap::new(),
-        }
+        RepeatLedger { capacity, size: LedgerSize::default(), span, complete_since: began, entries: HashMap::new() }
     }
 
     /// Claims an id for a request. A new id is entered as running, with this ticket.
     pub fn claim(&mut self, id: &str, request: ClaimRequest, now: Time, ticket: T) -> Claim<T> {
         let ClaimRequest { fingerprint, answer_bytes, first_sent } = request;
-        if let Some(kept) = self.kept.get(id) {
-            return match (&kept.ticket, kept.fingerprint) {
-                (_, Some(other)) if other != fingerprint => Claim::Differs,
-                (Some(ticket), _) => Claim::Known(ticket.clone()),
-                (None, _) => Claim::Elsewhere,
+        if let Some(entry) = self.entries.get(id) {
+            return match (&entry.ticket, entry.fingerprint) {
+                (_, Some(other)) if other != fingerprint => Claim::IdConflict,
+                (Some(ticket), _) => Claim::Existing(ticket.clone()),
+                (None, _) => Claim::ClaimedByPeer,
             };
         }
         // An id is kept for `span` from its arrival, or from its first send if that is later by the client's clock.
@@ -121,74 +115,73 @@
             return Claim::Unprovable;
         }
         if self.is_full(answer_bytes) {
-            return Claim::Full;
+            return Claim::NoRoom;
         }
         let until = now.max(first_sent).saturating_add(self.span);
         let fingerprint = Some(fingerprint);
-        let kept = Kept { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
-        self.enter(id.to_string(), kept);
+        let entry = Entry { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
+        self.insert(id.to_string(), entry);
         Claim::New
     }
 
-    fn enter(&mut self, id: String, kept: Kept<T>) {
-        self.held = self.held.plus(LedgerSize { ids: 1, bytes: kept.answer_bytes });
-        self.kept.insert(id, kept);
+    fn insert(&mut self, id: String, entry: Entry<T>) {
+        self.size = self.size.plus(LedgerSize { ids: 1, bytes: entry.answer_bytes });
+        self.entries.insert(id, entry);
     }
 
     /// Whether there is no room for another answer of this size.
     pub fn is_full(&self, answer_bytes: usize) -> bool {
-        self.held.ids >= self.capacity.ids
-            || self.held.bytes.saturating_add(answer_bytes) > self.capacity.bytes
+        self.size.ids >= self.capacity.ids || self.size.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
     /// Removes some entries whose span is over, and returns their ids.
     pub fn remove_expired(&mut self, now: Time) -> Vec<String> {
-        let expired = self.kept.iter().filter(|(_, kept)| !kept.running && now > kept.until);
+        let expired = self.entries.iter().filter(|(_, entry)| !entry.running && now > entry.until);
         let expired: Vec<String> = expired.take(EXPIRED_PER_CALL_MAX).map(|(id, _)| id.clone()).collect();
-        expired.iter().for_each(|id| self.forget(id));
+        expired.iter().for_each(|id| self.remove(id));
         expired
     }
 
     /// Marks the request of an id as ended; its answer stays.
-    pub fn ended(&mut self, id: &str) {
-        if let Some(kept) = self.kept.get_mut(id) {
-            kept.running = false;
+    pub fn mark_ended(&mut self, id: &str) {
+        if let Some(entry) = self.entries.get_mut(id) {
+            entry.running = false;
         }
     }
 
     /// Removes an id whose request provably never ran, so that a retry may run it.
-    pub fn forget(&mut self, id: &str) {
-        if let Some(kept) = self.kept.remove(id) {
-            self.held = self.held.minus(LedgerSize { ids: 1, bytes: kept.answer_bytes });
+    pub fn remove(&mut self, id: &str) {
+        if let Some(entry) = self.entries.remove(id) {
+            self.size = self.size.minus(LedgerSize { ids: 1, bytes: entry.answer_bytes });
         }
     }
 
     /// Enters an id from another process; an id that is known already is left unchanged.
     pub fn insert_foreign(&mut self, id: String, entry: SharedEntry, now: Time) {
-        if self.kept.contains_key(&id) {
+        if self.entries.contains_key(&id) {
             return;
         }
         let SharedEntry { fingerprint, first_sent, remaining } = entry;
         let until = now.saturating_add(remaining).max(first_sent.saturating_add(self.span));
-        let kept = Kept { fingerprint, first_sent, answer_bytes: 0, until, running: false, ticket: None };
-        self.enter(id, kept);
+        let entry = Entry { fingerprint, first_sent, answer_bytes: 0, until, running: false, ticket: None };
+        self.insert(id, entry);
     }
 
     /// All ids.
     pub fn ids(&self) -> Vec<String> {
-        self.kept.keys().cloned().collect()
+        self.entries.keys().cloned().collect()
     }
 
     /// The entry of an id as shared with other processes.
-    pub fn shared(&self, id: &str, now: Time) -> Option<SharedEntry> {
-        let kept = self.kept.get(id)?;
-        let remaining = kept.until.saturating_sub(now);
-        Some(SharedEntry { fingerprint: kept.fingerprint, first_sent: kept.first_sent, remaining })
+    pub fn shared_entry(&self, id: &str, now: Time) -> Option<SharedEntry> {
+        let entry = self.entries.get(id)?;
+        let remaining = entry.until.saturating_sub(now);
+        Some(SharedEntry { fingerprint: entry.fingerprint, first_sent: entry.first_sent, remaining })
     }
 
     /// The size of what the ledger holds.
-    pub fn held(&self) -> LedgerSize {
-        self.held
+    pub fn size(&self) -> LedgerSize {
+        self.size
     }
 
     /// The ledger's capacity.
--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -1,13 +1,13 @@
-//! What the ledger says of ids: known ones, new ones, those of other processes, and those that are too old.
+//! Tests of the ledger: known and new ids, ids of other processes, ids that are too old, and limits.
 
 use super::*;
 
 const SPAN: Time = 600_000_000;
 const BEGAN: Time = 1_000_000_000;
-const ROOM: LedgerSize = LedgerSize { ids: 4, bytes: 1_000 };
+const CAPACITY: LedgerSize = LedgerSize { ids: 4, bytes: 1_000 };
 
 fn ledger() -> RepeatLedger<u32> {
-    RepeatLedger::new(ROOM, SPAN, BEGAN)
+    RepeatLedger::new(CAPACITY, SPAN, BEGAN)
 }
 
 fn request(fingerprint: u64, first_sent: Time) -> ClaimRequest {
@@ -19,11 +19,11 @@
     let mut ledger = ledger();
     let now = BEGAN + 5;
     assert_eq!(ledger.claim("a", request(1, now), now, 7), Claim::New);
-    assert_eq!(ledger.claim("a", request(1, now), now, 8), Claim::Known(7));
-    assert_eq!(ledger.claim("a", request(2, now), now, 8), Claim::Differs);
-    ledger.forget("a");
+    assert_eq!(ledger.claim("a", request(1, now), now, 8), Claim::Existing(7));
+    assert_eq!(ledger.claim("a", request(2, now), now, 8), Claim::IdConflict);
+    ledger.remove("a");
     assert_eq!(ledger.claim("a", request(2, now), now, 9), Claim::New);
-    assert_eq!(ledger.held(), LedgerSize { ids: 1, bytes: 100 });
+    assert_eq!(ledger.size(), LedgerSize { ids: 1, bytes: 100 });
 }
 
 #[test]
@@ -33,17 +33,17 @@
     let entry = SharedEntry { fingerprint: Some(1), first_sent: now, remaining: SPAN };
     ledger.insert_foreign("a".into(), entry, now);
     ledger.insert_foreign("b".into(), SharedEntry { fingerprint: None, ..entry }, now);
-    assert_eq!(ledger.claim("a", request(1, now), now, 7), Claim::Elsewhere);
-    assert_eq!(ledger.claim("a", request(2, now), now, 7), Claim::Differs);
-    assert_eq!(ledger.claim("b", request(2, now), now, 7), Claim::Elsewhere);
-    // One that this process has entered itself keeps its answer.
+    assert_eq!(ledger.claim("a", request(1, now), now, 7), Claim::ClaimedByPeer);
+    assert_eq!(ledger.claim("a", request(2, now), now, 7), Claim::IdConflict);
+    assert_eq!(ledger.claim("b", request(2, now), now, 7), Claim::ClaimedByPeer);
+    // An id that this process has entered itself keeps its ticket.
     assert_eq!(ledger.claim("c", request(3, now), now, 7), Claim::New);
     ledger.insert_foreign("c".into(), entry, now);
-    assert_eq!(ledger.claim("c", request(3, now), now, 8), Claim::Known(7));
+    assert_eq!(ledger.claim("c", request(3, now), now, 8), Claim::Existing(7));
 }
 
 #[test]
-fn an_id_first_sent_before_all_is_known_or_too_long_ago_proves_nothing() {
+fn an_id_first_sent_before_the_ledger_is_complete_or_too_long_ago_is_unprovable() {
     let mut ledger = ledger();
     let now = BEGAN + 2 * SPAN;
     assert_eq!(ledger.claim("a", request(1, now - SPAN - 1), now, 7), Claim::Unprovable);
@@ -54,36 +54,32 @@
 }
 
 #[test]
-fn nothing_within_its_span_is_removed_to_make_room() {
+fn no_entry_is_removed_before_its_span_is_over() {
     let mut ledger = ledger();
     for id in ["a", "b", "c"] {
         assert_eq!(ledger.claim(id, request(1, BEGAN), BEGAN, 7), Claim::New);
     }
-    // Its client's clock runs ahead: it is kept for a span behind its first send.
+    // The client's clock is ahead: the entry is kept for a span from its first send.
     let ahead = BEGAN + 50;
-    ledger.insert_foreign(
-        "d".into(),
-        SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN },
-        BEGAN,
-    );
-    ledger.ended("a");
-    ledger.ended("b");
+    ledger.insert_foreign("d".into(), SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN }, BEGAN);
+    ledger.mark_ended("a");
+    ledger.mark_ended("b");
     assert!(ledger.remove_expired(BEGAN + SPAN).is_empty());
-    assert_eq!(ledger.claim("e", request(1, BEGAN), BEGAN + SPAN, 7), Claim::Full);
+    assert_eq!(ledger.claim("e", request(1, BEGAN), BEGAN + SPAN, 7), Claim::NoRoom);
     let mut removed = ledger.remove_expired(BEGAN + SPAN + 1);
     removed.sort_unstable();
-    assert_eq!(removed, ["a", "b"], "c runs, d came later by its client's clock");
+    assert_eq!(removed, ["a", "b"], "c is still running, and d was first sent later by its client's clock");
     assert_eq!(ledger.remove_expired(ahead + SPAN + 1), ["d"]);
-    assert_eq!(ledger.held(), LedgerSize { ids: 1, bytes: 100 });
+    assert_eq!(ledger.size(), LedgerSize { ids: 1, bytes: 100 });
 }
 
 #[test]
-fn bytes_of_answers_are_bounded_as_ids_are() {
+fn the_size_of_the_answers_is_bounded() {
     let mut ledger = ledger();
     let large = ClaimRequest { answer_bytes: 900, ..request(1, BEGAN) };
     assert_eq!(ledger.claim("a", large, BEGAN, 7), Claim::New);
     assert_eq!(ledger.claim("b", request(1, BEGAN), BEGAN, 7), Claim::New);
-    assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::Full);
+    assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::NoRoom);
     ledger.set_capacity(LedgerSize { ids: 2, bytes: 10_000 });
-    assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::Full);
+    assert_eq!(ledger.claim("c", request(1, BEGAN), BEGAN, 7), Claim::NoRoom);
 }
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -14,10 +14,10 @@
 /// Maximum number of members that may be suspended at a time.
 pub const MAX_SUSPENDED: usize = 1_024;
 /// Maximum number of ids remembered of members that have left, and how long, in us: calls about them are accepted.
-const LEFT_MOST: usize = 4_096;
-const LEFT_KEPT: Time = 600_000_000;
+const MAX_LEFT: usize = 4_096;
+const LEFT_RETENTION: Time = 600_000_000;
 /// How long a restore is remembered, in us: much longer than any member takes to warm up.
-const BACK_KEPT: Time = 600_000_000;
+const RESTORE_RETENTION: Time = 600_000_000;
 
 /// An entry of the member list.
 #[derive(Debug, Clone, PartialEq)]
@@ -49,7 +49,7 @@
 }
 
 impl Suspension {
-    fn is_out(&self) -> bool {
+    fn is_active(&self) -> bool {
         self.restored_at.is_none()
     }
 }
@@ -62,13 +62,13 @@
 pub struct EffectiveList {
     /// The listed members, as last reported by discovery.
     listed: BTreeMap<Arc<str>, ListedMember>,
-    hands: Suspensions,
+    suspensions: Suspensions,
     /// Members that discovery no longer lists, and since when.
     left: BTreeMap<Arc<str>, Time>,
     /// Starts of warm-ups that discovery may not know of.
-    begun: BTreeMap<Arc<str>, Time>,
+    warm_ups: BTreeMap<Arc<str>, Time>,
     /// Members that are suspended in the whole fleet.
-    fleet: BTreeSet<Arc<str>>,
+    fleet_suspended: BTreeSet<Arc<str>>,
 }
 
 impl EffectiveList {
@@ -77,44 +77,44 @@
         if matches!(kind, ListKind::Disk | ListKind::Full) {
             let named: BTreeSet<&Arc<str>> = entries.iter().map(|e| &e.name).collect();
             let gone: Vec<Arc<str>> = self.listed.keys().filter(|n| !named.contains(n)).cloned().collect();
-            gone.into_iter().for_each(|name| self.leave(name, now));
+            gone.into_iter().for_each(|name| self.mark_left(name, now));
         }
         for entry in &entries {
             if entry.member.service_state == ServiceState::Removed {
-                self.leave(entry.name.clone(), now);
+                self.mark_left(entry.name.clone(), now);
             } else {
                 self.left.remove(&entry.name);
                 self.listed.insert(entry.name.clone(), entry.clone());
             }
         }
-        self.forget(now);
-        entries.into_iter().map(|entry| self.told(entry)).collect()
+        self.prune(now);
+        entries.into_iter().map(|entry| self.effective_entry(entry)).collect()
     }
 
-    fn leave(&mut self, name: Arc<str>, now: Time) {
+    fn mark_left(&mut self, name: Arc<str>, now: Time) {
         if self.listed.remove(&name).is_some() {
             self.left.insert(name, now);
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        self.left.retain(|_, since| now < *since + LEFT_KEPT);
-        while self.left.len() > LEFT_MOST {
+    fn prune(&mut self, now: Time) {
+        self.left.retain(|_, since| now < *since + LEFT_RETENTION);
+        while self.left.len() > MAX_LEFT {
             let oldest = self.left.iter().min_by_key(|(_, since)| **since).map(|(name, _)| name.clone());
             oldest.map(|name| self.left.remove(&name));
         }
-        self.hands.retain(|_, hand| hand.restored_at.is_none_or(|back| now < back + BACK_KEPT));
+        self.suspensions.retain(|_, suspension| suspension.restored_at.is_none_or(|restored_at| now < restored_at + RESTORE_RETENTION));
         let listed = &self.listed;
-        self.begun.retain(|name, at| now < *at + BACK_KEPT && listed.contains_key(name));
+        self.warm_ups.retain(|name, at| now < *at + RESTORE_RETENTION && listed.contains_key(name));
     }
 
     /// A listed entry with the suspensions applied, as the router gets it.
-    fn told(&self, mut entry: ListedMember) -> ListedMember {
+    fn effective_entry(&self, mut entry: ListedMember) -> ListedMember {
         let member = &mut entry.member;
-        if member.service_state == ServiceState::Active && self.fleet.contains(&entry.name) {
+        if member.service_state == ServiceState::Active && self.fleet_suspended.contains(&entry.name) {
             member.service_state = ServiceState::Draining;
         }
-        match self.hands.get(&entry.name) {
+        match self.suspensions.get(&entry.name) {
             Some(Suspension { restored_at: None, .. }) if member.service_state == ServiceState::Active => {
                 member.service_state = ServiceState::Draining;
             }
@@ -124,20 +124,20 @@
             }
             _ => {}
         }
-        member.up_since = member.up_since.max(self.begun.get(&entry.name).copied());
+        member.up_since = member.up_since.max(self.warm_ups.get(&entry.name).copied());
         entry
     }
 
     /// Takes in the start of a member's warm-up. Returns the entry for the router if the start is later than the
     /// known one. The start is kept until a list no longer names the member: the warm-up counts from the latest known
     /// start.
-    pub fn warms(&mut self, name: &Arc<str>, at: Time) -> Option<ListedMember> {
-        let known = self.again(name).map(|e| e.member.up_since);
+    pub fn add_warm_up(&mut self, name: &Arc<str>, at: Time) -> Option<ListedMember> {
+        let known = self.entry(name).map(|e| e.member.up_since);
         if known.is_some_and(|start| start >= Some(at)) {
             return None;
         }
-        self.begun.insert(name.clone(), at);
-        self.again(name)
+        self.warm_ups.insert(name.clone(), at);
+        self.entry(name)
     }
 
     /// The listed members, as reported by discovery.
@@ -146,8 +146,8 @@
     }
 
     /// The entry of a listed member, as the router gets it.
-    pub fn again(&self, name: &str) -> Option<ListedMember> {
-        self.listed.get(name).map(|entry| self.told(entry.clone()))
+    pub fn entry(&self, name: &str) -> Option<ListedMember> {
+        self.listed.get(name).map(|entry| self.effective_entry(entry.clone()))
     }
 
     /// The members' clock is ahead by `us` more than was assumed: adjusts the listed starts, and returns the changed
@@ -160,19 +160,19 @@
                 entry.name.clone()
             })
             .collect();
-        names.iter().filter_map(|name| self.again(name)).collect()
+        names.iter().filter_map(|name| self.entry(name)).collect()
     }
 
     /// Whether a member of this id may be suspended or restored: a list has named it, or another process of this
     /// proxy knew it.
-    pub fn knows(&self, name: &str) -> bool {
-        self.listed.contains_key(name) || self.left.contains_key(name) || self.hands.contains_key(name)
+    pub fn is_known(&self, name: &str) -> bool {
+        self.listed.contains_key(name) || self.left.contains_key(name) || self.suspensions.contains_key(name)
     }
 
     /// Whether any listed member can be sent requests.
-    pub fn serves(&self) -> bool {
+    pub fn has_usable_member(&self) -> bool {
         let usable = |e: &ListedMember| e.member.service_state == ServiceState::Active;
-        self.listed.values().any(|entry| usable(&self.told(entry.clone())))
+        self.listed.values().any(|entry| usable(&self.effective_entry(entry.clone())))
     }
 
     /// Suspends a member; suspending it again has no effect. Returns the changed entry for the router, if any.
@@ -180,19 +180,19 @@
     /// # Errors
     /// Why the member cannot be suspended.
     pub fn suspend(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
-        if !self.knows(name) {
+        if !self.is_known(name) {
             return Err(SuspensionError::UnknownMember);
         }
-        if self.hands.get(name).is_some_and(Suspension::is_out) {
+        if self.suspensions.get(name).is_some_and(Suspension::is_active) {
             return Ok(None);
         }
-        if self.hands.values().filter(|h| h.is_out()).count() >= MAX_SUSPENDED {
+        if self.suspensions.values().filter(|suspension| suspension.is_active()).count() >= MAX_SUSPENDED {
             return Err(SuspensionError::TooManySuspended);
         }
         // Later than the previous suspension and restore, even if those were made by a process whose clock was ahead.
-        let before = self.hands.get(name).map_or(0, |hand| hand.restored_at.unwrap_or(hand.suspended_at).max(hand.suspended_at) + 1);
-        self.hands.insert(name.into(), Suspension { suspended_at: now.max(before), restored_at: None });
-        Ok(self.again(name))
+        let earliest = self.suspensions.get(name).map_or(0, |suspension| suspension.restored_at.unwrap_or(suspension.suspended_at).max(suspension.suspended_at) + 1);
+        self.suspensions.insert(name.into(), Suspension { suspended_at: now.max(earliest), restored_at: None });
+        Ok(self.entry(name))
     }
 
     /// Restores a member, however often it was suspended. Returns the changed entry for the router, if any.
@@ -200,38 +200,38 @@
     /// # Errors
     /// Why the member cannot be restored.
     pub fn restore(&mut self, name: &str, now: Time) -> Result<Option<ListedMember>, SuspensionError> {
-        if !self.knows(name) {
+        if !self.is_known(name) {
             return Err(SuspensionError::UnknownMember);
         }
-        match self.hands.get_mut(name) {
-            Some(hand) if hand.is_out() => hand.restored_at = Some(now.max(hand.suspended_at + 1)),
+        match self.suspensions.get_mut(name) {
+            Some(suspension) if suspension.is_active() => suspension.restored_at = Some(now.max(suspension.suspended_at + 1)),
             _ => return Ok(None),
         }
-        Ok(self.again(name))
+        Ok(self.entry(name))
     }
 
     /// Replaces the set of members that are suspended in the whole fleet, and returns the changed entries for the
     /// router. A member that is restored by this counts as started now, as after [`EffectiveList::restore`].
-    pub fn fleet(&mut self, out: BTreeSet<Arc<str>>, now: Time) -> Vec<ListedMember> {
-        let former = std::mem::replace(&mut self.fleet, out);
-        let back: Vec<Arc<str>> = former.difference(&self.fleet).cloned().collect();
-        back.into_iter().filter(|name| self.listed.contains_key(name)).for_each(|name| {
-            self.begun.insert(name, now);
+    pub fn set_fleet_suspended(&mut self, suspended: BTreeSet<Arc<str>>, now: Time) -> Vec<ListedMember> {
+        let former = std::mem::replace(&mut self.fleet_suspended, suspended);
+        let restored: Vec<Arc<str>> = former.difference(&self.fleet_suspended).cloned().collect();
+        restored.into_iter().filter(|name| self.listed.contains_key(name)).for_each(|name| {
+            self.warm_ups.insert(name, now);
         });
-        former.symmetric_difference(&self.fleet).filter_map(|name| self.again(name)).collect()
+        former.symmetric_difference(&self.fleet_suspended).filter_map(|name| self.entry(name)).collect()
     }
 
     /// All suspensions made by the operators.
-    pub fn hands(&self) -> &Suspensions {
-        &self.hands
+    pub fn suspensions(&self) -> &Suspensions {
+        &self.suspensions
     }
 
     /// Replaces the suspensions by those known to all processes of this proxy, and returns the changed entries for
     /// the router.
-    pub fn adopt(&mut self, hands: Suspensions) -> Vec<ListedMember> {
-        let former = std::mem::replace(&mut self.hands, hands);
-        let changed = |name: &&Arc<str>| former.get(*name) != self.hands.get(*name);
-        let names: BTreeSet<&Arc<str>> = former.keys().chain(self.hands.keys()).filter(changed).collect();
-        names.into_iter().filter_map(|name| self.again(name)).collect()
+    pub fn replace_suspensions(&mut self, suspensions: Suspensions) -> Vec<ListedMember> {
+        let former = std::mem::replace(&mut self.suspensions, suspensions);
+        let changed = |name: &&Arc<str>| former.get(*name) != self.suspensions.get(*name);
+        let names: BTreeSet<&Arc<str>> = former.keys().chain(self.suspensions.keys()).filter(changed).collect();
+        names.into_iter().filter_map(|name| self.entry(name)).collect()
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -56,20 +56,20 @@
 
     fn flatten(&mut self, path: String, json: &serde_json::Value) {
         use serde_json::Value::{Array, Null, Object};
-        let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match json {
-            Object(fields) => fields.iter().for_each(|(name, value)| self.flatten(below(name), value)),
+            Object(fields) => fields.iter().for_each(|(name, value)| self.flatten(child_path(name), value)),
             Array(items) if items.iter().any(|i| i.is_object() || i.is_array()) => {
-                self.0.insert(below("count"), items.len().to_string());
-                items.iter().enumerate().for_each(|(i, item)| self.flatten(below(&i.to_string()), item));
+                self.0.insert(child_path("count"), items.len().to_string());
+                items.iter().enumerate().for_each(|(i, item)| self.flatten(child_path(&i.to_string()), item));
             }
             Array(items) => {
-                let plain: Vec<String> = items.iter().map(plain).collect();
+                let plain: Vec<String> = items.iter().map(to_text).collect();
                 self.0.insert(path, plain.join(","));
             }
             Null => {}
             value => {
-                self.0.insert(path, plain(value));
+                self.0.insert(path, to_text(value));
             }
         }
     }
@@ -79,7 +79,7 @@
     pub fn missing_keys(&self, running: &FlatSettings) -> Vec<String> {
         let within = |name: &str, list: &str| name.contains(&format!("{list}."));
         let listed = |name: &str| within(name, "services") || within(name, "tenants");
-        let mut lacks: Vec<String> =
+        let mut missing: Vec<String> =
             running.0.keys().filter(|n| !listed(n) && !self.0.contains_key(*n)).cloned().collect();
         for list in ["settings.services", "settings.tenants"] {
             let count = |p: &FlatSettings| {
@@ -92,46 +92,46 @@
             };
             for field in fields.filter(all) {
                 let names = (0..count(self)).map(|i: usize| format!("{list}.{i}.{field}"));
-                lacks.extend(names.filter(|n| !self.0.contains_key(n)));
+                missing.extend(names.filter(|n| !self.0.contains_key(n)));
             }
             if count(running) > 0 && count(self) == 0 {
-                lacks.push(list.to_string());
+                missing.push(list.to_string());
             }
         }
-        lacks.sort();
-        lacks
+        missing.sort();
+        missing
     }
 
-    fn wrong(name: &str, value: &str) -> String {
+    fn bad_value(name: &str, value: &str) -> String {
         format!("settings: {name} has the bad value '{value}'")
     }
 
-    fn may<T: FromStr>(&self, name: &str) -> Result<Option<T>, String> {
+    fn optional<T: FromStr>(&self, name: &str) -> Result<Option<T>, String> {
         match self.0.get(name) {
             None => Ok(None),
-            Some(v) => v.parse().map(Some).map_err(|_| Self::wrong(name, v)),
+            Some(v) => v.parse().map(Some).map_err(|_| Self::bad_value(name, v)),
         }
     }
 
-    fn must<T: FromStr>(&self, name: &str) -> Result<T, String> {
-        self.may(name)?.ok_or_else(|| format!("settings: {name} is missing"))
+    fn required<T: FromStr>(&self, name: &str) -> Result<T, String> {
+        self.optional(name)?.ok_or_else(|| format!("settings: {name} is missing"))
     }
 
     fn number(&self, name: &str) -> Result<f64, String> {
-        let v: f64 = self.must(name)?;
-        (v.is_finite() && v >= 0.0).then_some(v).ok_or_else(|| Self::wrong(name, &v.to_string()))
+        let v: f64 = self.required(name)?;
+        (v.is_finite() && v >= 0.0).then_some(v).ok_or_else(|| Self::bad_value(name, &v.to_string()))
     }
 
-    fn word<T: Copy>(&self, name: &str, words: &[(&str, T)]) -> Result<T, String> {
-        let v: String = self.must(name)?;
-        words.iter().find(|(w, _)| *w == v).map(|(_, t)| *t).ok_or_else(|| Self::wrong(name, &v))
+    fn choice<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> Result<T, String> {
+        let v: String = self.required(name)?;
+        choices.iter().find(|(w, _)| *w == v).map(|(_, t)| *t).ok_or_else(|| Self::bad_value(name, &v))
     }
 
     fn flag(&self, name: &str) -> Result<bool, String> {
         match self.0.get(name).map(String::as_str) {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(v) => Err(Self::wrong(name, v)),
+            Some(v) => Err(Self::bad_value(name, v)),
         }
     }
 
@@ -141,8 +141,8 @@
     }
 
     fn names_under(&self, list: &str) -> Result<Vec<String>, String> {
-        let count: usize = self.may(&format!("{list}.count"))?.unwrap_or(0);
-        (0..count).map(|i| self.must(&format!("{list}.{i}.name"))).collect()
+        let count: usize = self.optional(&format!("{list}.count"))?.unwrap_or(0);
+        (0..count).map(|i| self.required(&format!("{list}.{i}.name"))).collect()
     }
 
     /// Names of classes, tenants and zones.
@@ -160,8 +160,8 @@
     /// If one of them is malformed.
     pub fn socket_times(&self) -> Result<SocketTimes, String> {
         Ok(SocketTimes {
-            keepalive: self.may("limits.keepalive_us")?.unwrap_or(30_000_000),
-            connect_timeout: self.may("limits.connect_timeout_us")?.unwrap_or(250_000),
+            keepalive: self.optional("limits.keepalive_us")?.unwrap_or(30_000_000),
+            connect_timeout: self.optional("limits.connect_timeout_us")?.unwrap_or(250_000),
         })
     }
 
@@ -173,28 +173,28 @@
             "session" => Consistency::Session,
             "bounded" => Consistency::Bounded(age),
             "any" => Consistency::Any,
-            other => return Err(Self::wrong("family_info.needs_by_class", other)),
+            other => return Err(Self::bad_value("family_info.needs_by_class", other)),
         };
-        let kind: String = self.must(&f("idempotency"))?;
+        let kind: String = self.required(&f("idempotency"))?;
         let repeat = match kind.as_str() {
             "read_like" => Effect::Safe,
             "non_idempotent" => Effect::Unsafe,
             "idempotency_key" => Effect::Keyed {
-                group: self.word(
+                group: self.choice(
                     &f("group"),
                     &[("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)],
                 )?,
-                window: self.must(&f("window_us"))?,
+                window: self.required(&f("window_us"))?,
             },
-            other => return Err(Self::wrong(&f("idempotency"), other)),
+            other => return Err(Self::bad_value(&f("idempotency"), other)),
         };
         Ok(Class {
             consistency: need,
             effect: repeat,
-            aim: self.must(&f("aim_us"))?,
-            deadline: self.must(&f("deadline_us"))?,
+            aim: self.required(&f("aim_us"))?,
+            deadline: self.required(&f("deadline_us"))?,
             importance: self
-                .may::<f64>(&f("importance"))?
+                .optional::<f64>(&f("importance"))?
                 .filter(|w| w.is_finite() && *w > 0.0)
                 .unwrap_or(1.0),
             late_value: self.number(&f("late_value"))?,
@@ -206,7 +206,7 @@
     /// # Errors
     /// A message about the first value that is missing or malformed.
     pub fn settings(&self, seed: u64) -> Result<Settings, String> {
-        let count: usize = self.must("services.count")?;
+        let count: usize = self.required("services.count")?;
         let (needs, ages) = (self.list("family_info.needs_by_class"), self.list("family_info.max_age_us"));
         if needs.len() != count || !ages.is_empty() && ages.len() != count {
             return Err(format!(
@@ -218,43 +218,43 @@
         let mut classes = Vec::new();
         for i in 0..count {
             let age = ages.get(i).map_or("0", String::as_str);
-            let age = age.parse().map_err(|_| Self::wrong("family_info.max_age_us", age))?;
+            let age = age.parse().map_err(|_| Self::bad_value("family_info.max_age_us", age))?;
             classes.push(self.class(i, needs.get(i).map_or("", String::as_str), age)?);
         }
-        let behind: String = self.must("family_info.when_behind")?;
+        let behind: String = self.required("family_info.when_behind")?;
         let when_behind = match behind.as_str() {
             "off" => WhenBehind::Answers,
             "refuse" => WhenBehind::Refuses,
-            "wait" => WhenBehind::Waits(self.must("family_info.catch_up_wait_us")?),
-            other => return Err(Self::wrong("family_info.when_behind", other)),
+            "wait" => WhenBehind::Waits(self.required("family_info.catch_up_wait_us")?),
+            other => return Err(Self::bad_value("family_info.when_behind", other)),
         };
         Ok(Settings {
             seed,
-            instances: self.must("instances")?,
-            zone: self.must("my_zone")?,
+            instances: self.required("instances")?,
+            zone: self.required("my_zone")?,
             classes,
-            period: self.must("period_us")?,
-            subscribe: self.word("discovery", &[("automatic", false), ("subscribe", true)])?,
-            list_role: self.word(
+            period: self.required("period_us")?,
+            subscribe: self.choice("discovery", &[("automatic", false), ("subscribe", true)])?,
+            list_role: self.choice(
                 "family_info.list_role",
                 &[("late", ListedRole::Delayed), ("start", ListedRole::AtStart), ("off", ListedRole::Absent)],
             )?,
             when_behind,
-            session_marks: self.word(
+            session_marks: self.choice(
                 "family_info.session_marks",
                 &[("carried", SessionTokenSource::Carried), ("remembered", SessionTokenSource::Remembered)],
             )?,
             cancelling: self.flag("limits.cancelling")?,
             probing: self.flag("limits.probing")?,
             retry_after: self.flag("limits.retry_after")?,
-            max_retry_after: self.may("limits.max_retry_after_us")?.unwrap_or(0),
-            max_attempts: self.must("limits.max_attempts")?,
+            max_retry_after: self.optional("limits.max_retry_after_us")?.unwrap_or(0),
+            max_attempts: self.required("limits.max_attempts")?,
             rules: Rules {
                 cold_share: self.number("rules.cold_share")?,
-                warm_after: self.must("rules.warm_after_us")?,
+                warm_after: self.required("rules.warm_after_us")?,
                 fall_multiple: self.fall_multiple()?,
-                fall_span: self.must("rules.fall_us")?,
-                drain_grace: self.may("rules.drain_grace_us")?.unwrap_or(0),
+                fall_span: self.required("rules.fall_us")?,
+                drain_grace: self.optional("rules.drain_grace_us")?.unwrap_or(0),
                 removal_not_binding: self.flag("rules.removal_not_binding")?,
             },
         })
@@ -262,10 +262,10 @@
 
     /// If not set, a member in slow start is sent no more than its current capacity.
     fn fall_multiple(&self) -> Result<f64, String> {
-        let told = self.may("rules.fall_multiple")?.unwrap_or(1.0);
-        (f64::is_finite(told) && told > 0.0)
-            .then_some(told)
-            .ok_or_else(|| Self::wrong("rules.fall_multiple", &told.to_string()))
+        let multiple = self.optional("rules.fall_multiple")?.unwrap_or(1.0);
+        (f64::is_finite(multiple) && multiple > 0.0)
+            .then_some(multiple)
+            .ok_or_else(|| Self::bad_value("rules.fall_multiple", &multiple.to_string()))
     }
 
     /// The origin of the positions in the adapter's protocol.
@@ -273,7 +273,7 @@
     /// # Errors
     /// If it is missing or malformed.
     pub fn position_origin(&self) -> Result<Time, String> {
-        self.must("family_info.counted_from_us")
+        self.required("family_info.counted_from_us")
     }
 
     /// Seed for the adapter's random numbers.
@@ -281,10 +281,10 @@
     /// # Errors
     /// If it is missing or malformed.
     pub fn entropy(&self) -> Result<u64, String> {
-        self.must("entropy")
+        self.required("entropy")
     }
 }
 
-fn plain(value: &serde_json::Value) -> String {
+fn to_text(value: &serde_json::Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -1,5 +1,5 @@
-//! What discovery and the operators say of a member, joined: all short histories, against a plain model of what must
-//! show.
+//! The member list with the operators' suspensions applied: all short histories of a member, checked against a simple
+//! model.
 #![allow(missing_docs)]
 
 use linentrail::effective_list::{EffectiveList, ListedMember, SuspensionError};
@@ -18,7 +18,7 @@
     }
 }
 
-/// One thing that may happen.
+/// An event in a member's history.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Step {
     Suspend,
@@ -26,11 +26,11 @@
     Active,
     Leaving,
     Left,
-    /// A whole list without the member.
+    /// A full list without the member.
     Without,
-    /// A whole list with it, started just now.
+    /// A full list with the member, which has just started.
     Restarted,
-    /// Another process goes on from what this one hands it.
+    /// Another process takes over from this one.
     HandedOver,
 }
 
@@ -45,44 +45,44 @@
     Step::HandedOver,
 ];
 
-/// What must show, kept as plainly as can be.
+/// The expected state.
 #[derive(Debug, Clone, Default)]
 struct Model {
     known: bool,
-    /// Condition and start by discovery's word, while it lists the member.
+    /// Condition and start according to discovery, while it lists the member.
     listed: Option<(ServiceState, Option<Time>)>,
-    out_since: Option<Time>,
-    /// Out and back, of the last time that it was put back.
-    put_back: Option<(Time, Time)>,
+    suspended_at: Option<Time>,
+    /// Times of the latest suspension that has ended: suspended at, restored at.
+    restored: Option<(Time, Time)>,
 }
 
 impl Model {
-    fn must_show(&self) -> Option<(ServiceState, Option<Time>)> {
+    fn expected(&self) -> Option<(ServiceState, Option<Time>)> {
         let (service_state, start) = self.listed?;
-        if self.out_since.is_some() {
+        if self.suspended_at.is_some() {
             return Some((ServiceState::Draining, start));
         }
-        Some(match self.put_back {
-            Some((out, back)) => (service_state, if start > Some(out) { start } else { Some(back) }),
+        Some(match self.restored {
+            Some((suspended_at, restored_at)) => (service_state, if start > Some(suspended_at) { start } else { Some(restored_at) }),
             None => (service_state, start),
         })
     }
 }
 
-/// The overlay and what a module would hold of its word.
+/// The list under test, and the members as the router would know them.
 struct Run {
-    overlay: EffectiveList,
+    list: EffectiveList,
     seen: BTreeMap<Arc<str>, Member>,
     model: Model,
     now: Time,
 }
 
 impl Run {
-    fn see(&mut self, kind: ListKind, told: Vec<ListedMember>) {
+    fn apply(&mut self, kind: ListKind, changed: Vec<ListedMember>) {
         if matches!(kind, ListKind::Disk | ListKind::Full) {
             self.seen.clear();
         }
-        for ListedMember { name, member, .. } in told {
+        for ListedMember { name, member, .. } in changed {
             match member.service_state {
                 ServiceState::Removed => drop(self.seen.remove(&name)),
                 _ => drop(self.seen.insert(name, member)),
@@ -91,8 +91,8 @@
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<ListedMember>) {
-        let told = self.overlay.list(kind, entries, self.now);
-        self.see(kind, told);
+        let changed = self.list.list(kind, entries, self.now);
+        self.apply(kind, changed);
     }
 
     fn step(&mut self, step: Step) {
@@ -101,20 +101,20 @@
         let model = &mut self.model;
         match step {
             Step::Suspend | Step::Restore => {
-                let told = match step {
-                    Step::Suspend => self.overlay.suspend("m", now),
-                    _ => self.overlay.restore("m", now),
+                let changed = match step {
+                    Step::Suspend => self.list.suspend("m", now),
+                    _ => self.list.restore("m", now),
                 };
-                assert_eq!(told.is_ok(), model.known, "a no is owed to an unknown id, and to no other");
-                match (step, model.out_since) {
-                    _ if !model.known => assert_eq!(told, Err(SuspensionError::UnknownMember)),
-                    (Step::Suspend, None) => (model.out_since, model.put_back) = (Some(now), None),
+                assert_eq!(changed.is_ok(), model.known, "only an unknown id is an error");
+                match (step, model.suspended_at) {
+                    _ if !model.known => assert_eq!(changed, Err(SuspensionError::UnknownMember)),
+                    (Step::Suspend, None) => (model.suspended_at, model.restored) = (Some(now), None),
                     (Step::Restore, Some(out)) => {
-                        (model.out_since, model.put_back) = (None, Some((out, now)));
+                        (model.suspended_at, model.restored) = (None, Some((out, now)));
                     }
-                    _ => assert_eq!(told, Ok(None), "said twice, it is no news"),
+                    _ => assert_eq!(changed, Ok(None), "a repeated call changes nothing"),
                 }
-                self.see(ListKind::Operator, told.ok().flatten().into_iter().collect());
+                self.apply(ListKind::Operator, changed.ok().flatten().into_iter().collect());
             }
             Step::Active | Step::Leaving => {
                 let service_state =
@@ -135,17 +135,17 @@
                 self.list(ListKind::Full, vec![entry("m", ServiceState::Active, Some(now))]);
             }
             Step::HandedOver => {
-                let hands = self.overlay.hands().clone();
+                let suspensions = self.list.suspensions().clone();
                 let listed: Vec<ListedMember> = model
                     .listed
                     .map(|(service_state, start)| entry("m", service_state, start))
                     .into_iter()
                     .collect();
-                // What left before the other process began is known to it by the operators' word alone.
-                model.known = model.listed.is_some() || hands.contains_key("m");
-                self.overlay = EffectiveList::default();
+                // The other process knows of a member that has left only if it was suspended or restored.
+                model.known = model.listed.is_some() || suspensions.contains_key("m");
+                self.list = EffectiveList::default();
                 self.seen.clear();
-                self.overlay.adopt(hands);
+                self.list.replace_suspensions(suspensions);
                 self.list(ListKind::Disk, listed);
             }
         }
@@ -153,24 +153,20 @@
 
     fn check(&self, history: &[Step]) {
         let seen = self.seen.get("m").map(|m| (m.service_state, m.up_since));
-        assert_eq!(seen, self.model.must_show(), "{history:?}: {:?}", self.model);
+        assert_eq!(seen, self.model.expected(), "{history:?}: {:?}", self.model);
         let usable = seen.is_some_and(|(service_state, _)| service_state == ServiceState::Active);
         let other = self.seen.contains_key("other");
-        assert_eq!(self.overlay.serves(), usable || other, "{history:?}");
+        assert_eq!(self.list.has_usable_member(), usable || other, "{history:?}");
     }
 }
 
 #[test]
-fn every_short_history_ends_in_what_both_words_say() {
+fn every_short_history_matches_the_model() {
     const LENGTH: u32 = 6;
     let mut history = Vec::new();
     for mut number in 0..STEPS.len().pow(LENGTH) {
-        let mut run = Run {
-            overlay: EffectiveList::default(),
-            seen: BTreeMap::new(),
-            model: Model::default(),
-            now: 100,
-        };
+        let mut run =
+            Run { list: EffectiveList::default(), seen: BTreeMap::new(), model: Model::default(), now: 100 };
         history.clear();
         for _ in 0..LENGTH {
             history.push(STEPS[number % STEPS.len()]);
@@ -182,59 +178,60 @@
 }
 
 #[test]
-fn one_that_another_process_took_out_or_put_back_is_told_at_once_and_no_other() {
+fn only_members_suspended_or_restored_at_another_process_are_reported_as_changed() {
     let (mut here, mut there) = (EffectiveList::default(), EffectiveList::default());
     for side in [&mut here, &mut there] {
         let entries = vec![entry("a", ServiceState::Active, None), entry("b", ServiceState::Active, None)];
         side.list(ListKind::Full, entries, 5);
     }
-    there.suspend("a", 10).expect("it is known");
-    let told = here.adopt(there.hands().clone());
-    assert_eq!(told, [entry("a", ServiceState::Draining, None)]);
-    assert!(here.adopt(there.hands().clone()).is_empty());
-    there.restore("a", 20).expect("it is known");
-    assert_eq!(here.adopt(there.hands().clone()), [entry("a", ServiceState::Active, Some(20))]);
+    there.suspend("a", 10).expect("a known member");
+    let changed = here.replace_suspensions(there.suspensions().clone());
+    assert_eq!(changed, [entry("a", ServiceState::Draining, None)]);
+    assert!(here.replace_suspensions(there.suspensions().clone()).is_empty());
+    there.restore("a", 20).expect("a known member");
+    assert_eq!(here.replace_suspensions(there.suspensions().clone()), [entry("a", ServiceState::Active, Some(20))]);
 }
 
 #[test]
-fn what_is_remembered_has_a_bound() {
-    let mut overlay = EffectiveList::default();
-    let most = linentrail::effective_list::MAX_SUSPENDED;
-    let names: Vec<String> = (0..=most).map(|n| format!("m{n}")).collect();
+fn the_remembered_members_are_bounded() {
+    let mut list = EffectiveList::default();
+    let limit = linentrail::effective_list::MAX_SUSPENDED;
+    let names: Vec<String> = (0..=limit).map(|n| format!("m{n}")).collect();
     let entries = names.iter().map(|n| entry(n, ServiceState::Active, None)).collect();
-    overlay.list(ListKind::Full, entries, 0);
-    for name in &names[..most] {
-        assert!(overlay.suspend(name, 1).is_ok());
+    list.list(ListKind::Full, entries, 0);
+    for name in &names[..limit] {
+        assert!(list.suspend(name, 1).is_ok());
     }
-    assert_eq!(overlay.suspend(&names[most], 1), Err(SuspensionError::TooManySuspended));
-    assert!(overlay.restore(&names[0], 2).is_ok() && overlay.suspend(&names[most], 3).is_ok());
-    // A day later all have left, and only those that are out are remembered.
-    overlay.list(ListKind::Full, Vec::new(), 4);
-    overlay.list(ListKind::Full, Vec::new(), 86_400_000_000);
-    assert!(!overlay.knows(&names[0]) && overlay.knows(&names[1]));
-    assert_eq!(overlay.hands().len(), most);
+    assert_eq!(list.suspend(&names[limit], 1), Err(SuspensionError::TooManySuspended));
+    assert!(list.restore(&names[0], 2).is_ok() && list.suspend(&names[limit], 3).is_ok());
+    // A day later all members have left, and only suspended ones are remembered.
+    list.list(ListKind::Full, Vec::new(), 4);
+    list.list(ListKind::Full, Vec::new(), 86_400_000_000);
+    assert!(!list.is_known(&names[0]) && list.is_known(&names[1]));
+    assert_eq!(list.suspensions().len(), limit);
 }
 
-/// Two processes of one proxy, one after the other, on a machine whose clock was set back in between: what was said later
-/// wins where the two are joined, as it must be once the store is read again.
+/// Guards against a lost suspension when two processes of one proxy run one after the other and the machine's clock
+/// was set back in between: the later suspension must win when both states are merged, as when the store is read
+/// again.
 #[test]
-fn what_the_operators_said_last_wins_over_a_clock_that_was_set_back() {
+fn the_latest_suspension_wins_although_the_clock_was_set_back() {
     use linentrail::knowledge::merge_hands;
     let mut first = EffectiveList::default();
     first.list(ListKind::Full, vec![entry("m", ServiceState::Active, None)], 5_000);
-    first.suspend("m", 5_000).expect("it is listed");
-    first.restore("m", 6_000).expect("it is out");
-    let stored = first.hands().clone();
+    first.suspend("m", 5_000).expect("a listed member");
+    first.restore("m", 6_000).expect("a known member");
+    let stored = first.suspensions().clone();
     let mut second = EffectiveList::default();
     second.list(ListKind::Full, vec![entry("m", ServiceState::Active, None)], 1_000);
-    second.adopt(stored.clone());
-    let told = second.suspend("m", 1_500).expect("it is listed").expect("that is news");
-    assert_eq!(told.member.service_state, ServiceState::Draining);
+    second.replace_suspensions(stored.clone());
+    let changed = second.suspend("m", 1_500).expect("a listed member").expect("a changed entry");
+    assert_eq!(changed.member.service_state, ServiceState::Draining);
     let mut joined = stored.clone();
-    merge_hands(&mut joined, second.hands());
-    assert_eq!(joined["m"].restored_at, None, "it is out: {joined:?}");
-    second.restore("m", 1_600).expect("it is out");
+    merge_hands(&mut joined, second.suspensions());
+    assert_eq!(joined["m"].restored_at, None, "still suspended: {joined:?}");
+    second.restore("m", 1_600).expect("a known member");
     let mut back = joined.clone();
-    merge_hands(&mut back, second.hands());
-    assert!(back["m"].restored_at.is_some(), "it is back: {back:?}");
+    merge_hands(&mut back, second.suspensions());
+    assert!(back["m"].restored_at.is_some(), "restored: {back:?}");
 }
