--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -226,8 +226,8 @@
                     self.startup.member_answered(now);
                 }
                 // A report that cannot be true only shows that the member answers.
-                let heard = |report| self.localize_report(report, spent, now).unwrap_or_default();
-                Some(Event::Probed { member, ok, report: report.map(heard) })
+                let localize = |report| self.localize_report(report, spent, now).unwrap_or_default();
+                Some(Event::Probed { member, ok, report: report.map(localize) })
             }
             Input::List(kind, mut entries) => {
                 self.localize_starts(&mut entries);
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -233,13 +233,13 @@
         // Late enough that no attempt is delayed by the spreading of first requests after a start.
         let now = actor.clock.now() + 4_000 * MS;
         let report = Report { position: Some(now + 100 * MS), primary: Some(false), busy: None };
-        let heard = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
-        actor.step(now, &[heard]);
+        let event = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
+        actor.step(now, &[event]);
         let (reply, mut answer) = oneshot::channel();
         let deadline = now + 1_000 * MS;
         let read = Request { after: Some(now + 600 * MS), ..session_read(class_table, deadline) };
-        let asked = actor.handle_input(Input::Submit(RequestId(1), read, reply), now).expect("an event for the router");
-        actor.step(now, &[asked]);
+        let event = actor.handle_input(Input::Submit(RequestId(1), read, reply), now).expect("an event for the router");
+        actor.step(now, &[event]);
         for at in (now..=deadline).step_by(10 * MS as usize) {
             actor.step(at, &[Event::Wake { tag: 0 }]);
         }
@@ -265,12 +265,12 @@
     let now = actor.clock.now();
     let position = now - age + 100 * MS;
     let report = Report { position: Some(position), primary: Some(false), busy: None };
-    let heard = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
-    actor.step(now, &[heard]);
+    let event = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
+    actor.step(now, &[event]);
     let read = Request { class: BOUNDED_READ, session: None, ..session_read(class_table, now + 1_000 * MS) };
-    let asked =
+    let event =
         actor.handle_input(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("an event for the router");
-    actor.step(now, &[asked]);
+    actor.step(now, &[event]);
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
         let times = crate::settings::SocketTimes { keepalive: Time::MAX, connect_timeout: Time::MAX };
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -137,7 +137,7 @@
                         count(Count::full_service);
                         add(Count::full_service_ms, progress.elapsed / 1000);
                     }
-                    log::info!("{told}");
+                    log::info!("{progress}");
                 }
             }
         }
--- a/src/core/session_ledger.rs
+++ b/src/core/session_ledger.rs
@@ -8,24 +8,24 @@
 /// the ledger is full, the older half is dropped and its latest commit becomes a floor that reads of all unknown
 /// sessions must reflect, so that dropping entries never allows a stale read.
 pub struct SessionLedger {
-    most: usize,
+    max_sessions: usize,
     commits: HashMap<Arc<str>, Position>,
     floor: Position,
 }
 
 impl SessionLedger {
     /// Creates a ledger for up to this many sessions.
-    pub fn new(most: usize) -> Self {
-        SessionLedger { most: most.max(2), commits: HashMap::new(), floor: 0 }
+    pub fn new(max_sessions: usize) -> Self {
+        SessionLedger { max_sessions: max_sessions.max(2), commits: HashMap::new(), floor: 0 }
     }
 
     /// Records a committed write.
     pub fn record_commit(&mut self, session: &Arc<str>, commit: Position) {
-        if self.commits.len() >= self.most && !self.commits.contains_key(session) {
+        if self.commits.len() >= self.max_sessions && !self.commits.contains_key(session) {
             let mut all: Vec<Position> = self.commits.values().copied().collect();
             let middle = all.len() / 2;
-            let (_, cut, _) = all.select_nth_unstable(middle);
-            self.floor = self.floor.max(*cut);
+            let (_, median, _) = all.select_nth_unstable(middle);
+            self.floor = self.floor.max(*median);
             let floor = self.floor;
             self.commits.retain(|_, at| *at > floor);
         }
@@ -36,9 +36,9 @@
     /// The commits since then by session, and the latest of all others: what another process needs to prevent stale
     /// reads.
     pub fn since(&self, then: Position) -> (Vec<(Arc<str>, Position)>, Position) {
-        let (late, early): (Vec<_>, Vec<_>) = self.commits.iter().partition(|(_, at)| **at >= then);
-        let floor = early.into_iter().map(|(_, at)| *at).max().unwrap_or(0).max(self.floor);
-        (late.into_iter().map(|(name, at)| (name.clone(), *at)).collect(), floor)
+        let (recent, older): (Vec<_>, Vec<_>) = self.commits.iter().partition(|(_, at)| **at >= then);
+        let floor = older.into_iter().map(|(_, at)| *at).max().unwrap_or(0).max(self.floor);
+        (recent.into_iter().map(|(name, at)| (name.clone(), *at)).collect(), floor)
     }
 
     /// Takes in the commits known to another process.
--- a/tests/flows.rs
+++ b/tests/flows.rs
@@ -215,6 +215,6 @@
         runtime().block_on(client).expect("the whole value");
     }
     assert!(served > 10, "{served}");
-    assert!(peak_kib < 40 * 1024, "{most} KiB at most, {before} before");
+    assert!(peak_kib < 40 * 1024, "{peak_kib} KiB at most, {before} before");
     assert_eq!(counted(&world, "flows"), CLIENTS as u64);
 }
