--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -54,8 +54,10 @@
     pub fn replace(&mut self, names: Names, classes: Vec<Class>) -> Arc<ClassTable> {
         let old = std::mem::take(&mut self.current);
         self.former.push(Arc::downgrade(&old));
-        let mut next =
-            ClassTable { names: Names { classes: old.names.classes.clone(), ..names }, ..ClassTable::default() };
+        let mut next = ClassTable {
+            names: Names { classes: old.names.classes.clone(), ..names },
+            ..ClassTable::default()
+        };
         (next.classes, next.selectable) = (old.classes.clone(), vec![false; old.classes.len()]);
         // Only requests hold former tables.
         drop(old);
@@ -76,10 +78,13 @@
             }
         }
         for (name, class) in new {
-            let in_use = |slot: usize| still_held.iter().any(|t| t.selectable.get(slot).is_some_and(|selectable| *selectable));
+            let in_use = |slot: usize| {
+                still_held.iter().any(|t| t.selectable.get(slot).is_some_and(|selectable| *selectable))
+            };
             match (0..next.classes.len()).find(|slot| !next.selectable[*slot] && !in_use(*slot)) {
                 Some(slot) => {
-                    (next.names.classes[slot], next.classes[slot], next.selectable[slot]) = (name, class, true);
+                    (next.names.classes[slot], next.classes[slot], next.selectable[slot]) =
+                        (name, class, true);
                 }
                 None => {
                     next.names.classes.push(name);
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -434,7 +434,9 @@
                     self.members.cancel(member, id, attempt);
                 }
             }
-            Action::Refuse { id, .. } if self.live.get(&id).is_some_and(LiveRequest::retry_would_run_again) => {
+            Action::Refuse { id, .. }
+                if self.live.get(&id).is_some_and(LiveRequest::retry_would_run_again) =>
+            {
                 self.fail(id, now);
             }
             Action::Refuse { id, retry_after } => {
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -50,9 +50,11 @@
 /// The same with these settings.
 fn actor_with(settings: Settings, members: Vec<ListedMember>) -> Actor<RecordingMembers> {
     let (clock, mailbox, commands) = (Clock::start(), mpsc::channel(1).1, mpsc::channel(1).1);
-    let mut actor = Actor::new(settings, RecordingMembers::default(), clock, (mailbox, commands)).expect("valid settings");
+    let mut actor = Actor::new(settings, RecordingMembers::default(), clock, (mailbox, commands))
+        .expect("valid settings");
     let now = actor.clock.now();
-    let event = actor.handle_input(Input::List(ListKind::Full, members), now).expect("an event for the router");
+    let event =
+        actor.handle_input(Input::List(ListKind::Full, members), now).expect("an event for the router");
     actor.step(now, &[event]);
     actor
 }
@@ -69,7 +71,8 @@
         let mut actor = actor(vec![listed(1, None), listed(2, None)]);
         let now = actor.clock.now();
         let facts = |position| MemberFacts { position, primary: Some(false), ..MemberFacts::default() };
-        let known_with = |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
+        let known_with =
+            |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
         let first = actor.learn(&known_with(now - 5_000));
         assert!(matches!(&first[..], [Event::Probed { member: MemberId(1), ok: true, .. }]), "{first:?}");
         actor.step(now, &first);
@@ -104,7 +107,9 @@
             let mut actor = actor(vec![]);
             actor.restore_knowledge(stored_knowledge(&[("m1", facts.clone())]));
             let now = actor.clock.now();
-            let event = actor.handle_input(Input::List(kind, vec![listed(1, listed_start)]), now).expect("an event for the router");
+            let event = actor
+                .handle_input(Input::List(kind, vec![listed(1, listed_start)]), now)
+                .expect("an event for the router");
             actor.step(now, &[event]);
             let follow_up: Vec<Event> = actor.next_events.drain(..).collect();
             actor.step(now, &follow_up);
@@ -122,9 +127,14 @@
         let mut actor = actor(vec![]);
         let now = actor.clock.now();
         let began = Some(now - 1_000_000);
-        actor.restore_knowledge(stored_knowledge(&[("m1", MemberFacts { cold_from: began, ..MemberFacts::default() })]));
+        actor.restore_knowledge(stored_knowledge(&[(
+            "m1",
+            MemberFacts { cold_from: began, ..MemberFacts::default() },
+        )]));
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
-            let event = actor.handle_input(Input::List(kind, vec![listed(1, None)]), now).expect("an event for the router");
+            let event = actor
+                .handle_input(Input::List(kind, vec![listed(1, None)]), now)
+                .expect("an event for the router");
             actor.step(now, &[event]);
             let cold =
                 actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
@@ -138,10 +148,12 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = stored_knowledge(&[]);
-        all.hands.insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
+        all.hands
+            .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.restore_knowledge(all);
         let now = actor.clock.now();
-        let event = actor.handle_input(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
+        let event =
+            actor.handle_input(Input::List(ListKind::Disk, vec![listed(1, None), listed(2, None)]), now);
         let Some(Event::List { members, .. }) = event else { panic!("{event:?}") };
         let of = |id| members.iter().find(|m| m.id == MemberId(id)).map(|m| m.service_state);
         assert_eq!((of(1), of(2)), (Some(ServiceState::Draining), Some(ServiceState::Active)));
@@ -233,12 +245,16 @@
         // Late enough that no attempt is delayed by the spreading of first requests after a start.
         let now = actor.clock.now() + 4_000 * MS;
         let report = Report { position: Some(now + 100 * MS), primary: Some(false), busy: None };
-        let event = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
+        let event = actor
+            .handle_input(Input::Probed(MemberId(2), Some(report), 0), now)
+            .expect("an event for the router");
         actor.step(now, &[event]);
         let (reply, mut answer) = oneshot::channel();
         let deadline = now + 1_000 * MS;
         let read = Request { after: Some(now + 600 * MS), ..session_read(class_table, deadline) };
-        let event = actor.handle_input(Input::Submit(RequestId(1), read, reply), now).expect("an event for the router");
+        let event = actor
+            .handle_input(Input::Submit(RequestId(1), read, reply), now)
+            .expect("an event for the router");
         actor.step(now, &[event]);
         for at in (now..=deadline).step_by(10 * MS as usize) {
             actor.step(at, &[Event::Wake { tag: 0 }]);
@@ -265,11 +281,14 @@
     let now = actor.clock.now();
     let position = now - age + 100 * MS;
     let report = Report { position: Some(position), primary: Some(false), busy: None };
-    let event = actor.handle_input(Input::Probed(MemberId(2), Some(report), 0), now).expect("an event for the router");
+    let event = actor
+        .handle_input(Input::Probed(MemberId(2), Some(report), 0), now)
+        .expect("an event for the router");
     actor.step(now, &[event]);
     let read = Request { class: BOUNDED_READ, session: None, ..session_read(class_table, now + 1_000 * MS) };
-    let event =
-        actor.handle_input(Input::Submit(RequestId(1), read, oneshot::channel().0), now).expect("an event for the router");
+    let event = actor
+        .handle_input(Input::Submit(RequestId(1), read, oneshot::channel().0), now)
+        .expect("an event for the router");
     actor.step(now, &[event]);
     let [attempt] = &actor.members.attempts[..] else { panic!("one attempt is sent") };
     let begins = || {
--- a/src/core/bookings.rs
+++ b/src/core/bookings.rs
@@ -122,7 +122,13 @@
         }
     }
 
-    fn run(&self, id: String, request: Request, answer_sender: watch::Sender<Option<Answer>>, waiters: Arc<Waiters>) {
+    fn run(
+        &self,
+        id: String,
+        request: Request,
+        answer_sender: watch::Sender<Option<Answer>>,
+        waiters: Arc<Waiters>,
+    ) {
         let this = self.clone();
         tokio::spawn(async move {
             let mut pending = this.core.submit(request).await;
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -68,7 +68,11 @@
         lease.extend(100);
         assert_eq!(lease.apply_settings(settings.clone(), 50).max_attempts, 5);
         assert_eq!(
-            (max_attempts(lease.take_change(99)), max_attempts(lease.take_change(100)), max_attempts(lease.take_change(101))),
+            (
+                max_attempts(lease.take_change(99)),
+                max_attempts(lease.take_change(100)),
+                max_attempts(lease.take_change(101))
+            ),
             (None, Some(0), None)
         );
         // Settings that arrive while the lease is expired are kept until it is valid again.
@@ -78,6 +82,9 @@
         assert_eq!(max_attempts(lease.take_change(130)), Some(7));
         // An older, shorter lease does not shorten the current one.
         lease.extend(150);
-        assert_eq!((max_attempts(lease.take_change(199)), max_attempts(lease.take_change(200))), (None, Some(0)));
+        assert_eq!(
+            (max_attempts(lease.take_change(199)), max_attempts(lease.take_change(200))),
+            (None, Some(0))
+        );
     }
 }
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -44,7 +44,12 @@
 
 impl LiveRequest {
     /// Creates a request that has just arrived, without attempts.
-    pub fn new(request: Request, arrived_at: Time, reply: oneshot::Sender<Answer>, unchecked_position: Position) -> Self {
+    pub fn new(
+        request: Request,
+        arrived_at: Time,
+        reply: oneshot::Sender<Answer>,
+        unchecked_position: Position,
+    ) -> Self {
         let (reply, attempts) = (Some(reply), SmallVec::new());
         LiveRequest { request, arrived_at, reply, unchecked_position, attempts, abandoned: false }
     }
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -26,11 +26,13 @@
             CoreCommand::Suspend(name, reply) => (self.effective_list.suspend(&name, now), reply),
             CoreCommand::Restore(name, reply) => (self.effective_list.restore(&name, now), reply),
             CoreCommand::QueryReadiness(reply) => {
-                let _ = reply.send(match (self.effective_list.has_usable_member(), now < self.unconfirmed_until) {
-                    (_, true) => Readiness::SuspensionsUnconfirmed,
-                    (true, _) => Readiness::Ready,
-                    (false, _) => Readiness::NoUsableMember,
-                });
+                let _ = reply.send(
+                    match (self.effective_list.has_usable_member(), now < self.unconfirmed_until) {
+                        (_, true) => Readiness::SuspensionsUnconfirmed,
+                        (true, _) => Readiness::Ready,
+                        (false, _) => Readiness::NoUsableMember,
+                    },
+                );
                 return Vec::new();
             }
             CoreCommand::RestoreKnowledge(all, until, reply) => {
@@ -130,7 +132,11 @@
                 }
                 StartupEvent::PhaseOverdue(phase) => {
                     count(Count::phase_overstays);
-                    log::warn!("startup phase {} exceeds its time limit; it waits for {}", phase.name(), phase.waits_for());
+                    log::warn!(
+                        "startup phase {} exceeds its time limit; it waits for {}",
+                        phase.name(),
+                        phase.waits_for()
+                    );
                 }
                 StartupEvent::Finished(progress) => {
                     if progress.full_service_seen {
@@ -163,7 +169,8 @@
     fn export(&self, now: Time) -> Known {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.effective_list.listed().map(|e| (e.member.id, &e.name)).collect();
-        let members = self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
+        let members =
+            self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(EXPORTED_COMMIT_AGE));
         let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
         map_times(known, |local| self.member_clock.to_member(local))
@@ -212,13 +219,16 @@
     /// process (`own`) allows more than one that may be.
     pub(super) fn apply_stored_facts(&mut self, from_this_process: bool) {
         let Actor { stored_facts, effective_list, .. } = self;
-        let listed_start = |name: &str| effective_list.entry(name).map_or(ListedStart::Absent, |e| ListedStart::Named(e.member.up_since));
+        let listed_start = |name: &str| {
+            effective_list.entry(name).map_or(ListedStart::Absent, |e| ListedStart::Named(e.member.up_since))
+        };
         let Usable { bounds, primaries } = match from_this_process {
             true => stored_facts.confirm(listed_start),
             false => Usable { primaries: stored_facts.hints(listed_start), ..Usable::default() },
         };
-        let bounds =
-            bounds.into_iter().filter_map(|(name, at)| Some((self.effective_list.entry(&name)?.member.id, at)));
+        let bounds = bounds
+            .into_iter()
+            .filter_map(|(name, at)| Some((self.effective_list.entry(&name)?.member.id, at)));
         let events: Vec<Event> = bounds.map(|(id, at)| position_report(id, at, None)).collect();
         self.next_events.extend(events);
         let hint = |name: Arc<str>| {
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -95,7 +95,13 @@
 impl<T: Clone> RepeatLedger<T> {
     /// Creates a ledger that is complete from `began` on and keeps each id for `span`.
     pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
-        RepeatLedger { capacity, size: LedgerSize::default(), span, complete_since: began, entries: HashMap::new() }
+        RepeatLedger {
+            capacity,
+            size: LedgerSize::default(),
+            span,
+            complete_since: began,
+            entries: HashMap::new(),
+        }
     }
 
     /// Claims an id for a request. A new id is entered as running, with this ticket.
@@ -119,7 +125,8 @@
         }
         let until = now.max(first_sent).saturating_add(self.span);
         let fingerprint = Some(fingerprint);
-        let entry = Entry { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
+        let entry =
+            Entry { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
         self.insert(id.to_string(), entry);
         Claim::New
     }
@@ -131,7 +138,8 @@
 
     /// Whether there is no room for another answer of this size.
     pub fn is_full(&self, answer_bytes: usize) -> bool {
-        self.size.ids >= self.capacity.ids || self.size.bytes.saturating_add(answer_bytes) > self.capacity.bytes
+        self.size.ids >= self.capacity.ids
+            || self.size.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
     /// Removes some entries whose span is over, and returns their ids.
--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -61,7 +61,11 @@
     }
     // The client's clock is ahead: the entry is kept for a span from its first send.
     let ahead = BEGAN + 50;
-    ledger.insert_foreign("d".into(), SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN }, BEGAN);
+    ledger.insert_foreign(
+        "d".into(),
+        SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN },
+        BEGAN,
+    );
     ledger.mark_ended("a");
     ledger.mark_ended("b");
     assert!(ledger.remove_expired(BEGAN + SPAN).is_empty());
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -103,7 +103,9 @@
             let oldest = self.left.iter().min_by_key(|(_, since)| **since).map(|(name, _)| name.clone());
             oldest.map(|name| self.left.remove(&name));
         }
-        self.suspensions.retain(|_, suspension| suspension.restored_at.is_none_or(|restored_at| now < restored_at + RESTORE_RETENTION));
+        self.suspensions.retain(|_, suspension| {
+            suspension.restored_at.is_none_or(|restored_at| now < restored_at + RESTORE_RETENTION)
+        });
         let listed = &self.listed;
         self.warm_ups.retain(|name, at| now < *at + RESTORE_RETENTION && listed.contains_key(name));
     }
@@ -190,8 +192,11 @@
             return Err(SuspensionError::TooManySuspended);
         }
         // Later than the previous suspension and restore, even if those were made by a process whose clock was ahead.
-        let earliest = self.suspensions.get(name).map_or(0, |suspension| suspension.restored_at.unwrap_or(suspension.suspended_at).max(suspension.suspended_at) + 1);
-        self.suspensions.insert(name.into(), Suspension { suspended_at: now.max(earliest), restored_at: None });
+        let earliest = self.suspensions.get(name).map_or(0, |suspension| {
+            suspension.restored_at.unwrap_or(suspension.suspended_at).max(suspension.suspended_at) + 1
+        });
+        self.suspensions
+            .insert(name.into(), Suspension { suspended_at: now.max(earliest), restored_at: None });
         Ok(self.entry(name))
     }
 
@@ -204,7 +209,9 @@
             return Err(SuspensionError::UnknownMember);
         }
         match self.suspensions.get_mut(name) {
-            Some(suspension) if suspension.is_active() => suspension.restored_at = Some(now.max(suspension.suspended_at + 1)),
+            Some(suspension) if suspension.is_active() => {
+                suspension.restored_at = Some(now.max(suspension.suspended_at + 1))
+            }
             _ => return Ok(None),
         }
         Ok(self.entry(name))
@@ -231,7 +238,8 @@
     pub fn replace_suspensions(&mut self, suspensions: Suspensions) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.suspensions, suspensions);
         let changed = |name: &&Arc<str>| former.get(*name) != self.suspensions.get(*name);
-        let names: BTreeSet<&Arc<str>> = former.keys().chain(self.suspensions.keys()).filter(changed).collect();
+        let names: BTreeSet<&Arc<str>> =
+            former.keys().chain(self.suspensions.keys()).filter(changed).collect();
         names.into_iter().filter_map(|name| self.entry(name)).collect()
     }
 }
--- a/src/phases.rs
+++ b/src/phases.rs
@@ -282,7 +282,12 @@
     pub fn progress(&self, now: Time) -> StartupProgress {
         let until = if self.is_finished() { self.finished_at } else { now };
         let elapsed = until.saturating_sub(self.began);
-        StartupProgress { phase: self.phase, durations: self.durations.clone(), elapsed, full_service_seen: self.full_service_seen }
+        StartupProgress {
+            phase: self.phase,
+            durations: self.durations.clone(),
+            elapsed,
+            full_service_seen: self.full_service_seen,
+        }
     }
 }
 
@@ -305,7 +310,10 @@
     }
 
     fn ended_phases(events: &[StartupEvent]) -> Vec<Phase> {
-        events.iter().filter_map(|n| if let StartupEvent::PhaseEnded(p, _) = n { Some(*p) } else { None }).collect()
+        events
+            .iter()
+            .filter_map(|n| if let StartupEvent::PhaseEnded(p, _) = n { Some(*p) } else { None })
+            .collect()
     }
 
     #[test]
@@ -368,7 +376,10 @@
         assert!(events.contains(&StartupEvent::PhaseOverdue(Phase::Confirming)), "{events:?}");
         let events = idle.advance(BEGAN + CONFIRMING_LIMIT + RAMPING_LIMIT, || true);
         let Some(StartupEvent::Finished(progress)) = events.last() else { panic!("{events:?}") };
-        assert!(!progress.full_service_seen && progress.to_string().starts_with("full service was not seen within 35000 ms"));
+        assert!(
+            !progress.full_service_seen
+                && progress.to_string().starts_with("full service was not seen within 35000 ms")
+        );
 
         let mut bad = StartupTracker::new(BEGAN);
         bad.member_answered(BEGAN);
@@ -377,14 +388,19 @@
         send_requests(&mut bad, BEGAN, 2_900, 1);
         assert!(bad.advance(BEGAN + 29_000 * MS, || true).is_empty(), "one of 20 is bad");
         assert!(bad.buckets.len() <= 100, "old buckets are dropped: {}", bad.buckets.len());
-        assert!(matches!(bad.advance(BEGAN + RAMPING_LIMIT, || true).last(), Some(StartupEvent::Finished(p)) if !p.full_service_seen));
+        assert!(
+            matches!(bad.advance(BEGAN + RAMPING_LIMIT, || true).last(), Some(StartupEvent::Finished(p)) if !p.full_service_seen)
+        );
     }
 
     #[test]
     fn without_a_list_the_listing_phase_continues_and_is_reported_once() {
         let mut startup = StartupTracker::new(BEGAN);
         startup.start_serving(BEGAN, BEGAN);
-        assert_eq!(startup.advance(BEGAN + LISTING_LIMIT, || false), [StartupEvent::PhaseOverdue(Phase::Listing)]);
+        assert_eq!(
+            startup.advance(BEGAN + LISTING_LIMIT, || false),
+            [StartupEvent::PhaseOverdue(Phase::Listing)]
+        );
         assert!(startup.advance(BEGAN + 9 * LISTING_LIMIT, || false).is_empty());
         let progress = startup.progress(BEGAN + 9 * LISTING_LIMIT);
         assert_eq!((progress.phase, progress.elapsed), (Phase::Listing, 9 * LISTING_LIMIT));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -56,7 +56,8 @@
 
     fn flatten(&mut self, path: String, json: &serde_json::Value) {
         use serde_json::Value::{Array, Null, Object};
-        let child_path = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+        let child_path =
+            |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
         match json {
             Object(fields) => fields.iter().for_each(|(name, value)| self.flatten(child_path(name), value)),
             Array(items) if items.iter().any(|i| i.is_object() || i.is_array()) => {
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -63,7 +63,9 @@
             return Some((ServiceState::Draining, start));
         }
         Some(match self.restored {
-            Some((suspended_at, restored_at)) => (service_state, if start > Some(suspended_at) { start } else { Some(restored_at) }),
+            Some((suspended_at, restored_at)) => {
+                (service_state, if start > Some(suspended_at) { start } else { Some(restored_at) })
+            }
             None => (service_state, start),
         })
     }
