--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -191,7 +191,10 @@
     assert_eq!(changed, [entry("a", ServiceState::Draining, None)]);
     assert!(here.replace_suspensions(there.suspensions().clone()).is_empty());
     there.restore("a", 20).expect("a known member");
-    assert_eq!(here.replace_suspensions(there.suspensions().clone()), [entry("a", ServiceState::Active, Some(20))]);
+    assert_eq!(
+        here.replace_suspensions(there.suspensions().clone()),
+        [entry("a", ServiceState::Active, Some(20))]
+    );
 }
 
 #[test]
