--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -62,7 +62,7 @@
         // Only requests hold former tables.
         drop(old);
         self.former.retain(|class_table| class_table.strong_count() > 0);
-        let still_held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
+        let held: Vec<Arc<ClassTable>> = self.former.iter().filter_map(Weak::upgrade).collect();
         let named: Vec<(String, Class)> = names.classes.into_iter().zip(classes).collect();
         // Unchanged classes first, so that no other class takes their slots.
         let find_unchanged = |next: &ClassTable, (name, class): &(String, Class)| {
@@ -78,9 +78,7 @@
             }
         }
         for (name, class) in new {
-            let in_use = |slot: usize| {
-                still_held.iter().any(|t| t.selectable.get(slot).is_some_and(|selectable| *selectable))
-            };
+            let in_use = |slot: usize| held.iter().any(|t| t.selectable.get(slot).is_some_and(|set| *set));
             match (0..next.classes.len()).find(|slot| !next.selectable[*slot] && !in_use(*slot)) {
                 Some(slot) => {
                     (next.names.classes[slot], next.classes[slot], next.selectable[slot]) =
@@ -156,13 +154,13 @@
     #[test]
     fn a_thousand_reloads_take_no_more_slots_than_open_requests_need() {
         let mut slots = ClassSlots::default();
-        let still_held = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
+        let held = change(&mut slots, &[("a", Effect::Safe), ("b", Effect::Safe)]);
         for n in 0..1_000 {
             let (x, y) = (format!("x{n}"), format!("y{n}"));
             let class_table =
                 change(&mut slots, &[(&x, Effect::Safe), ("b", Effect::Unsafe), (&y, Effect::Unsafe)]);
             assert!(class_table.classes.len() <= 7, "{}", class_table.classes.len());
-            assert_eq!(class_table.classes[0], still_held.classes[0]);
+            assert_eq!(class_table.classes[0], held.classes[0]);
         }
         assert!(slots.former.len() <= 2);
     }
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -6,7 +6,7 @@
 use super::member_times::map_times;
 use super::{CoreCommand, ListedMember, Members, PeerCommits, Readiness};
 use crate::interface::*;
-use crate::knowledge::evidence::{Listed as ListedStart, Recalled, Usable};
+use crate::knowledge::evidence::{Listed, Recalled, Usable};
 use crate::knowledge::{merge_hands, Knowledge, Known};
 use crate::phases::StartupEvent;
 use crate::policy::REPORT_ROUNDING;
@@ -216,15 +216,15 @@
     }
 
     /// Uses a new list to decide which stored facts about members may be used. A list that is not older than this
-    /// process (`own`) allows more than one that may be.
+    /// process (`from_this_process`) allows more than one that may be.
     pub(super) fn apply_stored_facts(&mut self, from_this_process: bool) {
         let Actor { stored_facts, effective_list, .. } = self;
-        let listed_start = |name: &str| {
-            effective_list.entry(name).map_or(ListedStart::Absent, |e| ListedStart::Named(e.member.up_since))
+        let start = |name: &str| {
+            effective_list.entry(name).map_or(Listed::Absent, |e| Listed::Named(e.member.up_since))
         };
         let Usable { bounds, primaries } = match from_this_process {
-            true => stored_facts.confirm(listed_start),
-            false => Usable { primaries: stored_facts.hints(listed_start), ..Usable::default() },
+            true => stored_facts.confirm(start),
+            false => Usable { primaries: stored_facts.hints(start), ..Usable::default() },
         };
         let bounds = bounds
             .into_iter()
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -103,9 +103,7 @@
             let oldest = self.left.iter().min_by_key(|(_, since)| **since).map(|(name, _)| name.clone());
             oldest.map(|name| self.left.remove(&name));
         }
-        self.suspensions.retain(|_, suspension| {
-            suspension.restored_at.is_none_or(|restored_at| now < restored_at + RESTORE_RETENTION)
-        });
+        self.suspensions.retain(|_, s| s.restored_at.is_none_or(|at| now < at + RESTORE_RETENTION));
         let listed = &self.listed;
         self.warm_ups.retain(|name, at| now < *at + RESTORE_RETENTION && listed.contains_key(name));
     }
@@ -188,13 +186,14 @@
         if self.suspensions.get(name).is_some_and(Suspension::is_active) {
             return Ok(None);
         }
-        if self.suspensions.values().filter(|suspension| suspension.is_active()).count() >= MAX_SUSPENDED {
+        if self.suspensions.values().filter(|s| s.is_active()).count() >= MAX_SUSPENDED {
             return Err(SuspensionError::TooManySuspended);
         }
         // Later than the previous suspension and restore, even if those were made by a process whose clock was ahead.
-        let earliest = self.suspensions.get(name).map_or(0, |suspension| {
-            suspension.restored_at.unwrap_or(suspension.suspended_at).max(suspension.suspended_at) + 1
-        });
+        let earliest = self
+            .suspensions
+            .get(name)
+            .map_or(0, |s| s.restored_at.unwrap_or(s.suspended_at).max(s.suspended_at) + 1);
         self.suspensions
             .insert(name.into(), Suspension { suspended_at: now.max(earliest), restored_at: None });
         Ok(self.entry(name))
@@ -209,9 +208,7 @@
             return Err(SuspensionError::UnknownMember);
         }
         match self.suspensions.get_mut(name) {
-            Some(suspension) if suspension.is_active() => {
-                suspension.restored_at = Some(now.max(suspension.suspended_at + 1))
-            }
+            Some(s) if s.is_active() => s.restored_at = Some(now.max(s.suspended_at + 1)),
             _ => return Ok(None),
         }
         Ok(self.entry(name))
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -63,9 +63,7 @@
             return Some((ServiceState::Draining, start));
         }
         Some(match self.restored {
-            Some((suspended_at, restored_at)) => {
-                (service_state, if start > Some(suspended_at) { start } else { Some(restored_at) })
-            }
+            Some((from, until)) => (service_state, if start > Some(from) { start } else { Some(until) }),
             None => (service_state, start),
         })
     }
