--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -293,8 +293,9 @@
             repeat: request.repeat,
         };
         log::debug!(
-            target: REQUEST_LOG_TARGET, id = id.0, name:? = request.name, class = request.class_table.class_name(request.class),
-            group = request.group, wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
+            target: REQUEST_LOG_TARGET, id = id.0, name:? = request.name,
+            class = request.class_table.class_name(request.class), group = request.group,
+            wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
             "taken"
         );
         self.live.insert(id, LiveRequest::new(request, now, reply, unseen));
@@ -341,7 +342,10 @@
         }
         let member = live.member(attempt).map_or(0, |member| member.0);
         if counter_value(Count::stale_caught).is_multiple_of(STALE_ANSWERS_PER_WARNING) {
-            log::warn!(target: REQUEST_LOG_TARGET, id = id.0, member; "answer discarded: it may lack the last write of its session");
+            log::warn!(
+                target: REQUEST_LOG_TARGET, id = id.0, member;
+                "answer discarded: it may lack the last write of its session"
+            );
         }
         count(Count::stale_caught);
         log::debug!(
@@ -396,8 +400,8 @@
         let Some(live) = self.live.get_mut(&id) else { return };
         let Some(reply) = live.reply.take() else { return };
         log::debug!(
-            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempt_count(), out = live.in_flight(),
-            may_have_run = live.may_have_run();
+            target: REQUEST_LOG_TARGET, id = id.0, answer:? = answer, attempts = live.attempt_count(),
+            out = live.in_flight(), may_have_run = live.may_have_run();
             "answered without a value"
         );
         count(match answer {
@@ -474,7 +478,7 @@
     fn send(&mut self, now: Time, id: RequestId, member: MemberId, stop_at: Option<Time>) {
         let Some(live) = self.live.get_mut(&id) else { return };
         let progress = live.progress();
-        let first = live.first_maybe_run_member().and_then(|first| self.router.place(first));
+        let first = live.first_possible_run_member().and_then(|first| self.router.place(first));
         let to = self.router.place(member);
         let allowed =
             progress.may_send(now).and_then(|()| progress.may_go_to(to, first.map(|first| first.zone)));
--- a/src/core/live.rs
+++ b/src/core/live.rs
@@ -90,11 +90,11 @@
     }
 
     /// The member of the first attempt that may have run or is in flight.
-    pub fn first_maybe_run_member(&self) -> Option<MemberId> {
-        self.first_maybe_run().map(|attempt| attempt.member)
+    pub fn first_possible_run_member(&self) -> Option<MemberId> {
+        self.first_possible_run().map(|attempt| attempt.member)
     }
 
-    fn first_maybe_run(&self) -> Option<&LiveAttempt> {
+    fn first_possible_run(&self) -> Option<&LiveAttempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::WithoutEffect)
     }
 
@@ -103,7 +103,7 @@
         RequestProgress {
             effect: self.class().effect,
             group: self.request.group,
-            first_possible_run: self.first_maybe_run().map(|attempt| attempt.sent),
+            first_possible_run: self.first_possible_run().map(|attempt| attempt.sent),
             deadline: self.request.deadline,
         }
     }
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -128,7 +128,10 @@
             match event {
                 StartupEvent::PhaseEnded(phase, lasted) => {
                     let ms = lasted / 1000;
-                    log::info!(phase = phase.name(), ms; "startup phase {} has ended; it waited for {}", phase.name(), phase.waits_for());
+                    log::info!(
+                        phase = phase.name(), ms;
+                        "startup phase {} has ended; it waited for {}", phase.name(), phase.waits_for()
+                    );
                 }
                 StartupEvent::PhaseOverdue(phase) => {
                     count(Count::phase_overstays);
--- a/src/effective_list.rs
+++ b/src/effective_list.rs
@@ -230,8 +230,8 @@
         &self.suspensions
     }
 
-    /// Replaces the suspensions by those known to all processes of this proxy, and returns the changed entries for
-    /// the router.
+    /// Replaces the suspensions by a set that includes those made at any process of this proxy, and returns the
+    /// changed entries for the router.
     pub fn replace_suspensions(&mut self, suspensions: Suspensions) -> Vec<ListedMember> {
         let former = std::mem::replace(&mut self.suspensions, suspensions);
         let changed = |name: &&Arc<str>| former.get(*name) != self.suspensions.get(*name);
--- a/src/phases.rs
+++ b/src/phases.rs
@@ -388,9 +388,10 @@
         send_requests(&mut bad, BEGAN, 2_900, 1);
         assert!(bad.advance(BEGAN + 29_000 * MS, || true).is_empty(), "one of 20 is bad");
         assert!(bad.buckets.len() <= 100, "old buckets are dropped: {}", bad.buckets.len());
-        assert!(
-            matches!(bad.advance(BEGAN + RAMPING_LIMIT, || true).last(), Some(StartupEvent::Finished(p)) if !p.full_service_seen)
-        );
+        assert!(matches!(
+            bad.advance(BEGAN + RAMPING_LIMIT, || true).last(),
+            Some(StartupEvent::Finished(p)) if !p.full_service_seen
+        ));
     }
 
     #[test]
