--- a/src/class_table.rs
+++ b/src/class_table.rs
@@ -101,15 +101,8 @@
     use super::*;
     use crate::interface::{Consistency, Effect};
 
-    fn class(repeat: Effect) -> Class {
-        Class {
-            consistency: Consistency::Any,
-            effect: repeat,
-            aim: 5,
-            deadline: 9,
-            importance: 1.0,
-            late_value: 0.0,
-        }
+    fn class(effect: Effect) -> Class {
+        Class { consistency: Consistency::Any, effect, aim: 5, deadline: 9, importance: 1.0, late_value: 0.0 }
     }
 
     fn change(slots: &mut ClassSlots, named: &[(&str, Effect)]) -> Arc<ClassTable> {
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -256,7 +256,7 @@
         reply: oneshot::Sender<Answer>,
         now: Time,
     ) -> Option<Event> {
-        let Some(need) = request.class_table.classes.get(request.class).map(|c| c.consistency) else {
+        let Some(consistency) = request.class_table.classes.get(request.class).map(|c| c.consistency) else {
             let _ = reply.send(Answer::Failed);
             return None;
         };
@@ -270,7 +270,7 @@
         // The session's last write is the later of what the read carries and what any front has seen the session
         // commit. Members check only what the read carries; for a later commit the router must choose by proven
         // positions.
-        if need == Consistency::Session {
+        if consistency == Consistency::Session {
             self.sync_peer_commits();
         }
         let carried = request.after.map_or(0, |at| self.member_clock.to_local(at));
@@ -279,7 +279,7 @@
         // through an earlier process.
         let unmarked = request.after.is_none() && matches!(request.work, Work::Operation(_));
         let written = if unmarked { written.max(self.unmarked_writes_until) } else { written };
-        let unseen = if need == Consistency::Session && written > carried { written } else { 0 };
+        let unseen = if consistency == Consistency::Session && written > carried { written } else { 0 };
         let event = Event::Request {
             id,
             class: request.class,
--- a/src/core/live_tests.rs
+++ b/src/core/live_tests.rs
@@ -14,18 +14,18 @@
 const DEADLINE: Time = 1_000;
 
 /// The class table of the test settings, with this idempotency for session reads.
-fn class_table(repeat: &str) -> Arc<ClassTable> {
+fn class_table(effect: &str) -> Arc<ClassTable> {
     let mut settings = proxy::settings();
-    settings["services"][SESSION_READ]["idempotency"] = repeat.into();
+    settings["services"][SESSION_READ]["idempotency"] = effect.into();
     let pairs = FlatSettings::from_json(&settings);
     let classes = pairs.settings(1).expect("valid settings").classes;
     ClassSlots::default().replace(pairs.names().expect("names"), classes)
 }
 
 /// A session read that must reflect a write whose position members do not check.
-fn session_read(repeat: &str) -> LiveRequest {
+fn session_read(effect: &str) -> LiveRequest {
     let request = Request {
-        class_table: class_table(repeat),
+        class_table: class_table(effect),
         name: None,
         class: SESSION_READ,
         tenant: 0,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -166,9 +166,9 @@
         })
     }
 
-    fn class(&self, i: usize, need: &str, age: Time) -> Result<Class, String> {
+    fn class(&self, i: usize, consistency: &str, age: Time) -> Result<Class, String> {
         let f = |name: &str| format!("services.{i}.{name}");
-        let need = match need {
+        let consistency = match consistency {
             "write" => Consistency::Write,
             "fresh" => Consistency::Fresh,
             "session" => Consistency::Session,
@@ -177,7 +177,7 @@
             other => return Err(Self::bad_value("family_info.needs_by_class", other)),
         };
         let kind: String = self.required(&f("idempotency"))?;
-        let repeat = match kind.as_str() {
+        let effect = match kind.as_str() {
             "read_like" => Effect::Safe,
             "non_idempotent" => Effect::Unsafe,
             "idempotency_key" => Effect::Keyed {
@@ -190,8 +190,8 @@
             other => return Err(Self::bad_value(&f("idempotency"), other)),
         };
         Ok(Class {
-            consistency: need,
-            effect: repeat,
+            consistency,
+            effect,
             aim: self.required(&f("aim_us"))?,
             deadline: self.required(&f("deadline_us"))?,
             importance: self
