--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -1,57 +1,57 @@
-//! Rules that hold by a lease: once it has run out the module gets settings by which nothing may be sent, and its own
-//! again when the lease holds anew. It holds no clock.
+//! Lease on the rules in force. When it expires, the router gets settings under which nothing may be sent; when it is
+//! extended, the router gets the actual settings back. The caller supplies the time.
 
 use super::counters::{count, Count};
 use crate::interface::{Settings, Time};
 
-/// The lease, and the settings that hold under it.
+/// The lease, and the settings that apply while it is valid.
 #[derive(Debug, Default)]
 pub struct Lease {
     until: Time,
-    /// The last settings that the module was to have; none before any came.
-    own: Option<Box<Settings>>,
-    /// The module has been told that nothing may be sent.
+    /// The latest settings for the router; `None` before the first ones arrive.
+    actual: Option<Box<Settings>>,
+    /// The router currently has settings under which nothing may be sent.
     lapsed: bool,
 }
 
-/// By these no attempt may be made: what is held is refused, or failed where it may have run.
-fn nothing(settings: &Settings) -> Box<Settings> {
+/// Settings that allow no attempt. Held requests are refused, or failed if they may have run.
+fn without_attempts(settings: &Settings) -> Box<Settings> {
     Box::new(Settings { max_attempts: 0, ..settings.clone() })
 }
 
 impl Lease {
-    /// It holds until then.
-    pub fn holds(&mut self, until: Time) {
+    /// Extends the lease to this time; an earlier time than the current one has no effect.
+    pub fn extend(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// Until when.
+    /// When the lease expires.
     pub fn until(&self) -> Time {
         self.until
     }
 
-    /// New settings have come: what the module gets of them now.
-    pub fn settings(&mut self, settings: Box<Settings>, now: Time) -> Box<Settings> {
+    /// Takes in new settings and returns those that the router gets now.
+    pub fn apply_settings(&mut self, settings: Box<Settings>, now: Time) -> Box<Settings> {
         self.lapsed = now >= self.until;
-        let told = if self.lapsed { nothing(&settings) } else { settings.clone() };
-        self.own = Some(settings);
-        told
+        let applied = if self.lapsed { without_attempts(&settings) } else { settings.clone() };
+        self.actual = Some(settings);
+        applied
     }
 
-    /// What the module must be told before it decides anything now, if anything.
-    pub fn turns(&mut self, now: Time) -> Option<Box<Settings>> {
+    /// The settings that the router must get before its next decision, if the lease has expired or is valid again.
+    pub fn take_change(&mut self, now: Time) -> Option<Box<Settings>> {
         let lapsed = now >= self.until;
-        let own = self.own.as_ref().filter(|_| lapsed != self.lapsed)?;
+        let actual = self.actual.as_ref().filter(|_| lapsed != self.lapsed)?;
         self.lapsed = lapsed;
         if lapsed {
             count(Count::agreement_lapses);
             log::warn!(
-                "what is agreed on no longer holds here: nothing is sent until the voters are heard again"
+                "the lease on the agreed rules has expired: nothing is sent until the voters answer again"
             );
-            return Some(nothing(own));
+            return Some(without_attempts(actual));
         }
-        log::info!("what is agreed on holds again");
-        Some(own.clone())
+        log::info!("the lease on the agreed rules is valid again");
+        Some(actual.clone())
     }
 }
 
@@ -60,24 +60,31 @@
     use super::*;
 
     #[test]
-    fn nothing_may_be_sent_from_the_moment_on_at_which_it_runs_out() {
+    fn nothing_may_be_sent_from_the_expiry_on() {
         let settings = Box::new(Settings { max_attempts: 5, ..Settings::default() });
-        let most = |told: Option<Box<Settings>>| told.map(|s| s.max_attempts);
+        let max_attempts = |settings: Option<Box<Settings>>| settings.map(|s| s.max_attempts);
         let mut lease = Lease::default();
-        assert_eq!(lease.turns(0), None, "there are no settings yet");
-        lease.holds(100);
-        assert_eq!(lease.settings(settings.clone(), 50).max_attempts, 5);
+        assert_eq!(lease.take_change(0), None, "there are no settings yet");
+        lease.extend(100);
+        assert_eq!(lease.apply_settings(settings.clone(), 50).max_attempts, 5);
         assert_eq!(
-            (most(lease.turns(99)), most(lease.turns(100)), most(lease.turns(101))),
+            (
+                max_attempts(lease.take_change(99)),
+                max_attempts(lease.take_change(100)),
+                max_attempts(lease.take_change(101))
+            ),
             (None, Some(0), None)
         );
-        // What comes meanwhile is kept, and held back.
-        let more = Box::new(Settings { max_attempts: 7, ..Settings::default() });
-        assert_eq!(lease.settings(more, 120).max_attempts, 0);
-        lease.holds(200);
-        assert_eq!(most(lease.turns(130)), Some(7));
-        // An older word shortens nothing that was seen to hold.
-        lease.holds(150);
-        assert_eq!((most(lease.turns(199)), most(lease.turns(200))), (None, Some(0)));
+        // Settings that arrive while the lease is expired are kept until it is valid again.
+        let newer = Box::new(Settings { max_attempts: 7, ..Settings::default() });
+        assert_eq!(lease.apply_settings(newer, 120).max_attempts, 0);
+        lease.extend(200);
+        assert_eq!(max_attempts(lease.take_change(130)), Some(7));
+        // An older, shorter lease does not shorten the current one.
+        lease.extend(150);
+        assert_eq!(
+            (max_attempts(lease.take_change(199)), max_attempts(lease.take_change(200))),
+            (None, Some(0))
+        );
     }
 }
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -1,5 +1,5 @@
-//! Times of the members' machines, at the one place where they come in and go out: within the core all times are this
-//! process's (`policy::member_clock`).
+//! Conversion between the members' clock and this process's clock. All times within the core are by this process's
+//! clock (see `policy::member_clock`).
 
 use super::actor::Actor;
 use super::counters::{count, Count};
@@ -8,62 +8,64 @@
 use crate::knowledge::Known;
 
 impl<M: Members> Actor<M> {
-    /// What an answer that came now says of its member; `spent` is the time since it was asked for.
-    pub(super) fn heard_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
+    /// Converts the state told with an answer that has just arrived; `spent` is the time since the attempt was
+    /// started.
+    pub(super) fn localize_note(&mut self, note: Note, spent: Time, now: Time) -> Note {
         let primary = note.role == Some(Role::Primary);
         let sent = now.saturating_sub(spent);
         let position =
-            note.position.and_then(|told| self.member_clock.observe_position(told, sent, now, primary));
+            note.position.and_then(|at| self.member_clock.observe_position(at, sent, now, primary));
         Note { position, ..note }
     }
 
-    /// A member's report on itself; none where its position cannot be true, as then nothing of it is believed.
-    pub(super) fn heard_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
-        let Some(told) = report.position else { return Some(report) };
+    /// Converts a member's report; `None` if its position cannot be true, in which case the whole report is
+    /// discarded.
+    pub(super) fn localize_report(&mut self, report: Report, spent: Time, now: Time) -> Option<Report> {
+        let Some(at) = report.position else { return Some(report) };
         let primary = report.primary == Some(true);
-        let position = self.member_clock.observe_position(told, now.saturating_sub(spent), now, primary);
+        let position = self.member_clock.observe_position(at, now.saturating_sub(spent), now, primary);
         if position.is_none() {
             count(Count::member_bad_reports);
         }
         position.map(|position| Report { position: Some(position), ..report })
     }
 
-    /// A list as discovery words it, by this process's clock.
-    pub(super) fn listed_locally(&self, entries: &mut [ListedMember]) {
+    /// Converts the starts in a list from discovery to this process's clock.
+    pub(super) fn localize_starts(&self, entries: &mut [ListedMember]) {
         for ListedMember { member, .. } in entries {
-            member.up_since = member.up_since.map(|told| self.member_clock.to_local(told));
+            member.up_since = member.up_since.map(|at| self.member_clock.to_local(at));
         }
     }
 
-    /// The same the other way: what is written down is read by other processes, and by later ones.
-    pub(super) fn listed_as_told(&self) -> Vec<ListedMember> {
-        let mut entries: Vec<ListedMember> = self.overlay.listed().cloned().collect();
+    /// The listed members with their starts by the members' clock, for other processes and later starts.
+    pub(super) fn listed_by_member_clock(&self) -> Vec<ListedMember> {
+        let mut entries: Vec<ListedMember> = self.effective_list.listed().cloned().collect();
         for ListedMember { member, .. } in &mut entries {
             member.up_since = member.up_since.map(|local| self.member_clock.to_member(local));
         }
         entries
     }
 
-    /// Where the offset has settled since it was last looked at, all starts that lists have told are others.
-    pub(super) fn follow_member_clock(&mut self) {
+    /// Adjusts the starts from earlier lists if the estimated offset of the members' clock has changed.
+    pub(super) fn apply_clock_offset(&mut self) {
         let offset = self.member_clock.offset();
-        let shift = offset - std::mem::replace(&mut self.listed_at_offset, offset);
+        let shift = offset - std::mem::replace(&mut self.listed_offset, offset);
         if shift == 0 {
             return;
         }
         count(Count::member_clock_offsets);
         log::warn!("the members' clock is {} ms ahead of this process's", offset / 1000);
-        let told = self.overlay.shift_starts(shift);
-        if !told.is_empty() {
-            let event = self.told(ListKind::Operator, told);
-            self.local.push_back(event);
+        let changed = self.effective_list.shift_starts(shift);
+        if !changed.is_empty() {
+            let event = self.list_event(ListKind::Operator, changed);
+            self.next_events.push_back(event);
         }
     }
 }
 
-/// What was learned, with each time of it changed.
-pub(super) fn with_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
-    // 0 stands for none.
+/// Applies a change to every time in what was learned.
+pub(super) fn map_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
+    // 0 stands for "none".
     let change = |time: Time| if time == 0 { 0 } else { change(time) };
     for facts in known.members.values_mut() {
         facts.start = facts.start.map(change);
