--- a/src/net/accept_queue.rs
+++ b/src/net/accept_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of a listening socket: its clients are taken one by one, and a failure of accept(2) passes over none of them.
+//! Accepts clients from a listening socket one by one; a failed accept(2) does not skip any of them.
 
 use super::listen::{wait_for_phase, PhaseReceiver, ProcessPhase};
 use crate::core::counters::{count, counter_value, Count};
@@ -9,23 +9,24 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// After a failure of accept, such as one for want of descriptors. All who stand in the queue wait for it.
+/// Delay after a failed accept(2), for example for lack of descriptors. All clients in the backlog wait for it.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// Failures in a row before those that stand in the queue are left there: some 3 s, as long as a bad client is owed.
+/// After this many failures in a row the remaining backlog is left unserved: about 3 s, the time within which even
+/// a misbehaving client has to be answered.
 const MAX_ACCEPT_FAILURES: u32 = 1_500;
-/// Of all failures the log tells one in so many.
+/// One in this many failures is logged.
 const ACCEPT_FAILURES_PER_LOG_LINE: u64 = 100;
 
 /// A listening socket.
 pub trait Listener: Send + Sync + 'static {
-    /// The next client, once there is one. Cancel safe.
+    /// Waits for the next client. Cancel safe.
     ///
     /// # Errors
-    /// When the kernel accepts none for the moment; accept(2) lists the causes.
+    /// When accept(2) fails for the moment; its manual page lists the causes.
     fn accept(&self) -> impl Future<Output = Result<(TcpStream, SocketAddr)>> + Send;
 
-    /// A client that stands in the queue, if there is one. The kernel is asked, not the runtime, which may not have heard of
-    /// the last ones yet.
+    /// Takes a client from the backlog, if there is one. This asks the kernel, as the runtime may not have been
+    /// notified of the most recent clients yet.
     ///
     /// # Errors
     /// As [`Listener::accept`].
@@ -48,26 +49,26 @@
     }
 }
 
-/// Clients of a listener, in the order in which the kernel has them.
-pub struct ClientQueue<L> {
+/// The backlog of a listener, in the kernel's order.
+pub struct AcceptQueue<L> {
     listener: L,
 }
 
-impl<L: Listener> ClientQueue<L> {
-    /// The queue of this listener, which is closed with it.
+impl<L: Listener> AcceptQueue<L> {
+    /// Takes over the listener, which is closed when this is dropped.
     pub fn new(listener: L) -> Self {
-        ClientQueue { listener }
+        AcceptQueue { listener }
     }
 
-    /// The next client, once there is one; none once the process has reached `phase`. Cancel safe.
+    /// Waits for the next client; returns `None` once the process has reached `phase`. Cancel safe.
     pub async fn next_until(
         &self,
-        closing: &mut PhaseReceiver,
+        phase_rx: &mut PhaseReceiver,
         phase: ProcessPhase,
     ) -> Option<(TcpStream, SocketAddr)> {
         tokio::select! {
             biased;
-            () = wait_for_phase(closing, phase) => None,
+            () = wait_for_phase(phase_rx, phase) => None,
             client = self.next() => Some(client),
         }
     }
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The next client that stands in the queue; none if there is none, or if accept has failed too often in a row. Cancel
-    /// safe.
+    /// Takes the next client from the backlog. Returns `None` if there is none, or if accept has failed too often
+    /// in a row. Cancel safe.
     pub async fn next_queued(&self) -> Option<(TcpStream, SocketAddr)> {
         for _ in 0..MAX_ACCEPT_FAILURES {
             match self.listener.try_accept() {
@@ -90,14 +91,16 @@
                 Err(error) => accept_failed(&error).await,
             }
         }
-        log::error!("clients that have come are left in the queue, as accept fails again and again");
+        log::error!(
+            "accept failed {MAX_ACCEPT_FAILURES} times in a row; clients are left in the listen backlog"
+        );
         None
     }
 }
 
 async fn accept_failed(error: &Error) {
     if counter_value(Count::accept_failures).is_multiple_of(ACCEPT_FAILURES_PER_LOG_LINE) {
-        log::warn!("a client could not be accepted: {error}");
+        log::warn!("accepting a client failed: {error}");
     }
     count(Count::accept_failures);
     tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
--- a/src/net/answer_limit.rs
+++ b/src/net/answer_limit.rs
@@ -1,11 +1,12 @@
-//! Until when the process may answer what it still takes.
+//! The latest time at which the process may answer requests during shutdown.
 
 use crate::interface::Time;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The platform may kill a process that was told to end: a request that is taken after that must have its answer before, however
-/// long its client would wait. All fronts share one limit; there is none until the end begins.
+/// The platform may kill a process some time after asking it to stop, so requests accepted after that must be
+/// answered earlier, however long their clients would wait. All fronts share one limit; until shutdown begins there
+/// is none.
 #[derive(Debug, Clone)]
 pub struct AnswerLimit(Arc<AtomicU64>);
 
@@ -16,12 +17,12 @@
 }
 
 impl AnswerLimit {
-    /// From now on nothing is answered later than at `end`, by the process's clock.
+    /// Sets the latest time for answers, by the process's clock.
     pub fn set(&self, end: Time) {
         self.0.store(end, Ordering::Relaxed);
     }
 
-    /// The deadline of a request that is taken now.
+    /// The deadline of a request that is accepted now: its own or the limit, whichever is earlier.
     pub fn cap(&self, deadline: Time) -> Time {
         deadline.min(self.0.load(Ordering::Relaxed))
     }
@@ -32,7 +33,7 @@
     use super::*;
 
     #[test]
-    fn a_deadline_stands_until_the_end_has_begun_and_is_no_later_than_the_end_then() {
+    fn deadlines_are_unchanged_until_shutdown_and_capped_after() {
         let limit = AnswerLimit::default();
         let shared = limit.clone();
         assert_eq!(limit.cap(9), 9);
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,5 +1,4 @@
-//! The budgets: how many sockets of each sort the process may hold, how many bytes of messages, and how often those
-//! that cannot be understood are answered.
+//! Resource budgets: sockets of each kind, bytes held in messages, and the rate of replies to invalid messages.
 
 use crate::interface::Time;
 use crate::meter::{self, Cost};
@@ -11,101 +10,106 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// Descriptors for the runtime, listeners, standard streams, discovery and what a library opens by itself.
-const RESERVE: usize = 32;
-/// Memory that is not for messages: the program itself, connections at rest, the allocator's slack.
-const MEMORY_RESERVE: usize = 16 * 1024 * 1024;
-/// A message counts once here, and stands in memory up to so many times: read, rendered, and written.
-const COPIES: usize = 3;
-const BYTES_LEAST: usize = 2 * 1024 * 1024;
-/// In so many pieces half of the budget is lent to another process, and so long after a piece was not free.
-const PIECES: usize = 16;
-const PIECE_PAUSE: Duration = Duration::from_millis(20);
-/// Bad messages are answered no closer together than this, in us, though none waits longer than `PACE_MOST`.
-const PACE: Time = 10_000;
-const PACE_MOST: Time = 800_000;
-
-/// Of all descriptors, one in so many may be a client's that was served and asks nothing more; beyond that the longest
-/// idle is closed. Clients may themselves hold only a third of the descriptors: those that ask once and then keep, or
-/// take long to give back, a connection would else leave the others none to ask on.
-const IDLE_PART: usize = 6;
-
-/// A connection on which nothing was ever asked is evicted only when nothing has come on it for so long: its first request
-/// may be on its way.
+/// Descriptors kept for the runtime, listeners, standard streams, discovery and those that libraries open
+/// themselves.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Memory that message buffers may not use: the program itself, idle connections and allocator overhead.
+const RESERVED_MEMORY: usize = 16 * 1024 * 1024;
+/// Each message is counted once, but up to this many copies of it are in memory: as read, as rendered and as
+/// written.
+const COPIES_PER_MESSAGE: usize = 3;
+const MIN_BYTE_BUDGET: usize = 2 * 1024 * 1024;
+/// Half of the byte budget is lent to another process in this many chunks. When a chunk is not free, the next
+/// attempt follows after the interval.
+const LENT_CHUNKS: usize = 16;
+const CHUNK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum interval between replies to invalid messages, in us. No reply is delayed by more than `MAX_ERROR_DELAY`.
+const MIN_ERROR_INTERVAL: Time = 10_000;
+const MAX_ERROR_DELAY: Time = 800_000;
+
+/// One in this many of all descriptors may belong to clients that were served and have no open request; above that,
+/// the connection that has been idle longest is closed. Clients have only a third of the descriptors: clients that
+/// send one request and then keep the connection open, or are slow to close it, would otherwise leave none for the
+/// others.
+const IDLE_DIVISOR: usize = 6;
+
+/// A connection without any request so far is evicted only after no byte has arrived on it for this long, as its
+/// first request may be under way.
 pub const MIN_QUIET_TIME: Duration = Duration::from_millis(200);
-/// Of the clients' permits one in so many is kept for refusing, up to a most.
-const REFUSAL_PART: usize = 16;
-const REFUSALS_MAX: usize = 16;
+/// One in this many of the clients' permits is reserved for refusing connections, up to a maximum.
+const REFUSAL_DIVISOR: usize = 16;
+const MAX_REFUSAL_PERMITS: usize = 16;
 
-/// Those that could give way, the longest waiting first.
-struct Waiting {
+/// Connections that can be evicted, longest waiting first.
+struct EvictionQueue {
     count: AtomicUsize,
-    wanted: Notify,
-    most: usize,
+    requested: Notify,
+    max_waiting: usize,
 }
 
-impl Waiting {
-    fn new(most: usize) -> Self {
-        Waiting { count: AtomicUsize::new(0), wanted: Notify::new(), most }
+impl EvictionQueue {
+    fn new(max_waiting: usize) -> Self {
+        EvictionQueue { count: AtomicUsize::new(0), requested: Notify::new(), max_waiting }
     }
 
-    async fn wanted(&self) {
-        struct Out<'a>(&'a AtomicUsize);
-        impl Drop for Out<'_> {
+    async fn requested(&self) {
+        struct LeaveOnDrop<'a>(&'a AtomicUsize);
+        impl Drop for LeaveOnDrop<'_> {
             fn drop(&mut self) {
                 self.0.fetch_sub(1, Ordering::Relaxed);
             }
         }
-        if self.count.fetch_add(1, Ordering::Relaxed) >= self.most {
-            self.wanted.notify_one();
+        if self.count.fetch_add(1, Ordering::Relaxed) >= self.max_waiting {
+            self.requested.notify_one();
         }
-        let _out = Out(&self.count);
-        self.wanted.notified().await;
+        let _leave = LeaveOnDrop(&self.count);
+        self.requested.notified().await;
     }
 }
 
-/// Permits for one sort of socket. Whoever finds none asks for room: a connection on which nothing sound was ever asked
-/// gives up its own first, then the one that has waited longest for something to do.
+/// Permits for one kind of socket. A caller that finds none requests an eviction: connections without a valid
+/// request so far are closed first, then the connection that has been idle longest.
 #[derive(Clone)]
 pub struct DescriptorBudget(Arc<DescriptorState>);
 
 struct DescriptorState {
     permits: Arc<Semaphore>,
-    strangers: Waiting,
-    idle: Waiting,
-    /// Permits for connections that are refused, and those who hold them.
+    unused: EvictionQueue,
+    idle: EvictionQueue,
+    /// Permits for connections that are being refused, and the connections that hold them.
     refusal_permits: Arc<Semaphore>,
-    refusals: Waiting,
+    refusals: EvictionQueue,
     size: usize,
     refusals_size: usize,
-    /// Permits that another process of this proxy has.
+    /// Permits lent to another process of this proxy.
     lent: AtomicUsize,
 }
 
 impl DescriptorBudget {
-    /// Permits for `size` sockets, of which so many may be idle; of those of clients a few are for refusing.
+    /// Permits for `size` sockets, at most `idle` of which may be idle. With `refuses`, a few are reserved for
+    /// refusals.
     fn new(size: usize, idle: usize, refuses: bool) -> Self {
-        // Where there are few permits, the one for refusing comes from the reserve.
-        let refusals = if refuses { (size / REFUSAL_PART).min(REFUSALS_MAX) } else { 0 };
+        // With few permits, the one for refusals comes from the reserved descriptors.
+        let refusals = if refuses { (size / REFUSAL_DIVISOR).min(MAX_REFUSAL_PERMITS) } else { 0 };
         let (size, refusals_size) = (size - refusals, refusals.max(1));
         DescriptorBudget(Arc::new(DescriptorState {
             permits: Arc::new(Semaphore::new(size)),
-            strangers: Waiting::new(usize::MAX),
-            idle: Waiting::new(idle),
+            unused: EvictionQueue::new(usize::MAX),
+            idle: EvictionQueue::new(idle),
             refusal_permits: Arc::new(Semaphore::new(refusals_size)),
-            refusals: Waiting::new(usize::MAX),
+            refusals: EvictionQueue::new(usize::MAX),
             size,
             refusals_size,
             lent: AtomicUsize::new(0),
         }))
     }
 
-    /// A permit, if one is free now.
+    /// Returns a permit if one is free now.
     pub fn try_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.0.permits.clone().try_acquire_owned().ok()
     }
 
-    /// A permit, once there is one.
+    /// Waits for a permit.
     pub async fn permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Some(permit) = self.try_permit() {
             return Some(permit);
@@ -114,51 +118,54 @@
         self.0.permits.clone().acquire_owned().await.ok()
     }
 
-    /// Tells the next connection that could give way. Whoever was told and cannot do so passes it on by this.
+    /// Notifies the next connection that can be evicted. A connection that was notified but has to stay open calls
+    /// this to pass the notification on.
     pub fn request_eviction(&self) {
-        // With none of either sort there, the next to have nothing to do is told.
-        let strangers = self.0.strangers.count.load(Ordering::Relaxed) > 0;
-        if strangers { &self.0.strangers } else { &self.0.idle }.wanted.notify_one();
+        // If no connection can be evicted now, the notification is kept for the next one that becomes idle.
+        let unused = self.0.unused.count.load(Ordering::Relaxed) > 0;
+        if unused { &self.0.unused } else { &self.0.idle }.requested.notify_one();
     }
 
-    /// Waits until someone lacks a permit, or too many wait; they are told in turn, the longest waiting first.
+    /// Waits until a permit is needed elsewhere or too many connections are idle. Connections are notified in
+    /// order, the longest waiting first.
     pub async fn eviction_requested(&self) {
-        self.0.idle.wanted().await;
+        self.0.idle.requested().await;
     }
 
-    /// The same for a client's connection. `stranger`: nothing sound was ever asked on it, and nothing has come since
-    /// `quiet_since`.
-    pub async fn client_eviction_requested(&self, stranger: bool, quiet_since: Instant) {
-        if !stranger {
+    /// Like [`Self::eviction_requested`], for a client's connection. `unused`: no valid request has arrived on it
+    /// so far, and no byte since `quiet_since`.
+    pub async fn client_eviction_requested(&self, unused: bool, quiet_since: Instant) {
+        if !unused {
             return self.eviction_requested().await;
         }
         tokio::time::sleep_until(quiet_since + MIN_QUIET_TIME).await;
-        self.0.strangers.wanted().await;
+        self.0.unused.requested().await;
     }
 
-    /// A permit for refusing. With none free, whoever has had one for longest is told to hurry.
+    /// Waits for a permit for refusing a connection. If none is free, the longest holder is asked to finish at
+    /// once.
     pub async fn refusal_permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.0.refusal_permits.clone().try_acquire_owned() {
             return Some(permit);
         }
-        self.0.refusals.wanted.notify_one();
+        self.0.refusals.requested.notify_one();
         self.0.refusal_permits.clone().acquire_owned().await.ok()
     }
 
-    /// Waits until someone lacks a permit for refusing.
+    /// Waits until a permit for refusing is needed elsewhere.
     pub async fn refusal_eviction_requested(&self) {
-        self.0.refusals.wanted().await;
+        self.0.refusals.requested().await;
     }
 
-    /// All permits are back.
+    /// Whether all permits have been returned.
     pub fn all_permits_free(&self) -> bool {
         self.0.permits.available_permits() + self.0.lent.load(Ordering::Relaxed) == self.0.size
             && self.0.refusal_permits.available_permits() == self.0.refusals_size
     }
 
-    /// Half of the permits, as they come free, for as long as what is returned lives.
-    async fn lend(&self) -> Lent {
-        let mut lent = Lent { permits: Vec::new(), of: self.clone() };
+    /// Takes half of the permits as they become free. They are returned when the result is dropped.
+    async fn lend(&self) -> LentPermits {
+        let mut lent = LentPermits { permits: Vec::new(), owner: self.clone() };
         for _ in 0..self.0.size / 2 {
             if let Some(permit) = self.permit().await {
                 lent.permits.push(permit);
@@ -169,27 +176,27 @@
     }
 }
 
-/// Permits that another process has.
-struct Lent {
+/// Permits lent to another process.
+struct LentPermits {
     permits: Vec<OwnedSemaphorePermit>,
-    of: DescriptorBudget,
+    owner: DescriptorBudget,
 }
 
-impl Drop for Lent {
+impl Drop for LentPermits {
     fn drop(&mut self) {
-        self.of.0.lent.fetch_sub(self.permits.len(), Ordering::Relaxed);
+        self.owner.0.lent.fetch_sub(self.permits.len(), Ordering::Relaxed);
     }
 }
 
-/// Half of a budget, which another process of this proxy may use.
-pub struct Half {
-    _clients: Lent,
-    _members: Lent,
+/// Half of a budget, lent to another process of this proxy until dropped.
+pub struct LentBudget {
+    _clients: LentPermits,
+    _members: LentPermits,
     _bytes: Vec<ByteReservation>,
 }
 
-/// Bytes of messages that all connections together may hold. A message takes its share when its length is known,
-/// before its bytes have come, and gives it back when the last of it is let go of, wherever that is.
+/// Limit on the bytes of messages that all connections together hold. Bytes are reserved when a message's length is
+/// known, before the message has arrived, and released when the last reference to the message is dropped.
 #[derive(Clone)]
 pub struct ByteBudget(Arc<ByteBudgetState>);
 
@@ -198,39 +205,39 @@
     size: usize,
 }
 
-/// So many bytes of a budget.
+/// Bytes reserved from a budget, released on drop.
 pub struct ByteReservation {
-    of: ByteBudget,
+    owner: ByteBudget,
     bytes: usize,
 }
 
 impl ByteBudget {
-    /// One of so many bytes.
+    /// A budget of `size` bytes.
     pub fn new(size: usize) -> Self {
         ByteBudget(Arc::new(ByteBudgetState { left: AtomicUsize::new(size), size }))
     }
 
-    /// A share, if there is enough left.
+    /// Reserves bytes if enough are left.
     pub fn try_reserve(&self, bytes: usize) -> Option<ByteReservation> {
-        let less = |left: usize| left.checked_sub(bytes);
-        self.0.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).ok()?;
-        Some(ByteReservation { of: self.clone(), bytes })
+        let subtract = |left: usize| left.checked_sub(bytes);
+        self.0.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract).ok()?;
+        Some(ByteReservation { owner: self.clone(), bytes })
     }
 
-    /// Half of it, piece by piece as it comes free.
+    /// Reserves half of the budget, chunk by chunk as it becomes free.
     async fn lend(&self) -> Vec<ByteReservation> {
-        let piece = self.0.size / (2 * PIECES);
+        let chunk = self.0.size / (2 * LENT_CHUNKS);
         let mut lent = Vec::new();
-        while lent.len() < PIECES {
-            match self.try_reserve(piece) {
+        while lent.len() < LENT_CHUNKS {
+            match self.try_reserve(chunk) {
                 Some(share) => lent.push(share),
-                None => tokio::time::sleep(PIECE_PAUSE).await,
+                None => tokio::time::sleep(CHUNK_RETRY_INTERVAL).await,
             }
         }
         lent
     }
 
-    /// Less than half is left: whoever can hold back should.
+    /// Whether less than half is left, so that callers which can reduce their use should do so.
     pub fn is_scarce(&self) -> bool {
         self.0.left.load(Ordering::Relaxed) < self.0.size / 2
     }
@@ -238,71 +245,71 @@
 
 impl Drop for ByteReservation {
     fn drop(&mut self) {
-        self.of.0.left.fetch_add(self.bytes, Ordering::Relaxed);
+        self.owner.0.left.fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
 impl ByteReservation {
-    /// A copy of `bytes` that holds this share for as long as any part of it lives. A copy, as a slice would keep the
-    /// whole buffer that it was read into, which no share counts.
+    /// Copies `bytes`; the copy keeps this reservation until its last reference is dropped. A slice instead of a
+    /// copy would keep the whole read buffer alive, which no reservation accounts for.
     pub fn attach_to_copy(self, bytes: &[u8]) -> Bytes {
-        /// What most statements and values fit into: kept in the same piece of memory as the share.
-        const SHORT: usize = 192;
+        /// Most statements and values fit into this size and are stored in the same allocation as the reservation.
+        const INLINE_SIZE: usize = 192;
         meter::add(Cost::Copied, bytes.len());
-        match bytes.len() <= SHORT {
-            true => self.own(SmallVec::<[u8; SHORT]>::from_slice(bytes)),
+        match bytes.len() <= INLINE_SIZE {
+            true => self.own(SmallVec::<[u8; INLINE_SIZE]>::from_slice(bytes)),
             false => self.own(Box::<[u8]>::from(bytes)),
         }
     }
 
-    /// The same for a buffer that holds nothing else.
+    /// Like [`Self::attach_to_copy`], but takes over a buffer that holds nothing else, without a copy.
     pub fn attach_to_buffer(self, buffer: BytesMut) -> Bytes {
         self.own(buffer)
     }
 
     fn own(self, bytes: impl AsRef<[u8]> + Send + 'static) -> Bytes {
-        struct Held<B>(B, #[allow(dead_code)] ByteReservation);
-        impl<B: AsRef<[u8]>> AsRef<[u8]> for Held<B> {
+        struct Reserved<B>(B, #[allow(dead_code)] ByteReservation);
+        impl<B: AsRef<[u8]>> AsRef<[u8]> for Reserved<B> {
             fn as_ref(&self) -> &[u8] {
                 self.0.as_ref()
             }
         }
-        Bytes::from_owner(Held(bytes, self))
+        Bytes::from_owner(Reserved(bytes, self))
     }
 }
 
-/// Spaces out the answers to messages that cannot be understood: a client that sends the same again as soon as it is
-/// turned away must not take the processor from the others.
+/// Spaces out the replies to invalid messages, so that a client that resends one as soon as it is rejected does not
+/// take processor time from the others.
 #[derive(Clone, Default)]
 pub struct ErrorPacer(Arc<AtomicU64>);
 
 impl ErrorPacer {
-    /// How long the answer to a bad message has to wait.
+    /// The delay before the reply to an invalid message that was read at `now`.
     pub fn next_delay(&self, now: Time) -> Duration {
-        let next = self.0.load(Ordering::Relaxed).clamp(now, now + PACE_MOST);
-        self.0.store(next + PACE, Ordering::Relaxed);
+        let next = self.0.load(Ordering::Relaxed).clamp(now, now + MAX_ERROR_DELAY);
+        self.0.store(next + MIN_ERROR_INTERVAL, Ordering::Relaxed);
         Duration::from_micros(next - now)
     }
 }
 
-/// Clients and members have a budget each, so that neither can starve the other.
+/// Clients and members have separate descriptor budgets, so that neither can starve the other.
 #[derive(Clone)]
 pub struct Budget {
-    /// For clients' connections, of all fronts.
+    /// For clients' connections on all fronts.
     pub clients: DescriptorBudget,
     /// For connections to members.
     pub members: DescriptorBudget,
-    /// For messages of either side.
+    /// For messages of clients and members.
     pub bytes: ByteBudget,
 }
 
 impl Budget {
-    /// Shares out the limits on descriptors and on memory, in bytes.
+    /// Splits the limit on descriptors and the limit on memory, in bytes.
     pub fn new(limit: usize, memory: usize) -> Self {
-        let free = limit.saturating_sub(RESERVE).max(8);
+        let free = limit.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         let clients = free * 5 / 9;
-        let bytes = (memory.saturating_sub(MEMORY_RESERVE) / COPIES).max(BYTES_LEAST);
-        let idle = (limit / IDLE_PART).max(2);
+        let bytes = (memory.saturating_sub(RESERVED_MEMORY) / COPIES_PER_MESSAGE).max(MIN_BYTE_BUDGET);
+        let idle = (limit / IDLE_DIVISOR).max(2);
         Budget {
             clients: DescriptorBudget::new(clients, idle, true),
             members: DescriptorBudget::new(free - clients, usize::MAX, false),
@@ -310,10 +317,10 @@
         }
     }
 
-    /// Half of it, for as long as what is returned lives.
-    pub async fn lend(&self) -> Half {
+    /// Lends half of the budget until the result is dropped.
+    pub async fn lend(&self) -> LentBudget {
         let (clients, members, bytes) =
             tokio::join!(self.clients.lend(), self.members.lend(), self.bytes.lend());
-        Half { _clients: clients, _members: members, _bytes: bytes }
+        LentBudget { _clients: clients, _members: members, _bytes: bytes }
     }
 }
--- a/src/net/client_listeners.rs
+++ b/src/net/client_listeners.rs
@@ -1,4 +1,4 @@
-//! All listeners of clients, from the start of the process to its end.
+//! The clients' listeners, from process start to process end.
 
 use super::budget::Budget;
 use super::listen::{PhaseReceiver, ProcessPhase};
@@ -11,26 +11,28 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Refuses clients that come too late, up to the end of the process.
-type RefusesLate = Pin<Box<dyn Future<Output = ()> + Send>>;
+/// Refuses clients that connect too late, until the process ends.
+type LateRefusals = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What takes clients.
+/// The listeners on which clients are accepted.
 pub struct ClientListeners {
-    /// When the process began: nobody has waited longer for it.
+    /// When the process started, and so the earliest time at which a client can have connected.
     began: Instant,
-    closing: PhaseReceiver,
-    /// Each has something left for those that come too late, where no other process takes them.
-    taking: JoinSet<Option<RefusesLate>>,
+    phase_rx: PhaseReceiver,
+    /// One task per listener that accepts clients. Its result refuses late clients; there is none where another
+    /// process accepts them.
+    accepting: JoinSet<Option<LateRefusals>>,
     refusing: JoinSet<()>,
 }
 
 impl ClientListeners {
-    /// None yet. `closing` tells them how far the process is.
-    pub fn new(began: Instant, closing: PhaseReceiver) -> Self {
-        ClientListeners { began, closing, taking: JoinSet::new(), refusing: JoinSet::new() }
+    /// Starts without listeners. `phase_rx` reports the phase of the process.
+    pub fn new(began: Instant, phase_rx: PhaseReceiver) -> Self {
+        ClientListeners { began, phase_rx, accepting: JoinSet::new(), refusing: JoinSet::new() }
     }
 
-    /// Takes clients, who wait at the gate until the front is there and are counted by `counter`; where they come.
+    /// Accepts clients of a listener; they wait at the gate until the front is ready and are counted by `counter`.
+    /// Returns the listener's address.
     pub fn add<F: ClientFront>(
         &mut self,
         listener: TcpListener,
@@ -40,27 +42,28 @@
     ) -> Option<SocketAddr> {
         let address = listener.local_addr().ok();
         let acceptor = gate.acceptor(listener, self.began, counter, budget);
-        let closing = self.closing.clone();
-        self.taking.spawn(async move {
-            let acceptor = acceptor.accept_all(closing.clone()).await?;
-            let refuses: RefusesLate = Box::pin(acceptor.refuse_all(closing));
+        let phase_rx = self.phase_rx.clone();
+        self.accepting.spawn(async move {
+            let acceptor = acceptor.accept_all(phase_rx.clone()).await?;
+            let refuses: LateRefusals = Box::pin(acceptor.refuse_all(phase_rx));
             Some(refuses)
         });
         address
     }
 
-    /// Waits, once connections are to end ([`ProcessPhase::Closing`]), until whoever the machine has accepted by then is taken; who comes
-    /// later is refused. Cancel safe.
+    /// Waits, once connections are being closed ([`ProcessPhase::Closing`]), until every client in the listeners'
+    /// backlogs has been accepted. Clients that connect later are refused. Cancel safe.
     pub async fn serve_backlogs(&mut self) {
-        while let Some(listener) = self.taking.join_next().await {
+        while let Some(listener) = self.accepting.join_next().await {
             let refuses = listener.ok().flatten();
             refuses.into_iter().for_each(|refuses| drop(self.refusing.spawn(refuses)));
         }
     }
 
-    /// Waits, once nobody is to be taken any more ([`ProcessPhase::Ended`]), until whoever the machine has accepted is being refused.
+    /// Waits, at the very end ([`ProcessPhase::Ended`]), until a refusal has been started for every client in the
+    /// backlogs.
     pub async fn refuse_backlogs(&mut self) {
-        debug_assert_eq!(*self.closing.borrow(), ProcessPhase::Ended);
+        debug_assert_eq!(*self.phase_rx.borrow(), ProcessPhase::Ended);
         while self.refusing.join_next().await.is_some() {}
     }
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,6 +1,6 @@
-//! Accepting clients, for whichever front, and how far the process is with its start and its end.
+//! Accepts clients for any front, and defines the phases of the process from startup to exit.
 
-use super::accept_queue::{ClientQueue, Listener};
+use super::accept_queue::{AcceptQueue, Listener};
 use super::budget::DescriptorBudget;
 use super::client_close::{CloseReason, CloseReport, ConnectionClosed, CONNECTION_LOG};
 use super::socket::Socket;
@@ -18,77 +18,80 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
-/// How long a client may wait for a permit before it is refused; sooner, where others want to be refused too.
+/// How long a client may wait for a permit before it is refused. It is refused sooner where others wait to be
+/// refused.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How far the process is.
+/// The phases of the process, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessPhase {
-    /// Clients are not taken yet.
+    /// Clients can connect, but are not served yet.
     Starting,
-    /// Clients are taken.
+    /// Clients are served.
     Serving,
-    /// Another process takes the clients; each connection here ends with its next answer.
+    /// Another process accepts new clients; each connection here closes with its next answer.
     HandingOver,
-    /// Connections end between requests.
+    /// Connections close between requests.
     Closing,
-    /// Nobody is taken any more, not even to be refused.
+    /// No client is accepted any more, not even to be refused.
     Ended,
 }
 
-/// Tells how far the process is.
+/// Reports the phase of the process.
 pub type PhaseReceiver = watch::Receiver<ProcessPhase>;
 
-/// Waits until the process is so far.
-pub async fn wait_for_phase(closing: &mut PhaseReceiver, phase: ProcessPhase) {
-    let _ = closing.wait_for(|c| *c >= phase).await;
+/// Waits until the process has reached `phase` or a later one.
+pub async fn wait_for_phase(phase_rx: &mut PhaseReceiver, phase: ProcessPhase) {
+    let _ = phase_rx.wait_for(|c| *c >= phase).await;
 }
 
-/// Waits until connections are to end.
-pub async fn wait_for_closing(closing: &mut PhaseReceiver) {
-    wait_for_phase(closing, ProcessPhase::Closing).await;
+/// Waits until connections are to be closed.
+pub async fn wait_for_closing(phase_rx: &mut PhaseReceiver) {
+    wait_for_phase(phase_rx, ProcessPhase::Closing).await;
 }
 
-/// The listener that the platform holds open for this proxy and every process of it inherits. It is never shut down
-/// here, which would end it for the others too: letting go of it closes this process's copy alone.
+/// Takes over the listener that the platform keeps open for this proxy and that each of its processes inherits. The
+/// socket is never shut down here, as that would stop it for the other processes too; dropping it closes only this
+/// process's copy.
 ///
 /// # Errors
-/// When the descriptor is no listening TCP socket.
+/// When the descriptor is not a listening TCP socket.
 pub fn inherited_listener(descriptor: &str) -> Result<TcpListener, Error> {
-    let wrong = |what: &str| Error::new(ErrorKind::InvalidInput, format!("descriptor '{descriptor}' {what}"));
-    let number: u32 = descriptor.parse().map_err(|_| wrong("is no number"))?;
+    let invalid =
+        |what: &str| Error::new(ErrorKind::InvalidInput, format!("descriptor '{descriptor}' {what}"));
+    let number: u32 = descriptor.parse().map_err(|_| invalid("is no number"))?;
     if number < 3 {
-        return Err(wrong("is a standard stream"));
+        return Err(invalid("is a standard stream"));
     }
-    // The library's way in for a descriptor by its number; nothing else reads these variables.
+    // `listenfd` takes a descriptor by number only from these variables; nothing else reads them.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor);
     std::env::remove_var("LISTEN_PID");
-    let listener = ListenFd::from_env().take_tcp_listener(0)?.ok_or_else(|| wrong("is taken"))?;
+    let listener = ListenFd::from_env().take_tcp_listener(0)?.ok_or_else(|| invalid("is taken"))?;
     if !SockRef::from(&listener).is_listener()? {
-        // Not ours to close.
+        // The descriptor belongs to somebody else, so it must stay open.
         std::mem::forget(listener);
-        return Err(wrong("is a socket that does not listen"));
+        return Err(invalid("is a socket that does not listen"));
     }
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Why a client is refused of which no request has reached a front.
+/// Why a client is refused before any of its requests has reached a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The front is not there yet.
+    /// The front is not ready yet.
     Starting,
-    /// No permit came free, or others lacked this client's.
+    /// No permit became free, or this client's permit was needed for others.
     NoPermit,
-    /// The client has asked nothing in time.
+    /// The client did not send a request in time.
     Silent,
-    /// The process ends.
+    /// The process is shutting down.
     Ending,
 }
 
 impl Refusal {
-    /// What a client is told that was never answered when its connection ends for this reason.
+    /// The refusal sent to a client that has had no answer yet, when its connection closes for `reason`.
     pub fn for_close(reason: CloseReason) -> Self {
         match reason {
             CloseReason::MadeRoom => Refusal::NoPermit,
@@ -97,18 +100,18 @@
         }
     }
 
-    /// Counts one more that no front has served.
+    /// Counts a client that no front has served.
     pub fn count(self) {
         count(match self {
             Refusal::Starting => Count::refused_starting,
             Refusal::NoPermit => Count::refused_no_permit,
             Refusal::Ending => Count::refused_ending,
-            // A front had it, and the end of its connection counts.
+            // A front had accepted the client, and the closed connection is counted already.
             Refusal::Silent => return,
         });
     }
 
-    /// What a client is told.
+    /// The text sent to the client.
     pub fn text(self) -> &'static str {
         match self {
             Refusal::Starting => "the proxy is starting",
@@ -119,124 +122,137 @@
     }
 }
 
-/// What becomes of the connections that are accepted.
-pub trait Serves: Clone + Send + 'static {
-    /// How a connection breaks.
+/// Handles accepted connections.
+pub trait ConnectionHandler: Clone + Send + 'static {
+    /// An error that breaks a connection.
     type Error: Display + Send;
 
-    /// Serves one client to its end, who came at this moment, at the earliest.
+    /// Serves one client until its connection closes. `connected_since` is the earliest time at which it can have
+    /// connected.
     fn serve(
         &self,
-        came: Instant,
+        connected_since: Instant,
         stream: Socket,
-        closing: PhaseReceiver,
+        phase_rx: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 
-    /// Refuses one: the last word on its connection. Once `hurried` it waits for nothing any more.
+    /// Refuses one client with a final message. Once `finish_now` completes, nothing is waited for any more.
     fn refuse(
         &self,
         stream: Socket,
         why: Refusal,
-        hurried: impl Future<Output = ()> + Send + 'static,
+        finish_now: impl Future<Output = ()> + Send + 'static,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send + 'static;
 }
 
-/// A listener and what its clients need. Nobody who comes waits behind another: without a permit he has a task of his own, on a
-/// permit for refusing.
+/// A listener and what its clients need. A client without a permit does not block those behind it: it waits in a
+/// task of its own, under a permit for refusals.
 pub struct Acceptor<S, L = TcpListener> {
-    queue: ClientQueue<L>,
-    /// When the listener was bound, at the earliest.
+    queue: AcceptQueue<L>,
+    /// The earliest time at which the listener can have been bound.
     bound: Instant,
     counter: Count,
     clients: DescriptorBudget,
-    serves: S,
+    handler: S,
 }
 
-impl<S: Serves, L: Listener> Acceptor<S, L> {
-    /// An acceptor that counts its clients by `counter`.
-    pub fn new(listener: L, bound: Instant, counter: Count, clients: DescriptorBudget, serves: S) -> Self {
-        Acceptor { queue: ClientQueue::new(listener), bound, counter, clients, serves }
+impl<S: ConnectionHandler, L: Listener> Acceptor<S, L> {
+    /// Creates an acceptor that counts its clients by `counter`.
+    pub fn new(listener: L, bound: Instant, counter: Count, clients: DescriptorBudget, handler: S) -> Self {
+        Acceptor { queue: AcceptQueue::new(listener), bound, counter, clients, handler }
     }
 
-    /// Accepts clients until the end begins. Those that the machine has accepted by then and nobody has taken yet are taken as
-    /// well: a listener let go of resets them. What comes back is for [`Acceptor::refuse_all`], where no other process takes the
-    /// clients.
-    pub async fn accept_all(self, mut closing: PhaseReceiver) -> Option<Self> {
-        // Those that stand in the queue already may have come as soon as the listener was bound.
+    /// Accepts clients until shutdown begins. Clients that are in the listener's backlog by then are accepted as
+    /// well, as they would be reset when the listener is closed. Returns the acceptor for [`Acceptor::refuse_all`],
+    /// except where another process accepts the clients.
+    pub async fn accept_all(self, mut phase_rx: PhaseReceiver) -> Option<Self> {
+        // Clients in the backlog may have connected at any time since the listener was bound.
         loop {
             let queued = tokio::select! {
                 biased;
-                () = wait_for_phase(&mut closing, ProcessPhase::HandingOver) => None,
+                () = wait_for_phase(&mut phase_rx, ProcessPhase::HandingOver) => None,
                 queued = self.queue.next_queued() => queued,
             };
             let Some((stream, peer)) = queued else { break };
-            self.admit(self.bound, stream, peer, &closing).await;
+            self.admit(self.bound, stream, peer, &phase_rx).await;
         }
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::HandingOver).await
+        while let Some((stream, peer)) = self.queue.next_until(&mut phase_rx, ProcessPhase::HandingOver).await
         {
-            self.admit(came(), stream, peer, &closing).await;
+            self.admit(earliest_connect_time(), stream, peer, &phase_rx).await;
         }
-        // While the next process takes clients from the same listener, they are that one's.
-        if *closing.borrow() < ProcessPhase::Closing {
+        // During a handover the remaining clients in the backlog belong to the next process, which shares the
+        // listener.
+        if *phase_rx.borrow() < ProcessPhase::Closing {
             return None;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
-            self.admit(came(), stream, peer, &closing).await;
+            self.admit(earliest_connect_time(), stream, peer, &phase_rx).await;
         }
         Some(self)
     }
 
-    /// Refuses whoever comes still, up to the end of the process.
-    pub async fn refuse_all(self, mut closing: PhaseReceiver) {
-        while let Some((stream, peer)) = self.queue.next_until(&mut closing, ProcessPhase::Ended).await {
-            self.turn_away(stream, peer).await;
+    /// Refuses all further clients until the process ends.
+    pub async fn refuse_all(self, mut phase_rx: PhaseReceiver) {
+        while let Some((stream, peer)) = self.queue.next_until(&mut phase_rx, ProcessPhase::Ended).await {
+            self.refuse_late(stream, peer).await;
         }
         while let Some((stream, peer)) = self.queue.next_queued().await {
-            self.turn_away(stream, peer).await;
+            self.refuse_late(stream, peer).await;
         }
     }
 
-    /// Has a client served who may have come at this moment: at once, or once there is a permit; else refused.
-    async fn admit(&self, came: Instant, stream: TcpStream, peer: SocketAddr, closing: &PhaseReceiver) {
+    /// Serves a client that may have connected as early as `connected_since`: at once, or when a permit becomes
+    /// free within the timeout. Refuses it otherwise.
+    async fn admit(
+        &self,
+        connected_since: Instant,
+        stream: TcpStream,
+        peer: SocketAddr,
+        phase_rx: &PhaseReceiver,
+    ) {
         let client = peer.port();
         let stream = Socket::new(stream);
         if let Some(permit) = self.clients.try_permit() {
             count(self.counter);
             log::debug!(target: CONNECTION_LOG, client; "accepted");
-            tokio::spawn(reported(client, permit, self.serves.serve(came, stream, closing.clone())));
+            tokio::spawn(run_and_report(
+                client,
+                permit,
+                self.handler.serve(connected_since, stream, phase_rx.clone()),
+            ));
             return;
         }
         let Some(refusal_permit) = self.clients.refusal_permit().await else { return };
-        let (clients, counter, serves) = (self.clients.clone(), self.counter, self.serves.clone());
-        let closing = closing.clone();
+        let (clients, counter, handler) = (self.clients.clone(), self.counter, self.handler.clone());
+        let phase_rx = phase_rx.clone();
         tokio::spawn(async move {
             let budget = clients.clone();
-            let mut hurried = Box::pin(async move { budget.refusal_eviction_requested().await }.fuse());
+            let mut finish_now = Box::pin(async move { budget.refusal_eviction_requested().await }.fuse());
             let permit = tokio::select! {
                 biased;
                 permit = tokio::time::timeout(PERMIT_TIMEOUT, clients.permit()) => permit.ok().flatten(),
-                () = &mut hurried => None,
+                () = &mut finish_now => None,
             };
             let Some(permit) = permit else {
                 log::debug!(target: CONNECTION_LOG, client; "refused, as no permit came free");
-                let hurry = async move {
-                    if !hurried.is_terminated() {
-                        hurried.await;
+                let finish_now_if_pending = async move {
+                    if !finish_now.is_terminated() {
+                        finish_now.await;
                     }
                 };
-                let refused = serves.refuse(stream, Refusal::NoPermit, hurry);
-                return reported(client, refusal_permit, refused).await;
+                let refused = handler.refuse(stream, Refusal::NoPermit, finish_now_if_pending);
+                return run_and_report(client, refusal_permit, refused).await;
             };
             drop(refusal_permit);
             count(counter);
             log::debug!(target: CONNECTION_LOG, client; "accepted, with a permit that came free");
-            reported(client, permit, serves.serve(came, stream, closing)).await;
+            run_and_report(client, permit, handler.serve(connected_since, stream, phase_rx)).await;
         });
     }
 
-    /// Has a client refused that comes too late.
-    async fn turn_away(&self, stream: TcpStream, peer: SocketAddr) {
-        // Those of clients come free at the end, and a crowd is refused sooner by many at once.
+    /// Refuses a client that connected too late.
+    async fn refuse_late(&self, stream: TcpStream, peer: SocketAddr) {
+        // Clients' permits become free during shutdown, and many clients are refused faster in parallel.
         let permit = match self.clients.try_permit() {
             Some(permit) => Some(permit),
             None => self.clients.refusal_permit().await,
@@ -245,25 +261,26 @@
         let client = peer.port();
         log::debug!(target: CONNECTION_LOG, client; "refused, as the process ends");
         let budget = self.clients.clone();
-        let hurried = async move { budget.refusal_eviction_requested().await };
-        let refused = self.serves.refuse(Socket::new(stream), Refusal::Ending, hurried);
-        tokio::spawn(reported(client, permit, refused));
+        let finish_now = async move { budget.refusal_eviction_requested().await };
+        let refused = self.handler.refuse(Socket::new(stream), Refusal::Ending, finish_now);
+        tokio::spawn(run_and_report(client, permit, refused));
     }
 }
 
-/// When a client may have come that is accepted now: whoever came while the process was held up has stood in the queue.
-fn came() -> Instant {
+/// The earliest time at which a client that is accepted now can have connected: clients that connect while the
+/// process is stalled wait in the backlog.
+fn earliest_connect_time() -> Instant {
     stall::check().unwrap_or_else(Instant::now)
 }
 
-/// Carries out what becomes of a connection, and tells its end.
-async fn reported<E: Display>(
+/// Runs a connection's handler and reports why the connection closed.
+async fn run_and_report<E: Display>(
     client: u16,
     permit: OwnedSemaphorePermit,
     served: impl Future<Output = Result<ConnectionClosed, E>>,
 ) {
-    let report = CloseReport::new(client);
-    report.tell(&served.await);
+    let close_report = CloseReport::new(client);
+    close_report.report(&served.await);
     drop(permit);
 }
 
--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -1,4 +1,5 @@
-//! Clients that the machine has accepted and nobody has taken when the end begins, or when the process ends.
+//! Clients that are still in the listen backlog when shutdown begins, or when the process ends: each must be
+//! served, refused or left to the next process, also while accept(2) fails.
 
 use super::*;
 use crate::net::budget::Budget;
@@ -9,11 +10,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio_util::codec::{BytesCodec, Framed};
 
-/// Answers a byte with another.
+/// Answers one byte: `!` where the client is served, `#` where it is refused.
 #[derive(Clone)]
 struct Echo;
 
-impl Serves for Echo {
+impl ConnectionHandler for Echo {
     type Error = Error;
 
     fn serve(
@@ -42,10 +43,11 @@
     Ok(client_close::close_after_last_message(conn, CloseReason::ClientLeft).await)
 }
 
-/// What accept(2) may fail with for a moment.
-const MOMENTARY: [i32; 5] = [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::EINTR];
+/// Transient errors of accept(2).
+const TRANSIENT_ERRORS: [i32; 5] =
+    [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::EINTR];
 
-/// A listener of which accept fails in some of its calls, by their numbers from 0 on.
+/// A listener whose accept fails in the calls that `fails` selects; calls are counted from 0.
 struct Failing {
     listener: TcpListener,
     fails: fn(usize) -> bool,
@@ -56,7 +58,7 @@
     fn call(&self) -> std::io::Result<()> {
         let call = self.calls.fetch_add(1, Ordering::Relaxed);
         match (self.fails)(call) {
-            true => Err(Error::from_raw_os_error(MOMENTARY[call % MOMENTARY.len()])),
+            true => Err(Error::from_raw_os_error(TRANSIENT_ERRORS[call % TRANSIENT_ERRORS.len()])),
             false => Ok(()),
         }
     }
@@ -74,7 +76,8 @@
     }
 }
 
-/// What clients that stand in the backlog get from an acceptor whose accept fails in these calls.
+/// Runs an acceptor that starts in `phase` and whose accept fails as `fails` says, with three clients in the
+/// backlog. Returns what each client reads.
 fn backlog_gets<F: Future<Output = ()>>(
     fails: fn(usize) -> bool,
     phase: ProcessPhase,
@@ -90,11 +93,11 @@
     runtime.expect("a runtime").block_on(async {
         let listener = TcpListener::from_std(listener).expect("a listener");
         let listener = Failing { listener, fails, calls: AtomicUsize::new(0) };
-        let (told, closing) = watch::channel(phase);
+        let (told, phase_rx) = watch::channel(phase);
         let budget = Budget::new(1024, 64 << 20);
         let acceptor =
             Acceptor::new(listener, Instant::now(), Count::pg_connections, budget.clients.clone(), Echo);
-        accept(acceptor, told, closing).await;
+        accept(acceptor, told, phase_rx).await;
         while !budget.clients.all_permits_free() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -106,78 +109,78 @@
     clients.into_iter().map(answer).collect()
 }
 
-/// Takes clients up to the end.
+/// Accepts clients until shutdown begins.
 async fn accept_all(
     acceptor: Acceptor<Echo, Failing>,
     _told: watch::Sender<ProcessPhase>,
-    closing: PhaseReceiver,
+    phase_rx: PhaseReceiver,
 ) {
-    drop(acceptor.accept_all(closing).await);
+    drop(acceptor.accept_all(phase_rx).await);
 }
 
-/// Refuses clients up to the end.
+/// Refuses clients until the process ends.
 async fn refuse_all(
     acceptor: Acceptor<Echo, Failing>,
     _told: watch::Sender<ProcessPhase>,
-    closing: PhaseReceiver,
+    phase_rx: PhaseReceiver,
 ) {
-    acceptor.refuse_all(closing).await;
+    acceptor.refuse_all(phase_rx).await;
 }
 
-/// Takes clients up to the end, and then refuses the others.
+/// Accepts clients until shutdown begins, then refuses the rest.
 async fn accept_and_refuse_all(
     acceptor: Acceptor<Echo, Failing>,
     told: watch::Sender<ProcessPhase>,
-    closing: PhaseReceiver,
+    phase_rx: PhaseReceiver,
 ) {
-    let acceptor = acceptor.accept_all(closing.clone()).await.expect("no other process takes the clients");
+    let acceptor = acceptor.accept_all(phase_rx.clone()).await.expect("no other process takes the clients");
     told.send_replace(ProcessPhase::Ended);
-    acceptor.refuse_all(closing).await;
+    acceptor.refuse_all(phase_rx).await;
 }
 
 fn never(_: usize) -> bool {
     false
 }
 
-/// Five failures before each client.
-fn at_times(call: usize) -> bool {
+/// Fails five times before each client.
+fn five_failures_per_client(call: usize) -> bool {
     call % 6 != 5
 }
 
 #[test]
-fn clients_in_the_backlog_are_served_when_the_end_begins() {
+fn clients_in_the_backlog_are_served_when_shutdown_begins() {
     let got = backlog_gets(never, ProcessPhase::Closing, accept_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "!")), "{got:?}");
 }
 
 #[test]
 fn clients_in_the_backlog_are_left_to_the_process_that_takes_over() {
-    // Here nobody does, and the listener goes with this process.
+    // No other process takes over in this test, so the clients are reset when the listener is closed.
     let got = backlog_gets(never, ProcessPhase::HandingOver, accept_all);
     assert!(got.iter().all(|g| g.as_ref().map_or(true, String::is_empty)), "{got:?}");
 }
 
 #[test]
-fn clients_in_the_backlog_are_served_when_the_end_begins_though_accept_fails_for_a_moment() {
-    let got = backlog_gets(at_times, ProcessPhase::Closing, accept_all);
+fn clients_in_the_backlog_are_served_at_shutdown_despite_transient_accept_failures() {
+    let got = backlog_gets(five_failures_per_client, ProcessPhase::Closing, accept_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "!")), "{got:?}");
 }
 
 #[test]
-fn clients_in_the_backlog_are_refused_at_the_very_end_though_accept_fails_for_a_moment() {
-    let got = backlog_gets(at_times, ProcessPhase::Ended, refuse_all);
+fn clients_in_the_backlog_are_refused_at_process_end_despite_transient_accept_failures() {
+    let got = backlog_gets(five_failures_per_client, ProcessPhase::Ended, refuse_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "#")), "{got:?}");
 }
 
 #[test]
-fn clients_that_an_end_could_not_accept_for_seconds_are_refused_once_it_can() {
+fn clients_are_refused_once_accept_recovers_after_failing_for_seconds_at_shutdown() {
     let for_seconds = |call| call < 1_600;
     let got = backlog_gets(for_seconds, ProcessPhase::Closing, accept_and_refuse_all);
     assert!(got.iter().all(|g| g.as_ref().is_ok_and(|g| g == "#")), "{got:?}");
 }
 
 #[test]
-fn an_end_is_not_held_up_by_an_accept_that_fails_for_ever() {
+fn an_accept_that_fails_permanently_does_not_delay_process_end() {
     let got = backlog_gets(|_| true, ProcessPhase::Closing, accept_and_refuse_all);
     assert!(got.iter().all(|g| g.is_err()), "{got:?}");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets other than the fronts': one actor for each peer, discovery, accepting, the descriptor budget.
+//! Network I/O outside the fronts: member connections, discovery, accepting clients, and budgets of descriptors and
+//! bytes.
 
 pub mod accept_queue;
 pub mod answer_limit;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,9 +1,10 @@
-//! Clients that come while the process starts: the kernel takes them from the first act of a start on, and each gets a final
-//! answer in time, from the front itself or, where the rest of the start takes long, a refusal.
+//! Clients that connect while the process starts. The listener is opened first, so the kernel accepts connections
+//! from then on, and each client gets a final answer in time: from the front itself or, where startup takes long, a
+//! refusal.
 
 use super::budget::{Budget, ByteBudget};
 use super::client_close::ConnectionClosed;
-use super::listen::{self, Acceptor, PhaseReceiver, Refusal, Serves};
+use super::listen::{self, Acceptor, ConnectionHandler, PhaseReceiver, Refusal};
 use super::socket::Socket;
 use super::transient;
 use crate::core::counters::Count;
@@ -15,39 +16,40 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How long a client is held for a front that is not there yet. An answer may come half a second after its request's time,
-/// however short that is, and a refusal sooner than that lets the client go elsewhere.
-const STARTING_GRACE: Duration = Duration::from_millis(200);
+/// How long a client waits for a front that is not ready yet. An answer is due half a second after the request's
+/// deadline at the latest, however short the deadline is, and an earlier refusal lets the client go elsewhere.
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(200);
 
-/// A front that takes clients' connections.
+/// A front that serves clients' connections.
 pub trait ClientFront: Send + Sync + 'static {
-    /// How a connection breaks.
+    /// An error that breaks a connection.
     type Error: Display + Send;
 
-    /// Serves one client to its end. What it has sent already may have been sent at any time since `waits_since`.
+    /// Serves one client until its connection closes. Data that has arrived already may have been sent at any time
+    /// since `waits_since`.
     fn serve(
         self: Arc<Self>,
         waits_since: Option<Instant>,
         stream: Socket,
-        closing: PhaseReceiver,
+        phase_rx: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 
-    /// Refuses a client: the last word on its connection. Once `hurried` it waits for nothing any more.
+    /// Refuses a client with a final message. Once `finish_now` completes, nothing is waited for any more.
     fn refuse(
         stream: Socket,
         bytes: ByteBudget,
         why: Refusal,
-        hurried: impl Future<Output = ()> + Send,
+        finish_now: impl Future<Output = ()> + Send,
     ) -> impl Future<Output = Result<ConnectionClosed, Self::Error>> + Send;
 }
 
-/// A client that came so long ago has not been read at once.
-const AT_ONCE: Duration = Duration::from_millis(5);
+/// A client that has been connected for longer than this was not read immediately.
+const IMMEDIATE: Duration = Duration::from_millis(5);
 
-/// Lets clients through to a front, once there is one.
+/// Opens a [`StartGate`] once the front is ready.
 pub struct GateOpener<F>(watch::Sender<Option<Arc<F>>>);
 
-/// Where the clients of a front wait for it.
+/// Where a front's clients wait until the front is ready.
 pub struct StartGate<F>(watch::Receiver<Option<Arc<F>>>);
 
 impl<F> Clone for StartGate<F> {
@@ -56,20 +58,20 @@
     }
 }
 
-/// A gate that is shut, and what opens it.
+/// Creates a closed gate and its opener.
 pub fn gate<F>() -> (GateOpener<F>, StartGate<F>) {
     let (opener, gate) = watch::channel(None);
     (GateOpener(opener), StartGate(gate))
 }
 
 impl<F> GateOpener<F> {
-    /// The front serves from now on, those that wait first.
+    /// Lets clients through to `front`, those that are waiting first.
     pub fn open(&self, front: Arc<F>) {
         self.0.send_replace(Some(front));
     }
 }
 
-/// Has clients served by a front, once it is there.
+/// Passes clients to a front once it is ready.
 pub struct Gated<F> {
     gate: StartGate<F>,
     bytes: ByteBudget,
@@ -81,22 +83,22 @@
     }
 }
 
-impl<F: ClientFront> Serves for Gated<F> {
+impl<F: ClientFront> ConnectionHandler for Gated<F> {
     type Error = F::Error;
 
     fn serve(
         &self,
-        came: Instant,
+        connected_since: Instant,
         stream: Socket,
-        closing: PhaseReceiver,
+        phase_rx: PhaseReceiver,
     ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
         let (gate, bytes) = (self.gate.clone(), self.bytes.clone());
-        // What is read at once has not waited; what is read later may have come right behind the connection.
-        let waited = !gate.is_open() || came.elapsed() >= AT_ONCE;
-        let waits_since = waited.then_some(came);
+        // Data read immediately has not waited; data read later may have arrived right after the connection.
+        let waited = !gate.is_open() || connected_since.elapsed() >= IMMEDIATE;
+        let waits_since = waited.then_some(connected_since);
         async move {
-            match gate.passed().await {
-                Some(front) => front.serve(waits_since, stream, closing).await,
+            match gate.wait_open().await {
+                Some(front) => front.serve(waits_since, stream, phase_rx).await,
                 None => F::refuse(stream, bytes, Refusal::Starting, std::future::pending()).await,
             }
         }
@@ -106,15 +108,15 @@
         &self,
         stream: Socket,
         why: Refusal,
-        hurried: impl Future<Output = ()> + Send + 'static,
+        finish_now: impl Future<Output = ()> + Send + 'static,
     ) -> impl Future<Output = Result<ConnectionClosed, F::Error>> + Send + 'static {
-        F::refuse(stream, self.bytes.clone(), why, hurried)
+        F::refuse(stream, self.bytes.clone(), why, finish_now)
     }
 }
 
 impl<F: ClientFront> StartGate<F> {
-    /// What takes clients from a listener; they wait here until the front is there. The listener has been open since
-    /// `bound` at the earliest. `counter` counts clients.
+    /// Creates an acceptor whose clients wait at this gate until the front is ready. The listener has been open
+    /// since `bound` at the earliest. `counter` counts the clients.
     pub fn acceptor(
         self,
         listener: TcpListener,
@@ -128,32 +130,32 @@
 }
 
 impl<F> StartGate<F> {
-    /// Whether nobody has to wait.
+    /// Whether the front is ready, so that clients do not wait.
     pub fn is_open(&self) -> bool {
         self.0.borrow().is_some()
     }
 
-    /// The front, at once where it serves already; none where it does not within the time that a client is held. Cancel
-    /// safe.
-    pub async fn passed(mut self) -> Option<Arc<F>> {
-        let opened = tokio::time::timeout(STARTING_GRACE, self.0.wait_for(Option::is_some)).await;
+    /// Returns the front, immediately if it is ready. Returns `None` if it is not ready within `MAX_STARTUP_WAIT`.
+    /// Cancel safe.
+    pub async fn wait_open(mut self) -> Option<Arc<F>> {
+        let opened = tokio::time::timeout(MAX_STARTUP_WAIT, self.0.wait_for(Option::is_some)).await;
         opened.ok()?.ok()?.clone()
     }
 }
 
-/// The clients' listener, from the first act of a start on.
+/// The clients' listener, which is opened first during startup.
 pub enum ClientListener {
-    /// This process's own, at the address that it was told.
+    /// Opened by this process at the given address.
     Own(TcpListener, String),
-    /// The platform holds it, and another process of this proxy may be serving from it.
+    /// Kept open by the platform; another process of this proxy may be serving from it.
     Inherited(TcpListener),
 }
 
 impl ClientListener {
-    /// Listens at `address`, or takes the listener that has this descriptor.
+    /// Takes over the listener with the descriptor `inherited`, or else listens at `address`.
     ///
     /// # Errors
-    /// When neither can be done.
+    /// When the descriptor or the address cannot be used.
     pub async fn bind(inherited: Option<&str>, address: &str) -> io::Result<Self> {
         match inherited {
             Some(descriptor) => listen::inherited_listener(descriptor).map(ClientListener::Inherited),
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Whether it is where clients are told to come.
+    /// Whether clients that connect to `address` reach this listener.
     pub fn has_address(&self, address: &str) -> bool {
         match self {
             ClientListener::Own(_, bound) => bound == address,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// The socket itself.
+    /// Returns the listening socket.
     pub fn into_inner(self) -> TcpListener {
         match self {
             ClientListener::Own(listener, _) | ClientListener::Inherited(listener) => listener,
