--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -1,15 +1,16 @@
-//! The one place that ends a client's connection, and says why.
+//! Closes clients' connections and records why. No other module closes one.
 //!
-//! A front can only finish with an [`ConnectionClosed`], and only this module makes one. A connection between requests is ended when
-//! nothing stands on it that has no answer: neither in its buffer nor in the socket, which the kernel is asked about last.
+//! A front can finish only with a [`ConnectionClosed`], which only this module creates. A connection between
+//! requests is closed only if it holds no unanswered input, neither in its read buffer nor in the socket; the
+//! kernel is asked right before. Even so a request can arrive while the connection is being closed:
 //!
-//! | end | what may cross it | what the client has of that |
+//! | close | input that can still arrive | what happens to it |
 //! | --- | --- | --- |
-//! | [`close_if_idle`], answered before | a request that comes behind the look | left unread: its client sends it again elsewhere |
-//! | [`close_if_idle`], never answered | its first request | the last word, a refusal, stands for the answer |
-//! | [`close_after_last_message`], [`close_with_error`], [`refuse`] | what comes behind an error that ends all | that error |
-//! | [`close_as_announced`] | a request behind a response that said so | left unread |
-//! | [`closed_by_client`] | nothing: the client has gone | |
+//! | [`close_if_idle`], client answered before | a request after the check | left unread, so that the client sends it again elsewhere |
+//! | [`close_if_idle`], client never answered | its first request | the final message, a refusal, is its answer |
+//! | [`close_after_last_message`], [`close_with_error`], [`refuse`] | anything after a fatal error | the error is its answer |
+//! | [`close_as_announced`] | a request after the response that announced the close | left unread |
+//! | [`closed_by_client`] | none, as the client has gone | |
 
 use super::budget::DescriptorBudget;
 use super::frames::BuffersPartial;
@@ -24,41 +25,42 @@
 use tokio::time::Instant;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// The log's target for what becomes of clients' connections; `client` is the client's port.
+/// Log target for the life of clients' connections; the field `client` is the client's port.
 pub const CONNECTION_LOG: &str = "connection";
 
-/// How long a client may take to take in a last word.
-const LAST_WORD_TIMEOUT: Duration = Duration::from_millis(500);
-/// What is still read after a last word, and for how long. A close with bytes unread resets the connection, and what
-/// was said last may be lost with it; a client that sends without end gets the reset.
+/// How long a client may take to accept the final message.
+const LAST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// For how long and how many bytes input is still read after the final message. Closing a socket with unread bytes
+/// resets the connection and may discard that message; a client that sends endlessly gets the reset.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
-const DRAIN_MAX: usize = 512 * 1024;
-/// How long a connection that was ended at rest is kept for its client to end it too.
+const MAX_DRAINED_BYTES: usize = 512 * 1024;
+/// How long a connection that was closed while idle is kept, so that its client can close it too.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(60);
-/// The same where something stands unread on it: closed, it would be reset, and an answer that is still on its way to a slow
-/// client would go with it.
+/// The same if unread bytes are in the socket: dropping it would reset the connection and discard an answer that is
+/// still on its way to a slow client.
 const UNREAD_LINGER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why a client's connection ends.
+/// Why a client's connection closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client has ended it, or has said that it wants nothing more.
+    /// The client closed it, or announced that it sends no more requests.
     ClientLeft,
-    /// Reading or writing failed, its client takes in nothing, or a value that has begun to flow cannot be finished.
+    /// Reading or writing failed, the client accepts no data, or a value whose transfer has begun cannot be
+    /// completed.
     Broken,
-    /// What came cannot be understood, is too long or did not end in time; an error was the last word.
+    /// The input is invalid, too long or was not completed in time; an error was the final message.
     Fault,
-    /// Nothing was ever asked on it.
+    /// No request ever arrived.
     Silent,
-    /// Nothing was asked on it for long.
+    /// No request arrived for a long time.
     Idle,
-    /// Others lack a permit.
+    /// Its permit was needed for another connection.
     MadeRoom,
-    /// The process ends, or another one takes over.
+    /// The process is shutting down, or another process takes over.
     Shutdown,
-    /// There was no permit, or no front yet or any more; a refusal was the last word.
+    /// There was no permit, or the front was not ready or has stopped; a refusal was the final message.
     Refused,
-    /// Its task ended without saying why: a panic, or the end of the process.
+    /// The task ended without a reason: by a panic, or with the process.
     Dropped,
 }
 
@@ -78,23 +80,23 @@
     }
 }
 
-/// Proof that a connection was ended here.
+/// Proof that a connection was closed by this module.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct ConnectionClosed(CloseReason);
 
-/// Ends a connection between requests, unless something stands on it: then it has to be served on, nothing is done, and there
-/// is no [`ConnectionClosed`]. `last_word` is for a client that has had no answer yet. Not cancel safe: dropped half-way, the connection
-/// is to be dropped too.
+/// Closes a connection between requests. If it holds unanswered input, does nothing and returns `None`: the input
+/// has to be served. `last_message` is sent to a client that has had no answer yet. Not cancel safe: when the
+/// future is dropped, the connection has to be dropped too.
 pub async fn close_if_idle<C, M>(
     conn: &mut Framed<Socket, C>,
     reason: CloseReason,
-    last_word: Option<M>,
+    last_message: Option<M>,
 ) -> Option<ConnectionClosed>
 where
     C: Decoder + Encoder<M> + BuffersPartial,
 {
-    if holds_part(conn) {
+    if has_buffered_input(conn) {
         return None;
     }
     match conn.get_mut().unread() {
@@ -102,34 +104,35 @@
         Unread::End => return Some(ConnectionClosed(CloseReason::ClientLeft)),
         Unread::Nothing => {}
     }
-    if let Some(last_word) = last_word {
-        say_last(conn, last_word).await;
+    if let Some(last_message) = last_message {
+        send_last(conn, last_message).await;
     }
     linger(conn.get_mut()).await;
     Some(ConnectionClosed(reason))
 }
 
-/// Whether something stands on a connection that has no answer: bytes read, or bytes in the socket.
+/// Whether the connection holds unanswered input, in its read buffer or in the socket.
 pub fn has_unanswered_input<C: Decoder + BuffersPartial>(conn: &mut Framed<Socket, C>) -> bool {
-    holds_part(conn) || conn.get_mut().unread() == Unread::Bytes
+    has_buffered_input(conn) || conn.get_mut().unread() == Unread::Bytes
 }
 
-fn holds_part<C: Decoder + BuffersPartial>(conn: &Framed<Socket, C>) -> bool {
+fn has_buffered_input<C: Decoder + BuffersPartial>(conn: &Framed<Socket, C>) -> bool {
     !conn.read_buffer().is_empty() || conn.codec().holds_partial()
 }
 
-/// Ends a connection on which an error was said that answers all that may still come, so that the client gets to read it.
+/// Closes a connection after a fatal error message, which answers all further input. That input is read for a
+/// while, so that the error reaches the client.
 pub async fn close_after_last_message<C>(conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
     let _ = shutdown_and_drain(conn.into_inner()).await;
     ConnectionClosed(reason)
 }
 
-/// The same at once: what has come is still read, and nothing is waited for.
+/// Like [`close_after_last_message`], but reads only what has arrived already and waits for nothing.
 fn close_at_once_after_last_message<C>(conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
     let mut socket = conn.into_inner();
     let _ = socket.shutdown().now_or_never();
     let (mut rest, mut read) = ([0; 4 * 1024], 0);
-    while read < DRAIN_MAX && socket.unread() == Unread::Bytes {
+    while read < MAX_DRAINED_BYTES && socket.unread() == Unread::Bytes {
         match socket.read(&mut rest).now_or_never() {
             Some(Ok(n)) if n > 0 => read += n,
             _ => break,
@@ -138,81 +141,83 @@
     ConnectionClosed(reason)
 }
 
-/// Ends a connection whose last response has said so: what comes behind it is not read.
+/// Closes a connection whose last response announced it; further input is not read.
 pub async fn close_as_announced<C>(mut conn: Framed<Socket, C>, reason: CloseReason) -> ConnectionClosed {
     linger(conn.get_mut()).await;
     ConnectionClosed(reason)
 }
 
-/// The client has ended its connection.
+/// Drops a connection that its client has closed.
 pub fn closed_by_client<C>(conn: Framed<Socket, C>) -> ConnectionClosed {
     drop(conn);
     ConnectionClosed(CloseReason::ClientLeft)
 }
 
-/// Says a last word to a client that may take in nothing.
-async fn say_last<C, M>(conn: &mut Framed<Socket, C>, last_word: M)
+/// Sends the final message to a client, which may not be reading.
+async fn send_last<C, M>(conn: &mut Framed<Socket, C>, last_message: M)
 where
     C: Encoder<M>,
 {
-    let _ = tokio::time::timeout(LAST_WORD_TIMEOUT, conn.send(last_word)).await;
+    let _ = tokio::time::timeout(LAST_MESSAGE_TIMEOUT, conn.send(last_message)).await;
 }
 
-/// Refuses a client: its first message is waited for, for `first_timeout` at most, and the last word answers that. Once `hurried`
-/// nothing is waited for any more.
+/// Refuses a client: waits for its first message for up to `first_timeout` and answers it with the final message.
+/// Once `finish_now` completes, nothing is waited for any more.
 pub async fn refuse<C, M>(
     mut conn: Framed<Socket, C>,
     first_message: impl AsyncFnOnce(&mut Framed<Socket, C>),
     first_timeout: Duration,
-    last_word: M,
-    hurried: impl Future<Output = ()>,
+    last_message: M,
+    finish_now: impl Future<Output = ()>,
 ) -> ConnectionClosed
 where
     C: Encoder<M>,
 {
-    let mut hurried = pin!(hurried);
+    let mut finish_now = pin!(finish_now);
     let first = tokio::time::timeout(first_timeout, first_message(&mut conn));
-    let hurry = tokio::select! {
+    let immediate = tokio::select! {
         biased;
         _ = first => false,
-        () = &mut hurried => true,
+        () = &mut finish_now => true,
     };
-    say_last(&mut conn, last_word).await;
-    if hurry {
+    send_last(&mut conn, last_message).await;
+    if immediate {
         return close_at_once_after_last_message(conn, CloseReason::Refused);
     }
     tokio::select! {
         ended = close_after_last_message(conn, CloseReason::Refused) => ended,
-        () = hurried => ConnectionClosed(CloseReason::Refused),
+        () = finish_now => ConnectionClosed(CloseReason::Refused),
     }
 }
 
-/// Ends a connection on which something came that is no request, or finds no memory, with an error as the last word. That waits
-/// for its turn, if it has one, and the client is left alone sooner where others lack its permit.
+/// Closes a connection with an error as the final message: after invalid input, or when there is no memory for a
+/// message. The error is sent after `delay`, if there is one. Both the delay and the reading of further input end
+/// early when the permit is needed for another connection.
 pub async fn close_with_error<C, M>(
     mut conn: Framed<Socket, C>,
-    last_word: M,
-    turn: Option<Duration>,
+    last_message: M,
+    delay: Option<Duration>,
     clients: &DescriptorBudget,
 ) -> ConnectionClosed
 where
     C: Encoder<M>,
 {
     let now = Instant::now();
-    if let Some(turn) = turn {
+    if let Some(delay) = delay {
         tokio::select! {
-            () = tokio::time::sleep(turn) => {}
+            () = tokio::time::sleep(delay) => {}
             () = clients.client_eviction_requested(true, now) => {}
         }
     }
-    say_last(&mut conn, last_word).await;
+    send_last(&mut conn, last_message).await;
     tokio::select! {
         ended = close_after_last_message(conn, CloseReason::Fault) => ended,
         () = clients.client_eviction_requested(true, now) => ConnectionClosed(CloseReason::Fault),
     }
 }
 
-/// Nothing is said any more, and nothing read: what comes is the client's to send again.
+/// Stops writing and waits for the client to close. Input is left unread, so that the client sends it again
+/// elsewhere.
 async fn linger(socket: &mut Socket) {
     let _ = socket.shutdown().await;
     let ended = tokio::time::timeout(LINGER_TIMEOUT, socket.wait_closed()).await;
@@ -221,15 +226,15 @@
     }
 }
 
-/// Ends a stream on which the last word has been said, and reads for a while what still comes.
+/// Shuts down a stream after the final message and reads further input for a while.
 ///
 /// # Errors
-/// When it cannot be ended.
+/// When the stream cannot be shut down.
 pub async fn shutdown_and_drain<S: AsyncRead + AsyncWrite + Unpin>(mut stream: S) -> std::io::Result<()> {
     stream.shutdown().await?;
     let (mut rest, mut read) = (vec![0; 16 * 1024], 0);
     let all = async {
-        while read < DRAIN_MAX {
+        while read < MAX_DRAINED_BYTES {
             match stream.read(&mut rest).await {
                 Ok(n) if n > 0 => read += n,
                 _ => return,
@@ -240,20 +245,20 @@
     Ok(())
 }
 
-/// Tells in the log and in the counters why a connection has ended, also where its task ends without a word.
+/// Records in the log and the counters why a connection closed, also when its task ends without a reason.
 pub struct CloseReport {
     client: u16,
-    told: bool,
+    reported: bool,
 }
 
 impl CloseReport {
     /// For the connection of the client with this port.
     pub fn new(client: u16) -> Self {
-        CloseReport { client, told: false }
+        CloseReport { client, reported: false }
     }
 
-    /// The connection has ended.
-    pub fn tell<E: Display>(mut self, ended: &Result<ConnectionClosed, E>) {
+    /// Records the outcome of the connection.
+    pub fn report<E: Display>(mut self, ended: &Result<ConnectionClosed, E>) {
         let client = self.client;
         let reason = match ended {
             Ok(ConnectionClosed(reason)) => *reason,
@@ -262,11 +267,11 @@
                 CloseReason::Broken
             }
         };
-        self.say(reason);
+        self.record(reason);
     }
 
-    fn say(&mut self, reason: CloseReason) {
-        self.told = true;
+    fn record(&mut self, reason: CloseReason) {
+        self.reported = true;
         count(Count::connections_closed);
         count(reason.counter());
         log::debug!(target: CONNECTION_LOG, client = self.client, reason:? = reason; "closed");
@@ -275,8 +280,8 @@
 
 impl Drop for CloseReport {
     fn drop(&mut self) {
-        if !self.told {
-            self.say(CloseReason::Dropped);
+        if !self.reported {
+            self.record(CloseReason::Dropped);
         }
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,15 +1,17 @@
-//! The actor of the member list: watches from the version held, each renewed at once; the whole list only where none is
-//! held. Where discovery is asked it begins when the module says so; where lists are pushed it begins with the process.
+//! The actor that keeps the member list up to date. It fetches the whole list only if it holds none, and otherwise
+//! watches for changes from the version that it holds, renewing the watch after each answer. Where discovery is
+//! polled, it starts when the module requests it; where an agent pushes the lists, it starts with the process.
 //!
-//! Where discovery is asked, a failed call is told to the module, which decides when to ask again; a watch that fell
-//! silent is opened anew at once (`src/listing.rs`). What is held stays, and so does its version,
-//! as a whole list costs discovery many times a watch and a large fleet asks all at once. A watch must be renewed
-//! within 200 ms of its last answer to go on; this actor hands an answer to the core and calls again with nothing in
-//! between but a short pause where an answer came at once and told nothing.
+//! Where discovery is polled, failed calls are reported to the module, which decides when to call again; a watch
+//! that timed out is renewed at once (`src/listing.rs`). The current list and its version are kept on failure, as a
+//! whole list costs discovery many times as much as a watch and all proxies of a large fleet may ask at the same
+//! time. Discovery ends a watch that is not renewed within 200 ms of its last answer, so this actor passes each
+//! answer to the core and calls again at once, except for a short pause after an answer that came immediately and
+//! was empty.
 //!
-//! When discovery moves, whatever call is open ends at once, and the new address is asked for the whole list: what
-//! it has to tell counts as told seconds later, whether it was asked or not. Where all proxies may call at one moment,
-//! [`Listing`] says when this one does.
+//! When discovery moves, the open call is aborted and the whole list is fetched from the new address: a few seconds
+//! later the proxy is assumed to know that list, whether it has fetched it or not. When all proxies may call at the
+//! same moment, [`Listing`] spreads the calls.
 
 use super::socket::Socket;
 use super::transient;
@@ -30,107 +32,113 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// The log's target for what becomes of each call.
-const LOG: &str = "list";
+/// Log target for the outcome of each call.
+const LOG_TARGET: &str = "list";
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// For so long after discovery has moved, a failed call is made again at once rather than told to the module, whose
-/// pauses would outlast what is left before all counts as told.
-const MOVING: Duration = Duration::from_millis(4_000);
-const MOVING_PAUSE: Duration = Duration::from_millis(150);
-/// Between two calls to an agent that refuses them: what it gets meanwhile counts as told.
-const AGENT_PAUSE: Duration = Duration::from_millis(50);
-/// What has come already when a call's time is over is still read.
-const LAST_LOOK: Duration = Duration::from_millis(10);
-/// Least time between two answers to a watch that tell nothing, or the whole list. It must be renewed within 200 ms.
-const EMPTY_PAUSE: Duration = Duration::from_millis(150);
-/// Most entries taken from one list.
-const LIST_ENTRIES_MAX: usize = 4_096;
-/// Longest list taken in, in bytes: that many entries of up to 1 KiB, indented or not. It is read into memory as it comes.
-const LIST_BYTES_MAX: usize = LIST_ENTRIES_MAX * 1024;
-/// Most values in a list. An entry has some twenty; read, each takes tens of bytes, however few stand for it in the text.
-const LIST_VALUES_MAX: usize = LIST_ENTRIES_MAX * 32;
-/// So many whole lists older than the one held, one after another, and discovery itself has begun anew.
-const OLDER_BELIEVED: u32 = 3;
+/// For this long after discovery has moved, a failed call is repeated here instead of being reported to the module.
+/// The module's delays would exceed the time after which the proxy is assumed to know the list.
+const MOVE_RETRY_PERIOD: Duration = Duration::from_millis(4_000);
+const MOVE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Delay before calling an agent again that refused the call. The proxy is assumed to know what the agent receives
+/// meanwhile.
+const AGENT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for reading an answer that has already arrived when the call times out.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(10);
+/// Minimum time between two answers to a watch that are empty or a whole list. A watch must be renewed within 200
+/// ms.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(150);
+/// Most entries accepted in one list.
+const MAX_LIST_ENTRIES: usize = 4_096;
+/// Longest list accepted, in bytes: the maximum number of entries at up to 1 KiB, indented or not. The list is read
+/// into memory as it arrives.
+const MAX_LIST_BYTES: usize = MAX_LIST_ENTRIES * 1024;
+/// Most JSON values accepted in a list. An entry has about twenty; in memory each takes tens of bytes, however
+/// short its text is.
+const MAX_LIST_VALUES: usize = MAX_LIST_ENTRIES * 32;
+/// An older whole list is accepted when this many have arrived in a row: discovery itself has restarted its
+/// versions.
+const ACCEPT_OLDER_AFTER: u32 = 3;
 
-/// The module asks for the list and its changes.
+/// A request by the module to fetch the list and follow its changes.
 #[derive(Debug)]
 pub struct ListRequest;
 
-/// Ids that have left are remembered so long, beyond all that may still know their numbers.
-const LEFT_KEPT: Duration = Duration::from_secs(60);
+/// How long departed ids keep their numbers. Nothing refers to a number for longer than this.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Gives members the module's numbers. An id keeps its number while lists name it, and for a while after.
+/// Maps member ids to the numbers that the module uses. An id keeps its number while lists name it, and for a while
+/// after.
 #[derive(Default)]
 pub struct MemberNumbers {
-    given: HashMap<String, (MemberId, Option<Instant>)>,
-    taken: HashSet<MemberId>,
+    by_id: HashMap<String, (MemberId, Option<Instant>)>,
+    in_use: HashSet<MemberId>,
 }
 
 impl MemberNumbers {
-    /// The number of an id that a list names. Ids that end in eight hex digits are numbered by them, so that all
-    /// proxies order members alike; for others a hash does.
+    /// Returns the number of an id named by a list. An id that ends in eight hex digits gets these as its number,
+    /// so that all proxies order members alike; other ids are hashed.
     pub fn number_for(&mut self, id: &str) -> MemberId {
-        if let Some((known, left)) = self.given.get_mut(id) {
+        if let Some((number, left)) = self.by_id.get_mut(id) {
             *left = None;
-            return *known;
+            return *number;
         }
-        let tail = id.len().checked_sub(8).and_then(|at| id.get(at..));
+        let suffix = id.len().checked_sub(8).and_then(|at| id.get(at..));
         let hash = || id.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
-        let mut number = MemberId(tail.and_then(|t| u32::from_str_radix(t, 16).ok()).unwrap_or_else(hash));
-        while !self.taken.insert(number) {
+        let mut number = MemberId(suffix.and_then(|t| u32::from_str_radix(t, 16).ok()).unwrap_or_else(hash));
+        while !self.in_use.insert(number) {
             number = MemberId(number.0.wrapping_add(1));
         }
-        self.given.insert(id.to_string(), (number, None));
+        self.by_id.insert(id.to_string(), (number, None));
         number
     }
 
-    /// After a list: those that have `left`, and in due time they are forgotten, as members are replaced under new
-    /// ids without end.
+    /// Updates the ids after a list, given a predicate for those that have `left`. Departed ids are dropped after a
+    /// while, as members are replaced under new ids all the time.
     pub fn release_departed(&mut self, left: impl Fn(MemberId) -> bool, now: Instant) {
-        let taken = &mut self.taken;
-        self.given.retain(|_, (number, since)| {
+        let in_use = &mut self.in_use;
+        self.by_id.retain(|_, (number, since)| {
             if since.is_none() && left(*number) {
                 *since = Some(now);
             }
-            let keep = since.is_none_or(|t| now < t + LEFT_KEPT);
+            let keep = since.is_none_or(|t| now < t + DEPARTED_RETENTION);
             if !keep {
-                taken.remove(number);
+                in_use.remove(number);
             }
             keep
         });
     }
 
-    /// How many ids are remembered.
+    /// The number of ids that have a number.
     pub fn count(&self) -> usize {
-        self.given.len()
+        self.by_id.len()
     }
 }
 
-/// Reads lists as discovery words them.
+/// Parses lists in discovery's format.
 pub struct ListReader {
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// MemberNumbers given so far.
+    /// Numbers assigned so far.
     pub numbers: MemberNumbers,
-    /// Whole lists dropped as older than the one held, one after another.
+    /// Whole lists in a row that were dropped for being older than the one held.
     older: u32,
 }
 
 impl ListReader {
-    /// A reader that knows the zones' names.
+    /// Creates a reader with the names of the zones.
     pub fn new(zones: Vec<String>) -> Self {
         ListReader { zones, numbers: MemberNumbers::default(), older: 0 }
     }
 
-    /// The list's version, whether it is whole, and its entries; none where it is not to be used, above all where it
-    /// is older than the version `held`. Entries that cannot be read are skipped and counted.
+    /// Returns the list's version, whether the list is whole, and its entries. Returns `None` for a list that must
+    /// not be used, such as one older than the version `held`. Invalid entries are skipped and counted.
     pub fn read(&mut self, json: &Json, held: Option<u64>) -> Option<(u64, bool, Vec<ListedMember>)> {
         let version = json.get("generation")?.as_u64()?;
         let whole = json.get("reset").and_then(Json::as_bool).unwrap_or(false);
         let items = json.get("instances")?.as_array()?;
         let older = held.is_some_and(|held| version < held);
         self.older = if older && whole { self.older + 1 } else { 0 };
-        if older && self.older < OLDER_BELIEVED || items.len() > LIST_ENTRIES_MAX {
+        if older && self.older < ACCEPT_OLDER_AFTER || items.len() > MAX_LIST_ENTRIES {
             return None;
         }
         self.older = 0;
@@ -140,7 +148,7 @@
                 Some(entry) => entries.push(entry),
                 None => {
                     count(Count::list_bad_entries);
-                    log::warn!("an entry of the list cannot be read: {item}");
+                    log::warn!("skipping an invalid entry of the member list: {item}");
                 }
             }
         }
@@ -180,12 +188,12 @@
     }
 }
 
-/// No fewer values than this JSON text holds: each but the first follows one of these.
-fn values(body: &[u8]) -> usize {
+/// A lower bound of the number of values in a JSON text: each value but the first follows one of these bytes.
+fn min_value_count(body: &[u8]) -> usize {
     body.iter().filter(|byte| matches!(byte, b',' | b':' | b'[' | b'{')).count()
 }
 
-/// A list as discovery words it, for a later start.
+/// Formats a list as discovery does, to be stored for a later start.
 pub fn list_to_json(entries: &[ListedMember], version: u64, zones: &[String]) -> Json {
     let entry = |ListedMember { name, address, member }: &ListedMember| {
         let lifecycle = if member.service_state == ServiceState::Draining { "leaving" } else { "active" };
@@ -197,20 +205,20 @@
     json!({"generation": version, "reset": true, "instances": entries})
 }
 
-/// Where discovery is, and how many proxies call there.
+/// The address of discovery, and the proxies that call it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiscoveryService {
     /// Host and port.
     pub address: String,
-    /// Proxies, this one included.
+    /// Number of proxies, including this one.
     pub proxies: u32,
-    /// Whether they all call there.
+    /// Whether all proxies call this address.
     pub delivery: Delivery,
 }
 
-/// Waits until discovery moves. Told the same address again, a call for the whole list that is due or open there goes on: it
-/// brings what a new one would.
-async fn moves(service: &mut watch::Receiver<DiscoveryService>, calling: Option<String>) {
+/// Waits until discovery moves. A notification of the same address does not interrupt a pending or open call for
+/// the whole list to that address (`calling`), as a new call would bring the same list.
+async fn wait_for_move(service: &mut watch::Receiver<DiscoveryService>, calling: Option<String>) {
     loop {
         if service.changed().await.is_err() {
             return std::future::pending().await;
@@ -221,31 +229,31 @@
     }
 }
 
-/// The actor's state.
+/// The state of the actor.
 pub struct Discovery {
-    /// Where the version that is held is told.
+    /// The version of the list that is held, for readers outside the actor.
     pub version: Arc<AtomicU64>,
     service: watch::Receiver<DiscoveryService>,
     listing: Listing,
-    /// Until the next call.
+    /// Delay before the next call.
     pause: Duration,
     lists: ListReader,
     core: mpsc::Sender<Input>,
-    link: Option<Framed<Socket, HttpClient>>,
+    connection: Option<Framed<Socket, HttpClient>>,
     /// Version of the list that is held.
-    after: Option<u64>,
-    moving: Option<Instant>,
-    /// When discovery first moved since it last told a list.
+    held: Option<u64>,
+    moved_at: Option<Instant>,
+    /// When discovery first moved since the last list arrived.
     unlisted_since: Option<Instant>,
-    /// The next call comes right behind an answer.
-    renews: bool,
+    /// The next call follows an answer directly.
+    renewing: bool,
     /// Discovery has answered since the process started.
     confirmed: bool,
 }
 
 impl Discovery {
-    /// One that has not called yet, and holds the list of this version. Whatever is sent to `service`, even the same
-    /// again, counts as a move.
+    /// Creates an actor that holds the list of version `held` and has not called yet. Every value sent to `service`
+    /// counts as a move, even an equal one.
     pub fn new(
         service: watch::Receiver<DiscoveryService>,
         listing: Listing,
@@ -253,116 +261,120 @@
         held: Option<u64>,
         core: mpsc::Sender<Input>,
     ) -> Self {
-        let told = Arc::new(AtomicU64::new(held.unwrap_or(0)));
+        let version = Arc::new(AtomicU64::new(held.unwrap_or(0)));
         let pause = Duration::ZERO;
         Discovery {
-            version: told,
+            version,
             service,
             listing,
             pause,
             lists,
             core,
-            link: None,
-            after: held,
-            moving: None,
+            connection: None,
+            held,
+            moved_at: None,
             unlisted_since: None,
-            renews: false,
+            renewing: false,
             confirmed: false,
         }
     }
 
     /// Runs until the core is gone.
-    pub async fn run(mut self, mut asked: mpsc::Receiver<ListRequest>) {
-        // One receiver for the whole run: what it has heard of is no move a second time.
+    pub async fn run(mut self, mut requests: mpsc::Receiver<ListRequest>) {
+        // A single receiver for the whole run, so that a move is not seen twice.
         let mut service = self.service.clone();
-        while self.begin(&mut asked, &mut service).await {
-            if !self.follow(&mut asked, &mut service).await {
+        while self.wait_for_start(&mut requests, &mut service).await {
+            if !self.call_until_failure(&mut requests, &mut service).await {
                 return;
             }
         }
     }
 
-    /// Waits for a reason to call, where not each moment is one; false once the core is gone.
-    async fn begin(
+    /// Waits for a reason to call; where lists are pushed, every moment is one. Returns `false` once the core is
+    /// gone.
+    async fn wait_for_start(
         &mut self,
-        asked: &mut mpsc::Receiver<ListRequest>,
+        requests: &mut mpsc::Receiver<ListRequest>,
         service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
         if self.delivery() != Delivery::Asked {
             return !self.core.is_closed();
         }
         tokio::select! {
-            asks = asked.recv() => return asks.is_some(),
-            Ok(()) = service.changed() => self.moved(),
+            asks = requests.recv() => return asks.is_some(),
+            Ok(()) = service.changed() => self.on_move(),
         }
         true
     }
 
-    /// Calls and hands on what comes, up to a failure that the module is told of; false once the core is gone.
-    async fn follow(
+    /// Calls and passes the answers to the core, until a failure that is reported to the module. Returns `false`
+    /// once the core is gone.
+    async fn call_until_failure(
         &mut self,
-        asked: &mut mpsc::Receiver<ListRequest>,
+        requests: &mut mpsc::Receiver<ListRequest>,
         service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
         loop {
-            // Asked again while it watches: that is one more answer that comes by itself.
-            while asked.try_recv().is_ok() {}
-            let (began, first) = (Instant::now() + self.pause, self.after.is_none());
+            // The module has requested the list again during a watch; the watch's next answer covers the request.
+            while requests.try_recv().is_ok() {}
+            let (began, whole) = (Instant::now() + self.pause, self.held.is_none());
             let confirmed = self.confirmed;
-            let calling = first.then(|| self.service.borrow().address.clone());
-            let told = tokio::select! {
+            let calling = whole.then(|| self.service.borrow().address.clone());
+            let answer = tokio::select! {
                 biased;
-                () = moves(service, calling) => {
-                    self.moved();
+                () = wait_for_move(service, calling) => {
+                    self.on_move();
                     continue;
                 }
-                told = self.call() => told,
+                answer = self.call() => answer,
             };
-            let silent = told.is_none();
-            let (kind, entries) = told.flatten().unwrap_or((ListKind::Failed, Vec::new()));
+            let silent = answer.is_none();
+            let (kind, entries) = answer.flatten().unwrap_or((ListKind::Failed, Vec::new()));
             log::debug!(
-                target: LOG,
+                target: LOG_TARGET,
                 "{kind:?} entries={} generation={} us={}",
                 entries.len(),
-                self.after.unwrap_or(0),
+                self.held.unwrap_or(0),
                 began.elapsed().as_micros()
             );
             if kind == ListKind::Failed {
                 count(Count::list_failures);
-                (self.link, self.renews) = (None, false);
-                if self.calls_again(silent).await {
+                (self.connection, self.renewing) = (None, false);
+                if self.retries(silent).await {
                     continue;
                 }
             }
-            self.moving = None;
-            // A watch, which may be answered with a whole list, too, takes as long as nothing happens.
-            if first && kind == ListKind::Full {
+            self.moved_at = None;
+            // Only a call for the whole list is timed: a watch, even if answered with a whole list, lasts until
+            // something changes.
+            if whole && kind == ListKind::Full {
                 let took = began.elapsed().as_micros() as Time;
                 self.pause = Duration::from_micros(self.listing.listed(self.callers(), took));
             }
-            // A service that does not wait would be asked as fast as it answers; a watch goes on after this pause.
-            let nothing = entries.is_empty() || kind == ListKind::Full;
-            if !first && confirmed && nothing && began.elapsed() < EMPTY_PAUSE {
-                tokio::time::sleep(EMPTY_PAUSE).await;
+            // A service that answers watches immediately would be called as fast as it answers. The watch survives
+            // this pause.
+            let no_change = entries.is_empty() || kind == ListKind::Full;
+            if !whole && confirmed && no_change && began.elapsed() < MIN_WATCH_INTERVAL {
+                tokio::time::sleep(MIN_WATCH_INTERVAL).await;
             }
             if self.core.send(Input::List(kind, entries)).await.is_err() {
                 return false;
             }
             if kind == ListKind::Failed {
-                // Asked again while the call was open: the pause that the module takes now holds for that, too.
-                while asked.try_recv().is_ok() {}
+                // Requests that arrived during the call are covered by the module's delay after the failure.
+                while requests.try_recv().is_ok() {}
                 return true;
             }
         }
     }
 
-    /// After a failed call: whether the next is this actor's own to make, and its time has come.
-    async fn calls_again(&mut self, silent: bool) -> bool {
+    /// Whether this actor repeats a failed call itself. Waits for the delay before it.
+    async fn retries(&mut self, silent: bool) -> bool {
         match self.delivery().failed(silent) {
             Next::Again => return !self.core.is_closed(),
-            Next::Soon => tokio::time::sleep(AGENT_PAUSE).await,
-            Next::Told if self.moving.is_some_and(|since| since.elapsed() < MOVING) => {
-                tokio::time::sleep(MOVING_PAUSE).await;
+            Next::Soon => tokio::time::sleep(AGENT_RETRY_INTERVAL).await,
+            Next::Told if self.moved_at.is_some_and(|since| since.elapsed() < MOVE_RETRY_PERIOD) => {
+                tokio::time::sleep(MOVE_RETRY_INTERVAL).await;
             }
             Next::Told => return false,
         }
@@ -373,34 +385,34 @@
         self.service.borrow().delivery
     }
 
-    /// Proxies that call where this one does.
+    /// The number of proxies that call the same service.
     fn callers(&self) -> u32 {
         let service = self.service.borrow();
         service.delivery.callers(service.proxies)
     }
 
-    /// The old address has nothing more to say: its connection goes, and with it the watch.
-    fn moved(&mut self) {
-        (self.link, self.after, self.renews) = (None, None, false);
+    /// Drops the connection to the former address, and with it the watch.
+    fn on_move(&mut self) {
+        (self.connection, self.held, self.renewing) = (None, None, false);
         let waited = self.unlisted_since.get_or_insert_with(Instant::now).elapsed().as_micros() as Time;
         self.pause = Duration::from_micros(self.listing.moved(self.callers(), waited));
-        self.moving = Some(Instant::now() + self.pause);
+        self.moved_at = Some(Instant::now() + self.pause);
         count(Count::list_moves);
     }
 
-    /// One call: the whole list, or a watch on what comes after the last. None where nothing came in its time, nothing
-    /// within that where what came is no use.
+    /// Makes one call: for the whole list, or a watch for changes since the version held. Returns `None` if the
+    /// call timed out, and `Some(None)` if the answer is unusable.
     async fn call(&mut self) -> Option<Option<(ListKind, Vec<ListedMember>)>> {
-        // A sleep of no length takes up to a millisecond.
+        // Even a sleep of zero length takes up to a millisecond.
         if !self.pause.is_zero() {
             tokio::time::sleep(self.pause).await;
-            (self.pause, self.renews) = (Duration::ZERO, false);
+            (self.pause, self.renewing) = (Duration::ZERO, false);
         }
         let delivery = self.delivery();
-        let (target, call) = match self.after {
+        let (target, call) = match self.held {
             None => ("/api/targets".to_string(), Call::Whole),
             Some(version) => {
-                let call = match (self.confirmed, self.renews) {
+                let call = match (self.confirmed, self.renewing) {
                     (false, _) => Call::Confirm,
                     (true, true) => Call::Renewal,
                     (true, false) => Call::Watch,
@@ -409,43 +421,43 @@
                 (format!("/api/targets?after={version}&wait_ms={wait}"), call)
             }
         };
-        let most = Duration::from_micros(delivery.timeout(call));
-        let got = {
-            let mut answer = pin!(self.get(target));
-            match tokio::time::timeout(most, answer.as_mut()).await {
-                Ok(got) => got,
-                // A process that stood still finds its timer over before it has looked at its sockets.
-                Err(_) => tokio::time::timeout(LAST_LOOK, answer).await.ok()?,
+        let timeout = Duration::from_micros(delivery.timeout(call));
+        let body = {
+            let mut answer = pin!(self.fetch(target));
+            match tokio::time::timeout(timeout, answer.as_mut()).await {
+                Ok(body) => body,
+                // After the process was stopped, a timer can expire before the sockets have been polled.
+                Err(_) => tokio::time::timeout(FINAL_READ_TIMEOUT, answer).await.ok()?,
             }
         };
-        Some(got.and_then(|body| self.take(&body)))
+        Some(body.and_then(|body| self.accept_list(&body)))
     }
 
-    fn take(&mut self, body: &[u8]) -> Option<(ListKind, Vec<ListedMember>)> {
-        let json = Some(body).filter(|body| values(body) <= LIST_VALUES_MAX);
+    fn accept_list(&mut self, body: &[u8]) -> Option<(ListKind, Vec<ListedMember>)> {
+        let json = Some(body).filter(|body| min_value_count(body) <= MAX_LIST_VALUES);
         let json = json.and_then(|body| serde_json::from_slice(body).ok());
-        let read = json.and_then(|json| self.lists.read(&json, self.after));
+        let read = json.and_then(|json| self.lists.read(&json, self.held));
         if read.is_none() {
             count(Count::list_dropped);
-            log::warn!(target: LOG, "a list of {} bytes is cut off, unreadable, too long or old; dropped", body.len());
+            log::warn!(target: LOG_TARGET, "dropping a list of {} bytes: truncated, invalid, too long or too old", body.len());
         }
         let (version, whole, entries) = read?;
-        (self.after, self.renews, self.confirmed) = (Some(version), true, true);
+        (self.held, self.renewing, self.confirmed) = (Some(version), true, true);
         self.unlisted_since = None;
         self.version.store(version, Ordering::Relaxed);
         count(Count::list_answers);
         Some((if whole { ListKind::Full } else { ListKind::Changes }, entries))
     }
 
-    async fn get(&mut self, target: String) -> Option<Bytes> {
-        // A call goes out once: a second one would be a new watch anyway.
+    async fn fetch(&mut self, target: String) -> Option<Bytes> {
+        // The request is sent only once: repeated, it would be a new watch anyway.
         let address = self.service.borrow().address.clone();
-        let mut link = match self.link.take() {
-            Some(link) => link,
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => {
                 let connect = transient::connect(address.as_str());
                 let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()?;
-                Framed::new(Socket::new(stream), HttpClient::new(LIST_BYTES_MAX))
+                Framed::new(Socket::new(stream), HttpClient::new(MAX_LIST_BYTES))
             }
         };
         let mut headers = Headers::default();
@@ -453,13 +465,13 @@
         headers.add("Accept", "application/json");
         let method = "GET".to_string();
         let request = HttpRequest { method, target, headers, body: Bytes::new(), connection_close: false };
-        link.send(request).await.ok()?;
-        let response = link.next().await?.ok()?;
+        connection.send(request).await.ok()?;
+        let response = connection.next().await?.ok()?;
         if response.status != 200 {
             return None;
         }
         if !response.connection_close {
-            self.link = Some(link);
+            self.connection = Some(connection);
         }
         Some(response.body)
     }
--- a/src/net/discovery_tests.rs
+++ b/src/net/discovery_tests.rs
@@ -1,18 +1,19 @@
-//! New configurations in quick succession, and a discovery that is slow.
+//! Configurations that arrive in quick succession while discovery answers slowly: they must not keep the list from
+//! arriving.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// A discovery that takes so long to answer with an empty list; where it listens.
-async fn slow(takes: Duration) -> String {
+/// Starts a discovery service that takes `takes` to answer with an empty list, and returns its address.
+async fn slow_discovery(takes: Duration) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
-                let mut asked = [0; 4096];
-                while stream.read(&mut asked).await.is_ok_and(|n| n > 0) {
+                let mut request = [0; 4096];
+                while stream.read(&mut request).await.is_ok_and(|n| n > 0) {
                     tokio::time::sleep(takes).await;
                     let body = r#"{"generation":7,"reset":true,"instances":[]}"#;
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -24,51 +25,52 @@
     address
 }
 
-/// How long it takes until the core has a list, while a configuration comes each 100 ms; each names the next of these.
+/// Measures the time until the core gets a list while a new configuration arrives every 100 ms. Each configuration
+/// names the next of `services` discovery services.
 fn time_to_list(takes: Duration, services: usize) -> Duration {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let mut addresses = Vec::new();
         for _ in 0..services {
-            addresses.push(slow(takes).await);
+            addresses.push(slow_discovery(takes).await);
         }
-        let of = |n: usize| DiscoveryService {
+        let service_at = |n: usize| DiscoveryService {
             address: addresses[n % services].clone(),
             proxies: 300,
             delivery: Delivery::Asked,
         };
-        let (moves, service) = watch::channel(of(0));
+        let (moves, service) = watch::channel(service_at(0));
         let (core, mut inputs) = mpsc::channel(8);
-        let (follow, asked) = mpsc::channel(1);
+        let (requests, receiver) = mpsc::channel(1);
         let lists = ListReader::new(vec!["a".into()]);
-        // A seed whose first turns come late.
+        // With this seed the first calls are scheduled late.
         let discovery = Discovery::new(service, Listing::new(3), lists, Some(3), core);
-        tokio::spawn(discovery.run(asked));
+        tokio::spawn(discovery.run(receiver));
         let began = Instant::now();
         for n in 1.. {
-            let _ = moves.send(of(n));
+            let _ = moves.send(service_at(n));
             let next = tokio::time::timeout(Duration::from_millis(100), inputs.recv()).await;
-            if matches!(next, Ok(Some(Input::List(ListKind::Full, _)))) || began.elapsed() > LONGEST {
+            if matches!(next, Ok(Some(Input::List(ListKind::Full, _)))) || began.elapsed() > GIVE_UP_AFTER {
                 break;
             }
         }
-        drop(follow);
+        drop(requests);
         began.elapsed()
     })
 }
 
-const LONGEST: Duration = Duration::from_secs(8);
-/// What discovery has told before a configuration came counts as told 4 s after it.
-const TOLD: Duration = Duration::from_secs(4);
+const GIVE_UP_AFTER: Duration = Duration::from_secs(8);
+/// A list that discovery had before a configuration arrived counts as known to the proxy 4 s after it.
+const KNOWN_AFTER: Duration = Duration::from_secs(4);
 
 #[test]
-fn the_same_configuration_again_and_again_does_not_keep_the_list_from_coming() {
+fn repeated_equal_configurations_do_not_delay_the_list() {
     let took = time_to_list(Duration::from_millis(400), 1);
-    assert!(took < TOLD, "{took:?}");
+    assert!(took < KNOWN_AFTER, "{took:?}");
 }
 
 #[test]
-fn configurations_that_move_discovery_to_and_fro_do_not_either() {
+fn configurations_that_move_discovery_back_and_forth_do_not_delay_the_list() {
     let took = time_to_list(Duration::from_millis(20), 2);
-    assert!(took < TOLD, "{took:?}");
+    assert!(took < KNOWN_AFTER, "{took:?}");
 }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -1,4 +1,4 @@
-//! What the ends of all framed connections share.
+//! Reading helpers that all framed connections share.
 
 use super::socket::Socket;
 use bytes::BytesMut;
@@ -8,26 +8,29 @@
 use tokio::io::AsyncRead;
 use tokio_util::codec::{Decoder, Framed};
 
-/// Room for reading and for writing that a connection starts with: hundreds rest at a time.
+/// Initial capacity of a connection's read and write buffers. It is small, as hundreds of connections are idle at a
+/// time.
 pub const INITIAL_BUFFER_SIZE: usize = 4 * 1024;
-/// What comes next on a connection.
+/// The next event when reading a connection.
 #[derive(Debug)]
 pub enum ReadEvent<T> {
-    /// A whole message, an error, or the end.
+    /// A complete message, an error, or the end of the connection.
     Message(Option<T>),
-    /// The first bytes of one that has not all come. Told unless `part` says that this is known.
+    /// The first bytes of a message have arrived, but not all of it. Not reported when `part` says that this is
+    /// known.
     Partial,
 }
 
-/// A codec that may hold the first part of a message itself.
+/// A codec that may buffer the first part of a message itself.
 pub trait BuffersPartial {
-    /// Whether it does.
+    /// Whether the codec holds part of a message.
     fn holds_partial(&self) -> bool {
         false
     }
 }
 
-/// Waits for the next message, or for its first bytes: only what has begun can be asked to end in time.
+/// Waits for the next message, or for its first bytes: a timeout for the rest of a message can start only with
+/// these.
 pub async fn read_next<S: AsyncRead + Unpin, C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<S, C>,
     part: bool,
@@ -42,8 +45,9 @@
     .await
 }
 
-/// What comes next on a connection, or its end alone where nothing is to be read now: nothing more may be sent on for a
-/// client that has gone.
+/// Reads the next event, or only waits for the end of the connection when `reads` is false. Reading is paused while
+/// answers are due, but the end must still be noticed so that nothing more is sent on behalf of a client that has
+/// gone.
 pub async fn read_next_or_close<C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<Socket, C>,
     reads: bool,
@@ -56,14 +60,14 @@
     ReadEvent::Message(None)
 }
 
-/// Lets go of buffers that a large message has left on a connection. Those that take their place have room at once: one
-/// that starts with none is read into a few bytes at a time.
+/// Releases buffers that a large message has left on a connection. They are replaced by buffers with some capacity,
+/// as a buffer without any would be filled by reads of a few bytes at a time.
 pub fn release_large_buffers<S, C>(conn: &mut Framed<S, C>) {
-    const SMALL: usize = 4 * INITIAL_BUFFER_SIZE;
-    if conn.write_buffer().is_empty() && conn.write_buffer().capacity() > SMALL {
+    const MAX_KEPT: usize = 4 * INITIAL_BUFFER_SIZE;
+    if conn.write_buffer().is_empty() && conn.write_buffer().capacity() > MAX_KEPT {
         *conn.write_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_SIZE);
     }
-    if conn.read_buffer().is_empty() && conn.read_buffer().capacity() > SMALL {
+    if conn.read_buffer().is_empty() && conn.read_buffer().capacity() > MAX_KEPT {
         *conn.read_buffer_mut() = BytesMut::with_capacity(INITIAL_BUFFER_SIZE);
     }
 }
