--- a/src/net/connection_pool.rs
+++ b/src/net/connection_pool.rs
@@ -1,88 +1,90 @@
-//! Which of a member's connections carries the next statement, and what must be done before it does. It holds no
-//! clock and no socket: whoever asks says what time it is.
+//! Chooses which of a member's idle connections carries the next statement, and what must be checked before. The
+//! pool has no clock and no socket; callers pass the time.
 //!
-//! What comes right behind an answer and does not belong to it, such as a second copy, must never pass for the answer
-//! to the next statement. No wait rules that out: what was sent may be held up for longer. So every statement on a used
-//! connection stands behind a fence, something that the member answers in its turn and that runs nothing, and all that
-//! comes before the fence's answer is known to be left over. A connection that has rested for a while is looked at
-//! first: it may have ended meanwhile, or show what is left over before anything is written to it.
+//! Data that follows an answer but does not belong to it, such as a duplicate, must never be taken for the answer
+//! to the next statement. No waiting time rules that out, as data can be delayed for longer. So every statement on
+//! a used connection is preceded by a fence: a query that runs nothing and that the member answers in order.
+//! Everything that arrives before the fence's answer is left over from earlier. The socket of a connection that has
+//! been idle for a while is checked first, as the connection may have closed meanwhile, or show leftover data
+//! before anything is written to it.
 
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// So long after its last answer a connection has rested, in us: what a member sends right behind an answer has come
-/// by then, as a rule.
-pub const REST: Time = 3_000;
+/// Minimum idle time, in us, after which checking a connection's socket is worthwhile: what a member sends right
+/// after an answer has usually arrived by then.
+pub const MIN_IDLE_FOR_CHECK: Time = 3_000;
 
-/// What is to be done with a connection before a statement is written to it.
+/// What to do with a connection before a statement is written to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Before {
-    /// It has rested: look at it, and take another if it does not stand.
-    Look,
-    /// It was in use a moment ago: a look would show nothing yet.
-    Nothing,
+pub enum SocketCheck {
+    /// Idle for long enough: check the socket, and use another connection if it is closed or has data.
+    Needed,
+    /// In use a moment ago: a check would not show anything yet.
+    Skip,
 }
 
 struct Idle<L> {
-    link: L,
+    connection: L,
     since: Time,
 }
 
-/// Connections at rest, in the order in which they came to rest. As many as there are permits for.
+/// Idle connections, in the order in which they became idle. The descriptor budget limits their number.
 pub struct Pool<L> {
     idle: VecDeque<Idle<L>>,
-    /// Idle for so long, in us, a connection is closed rather than used.
-    most: Time,
+    /// A connection that has been idle for this long, in us, is closed and not used any more.
+    max_idle: Time,
 }
 
 impl<L> Pool<L> {
-    /// An empty one; `most` is how long a connection may rest, in us.
-    pub fn new(most: Time) -> Self {
-        Pool { idle: VecDeque::new(), most }
+    /// Creates an empty pool whose connections may be idle for up to `max_idle` us.
+    pub fn new(max_idle: Time) -> Self {
+        Pool { idle: VecDeque::new(), max_idle }
     }
 
-    /// From now on a connection may rest for so long, in us.
-    pub fn keep(&mut self, most: Time) {
-        self.most = most;
+    /// Changes how long a connection may be idle, in us.
+    pub fn set_max_idle(&mut self, max_idle: Time) {
+        self.max_idle = max_idle;
     }
 
-    /// Takes in a connection whose answer has come to its end now.
-    pub fn rest(&mut self, link: L, now: Time) {
-        self.idle.push_back(Idle { link, since: now });
+    /// Adds a connection whose answer was completed at `now`.
+    pub fn put(&mut self, connection: L, now: Time) {
+        self.idle.push_back(Idle { connection, since: now });
     }
 
-    /// The connection for the next statement, with what has to be done before it: of those that have rested the one
-    /// used last, so that the others can go; else the one that has rested for longest.
-    pub fn take(&mut self, now: Time) -> Option<(L, Before)> {
-        let rested = self.idle.iter().rposition(|i| now >= i.since + REST);
-        let before = if rested.is_some() { Before::Look } else { Before::Nothing };
-        let Idle { link, .. } = self.idle.remove(rested.unwrap_or(0))?;
-        Some((link, before))
+    /// Takes the connection for the next statement, with the check that it needs. Of the connections that have been
+    /// idle for [`MIN_IDLE_FOR_CHECK`], the one used last is taken, so that the others can expire; if there is
+    /// none, the one that has been idle longest.
+    pub fn take(&mut self, now: Time) -> Option<(L, SocketCheck)> {
+        let checkable = self.idle.iter().rposition(|i| now >= i.since + MIN_IDLE_FOR_CHECK);
+        let check = if checkable.is_some() { SocketCheck::Needed } else { SocketCheck::Skip };
+        let Idle { connection, .. } = self.idle.remove(checkable.unwrap_or(0))?;
+        Some((connection, check))
     }
 
-    /// Removes what has rested for too long, and says how many that were.
-    pub fn reap(&mut self, now: Time) -> usize {
-        let old = self.idle.iter().take_while(|i| now >= i.since + self.most).count();
-        self.idle.drain(..old);
-        old
+    /// Removes the connections that have been idle for too long and returns their number.
+    pub fn remove_expired(&mut self, now: Time) -> usize {
+        let expired = self.idle.iter().take_while(|i| now >= i.since + self.max_idle).count();
+        self.idle.drain(..expired);
+        expired
     }
 
-    /// When the next will have rested for too long.
-    pub fn due(&self) -> Option<Time> {
-        self.idle.front().map(|i| i.since + self.most)
+    /// When the next connection will have been idle for too long.
+    pub fn next_expiry(&self) -> Option<Time> {
+        self.idle.front().map(|i| i.since + self.max_idle)
     }
 
-    /// Removes the one that has rested for longest.
+    /// Removes the connection that has been idle longest.
     pub fn drop_oldest(&mut self) -> bool {
         self.idle.pop_front().is_some()
     }
 
-    /// Removes all.
+    /// Removes all connections.
     pub fn clear(&mut self) {
         self.idle.clear();
     }
 
-    /// Whether none rests.
+    /// Whether there is no idle connection.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
@@ -93,45 +95,45 @@
     use super::*;
 
     #[test]
-    fn a_rested_connection_is_looked_at_and_the_one_used_last_goes_first() {
-        let mut pool = Pool::new(100 * REST);
-        pool.rest('a', 0);
-        pool.rest('b', 10);
-        pool.rest('c', REST + 5);
-        assert_eq!(pool.take(REST + 10), Some(('b', Before::Look)));
-        assert_eq!(pool.take(REST + 10), Some(('a', Before::Look)));
-        // Only one is left, and it has not rested: it is not waited for.
-        assert_eq!(pool.take(REST + 10), Some(('c', Before::Nothing)));
-        assert_eq!(pool.take(REST + 10), None);
+    fn the_idle_connection_used_last_is_taken_first_and_checked() {
+        let mut pool = Pool::new(100 * MIN_IDLE_FOR_CHECK);
+        pool.put('a', 0);
+        pool.put('b', 10);
+        pool.put('c', MIN_IDLE_FOR_CHECK + 5);
+        assert_eq!(pool.take(MIN_IDLE_FOR_CHECK + 10), Some(('b', SocketCheck::Needed)));
+        assert_eq!(pool.take(MIN_IDLE_FOR_CHECK + 10), Some(('a', SocketCheck::Needed)));
+        // The only one left was used a moment ago. It is taken without waiting.
+        assert_eq!(pool.take(MIN_IDLE_FOR_CHECK + 10), Some(('c', SocketCheck::Skip)));
+        assert_eq!(pool.take(MIN_IDLE_FOR_CHECK + 10), None);
     }
 
     #[test]
-    fn the_moment_before_it_has_rested_a_look_would_be_in_vain() {
-        let mut pool = Pool::new(100 * REST);
-        pool.rest('a', 50);
-        assert_eq!(pool.take(50 + REST - 1), Some(('a', Before::Nothing)));
-        pool.rest('a', 50);
-        assert_eq!(pool.take(50 + REST), Some(('a', Before::Look)));
+    fn a_connection_is_checked_only_after_the_minimum_idle_time() {
+        let mut pool = Pool::new(100 * MIN_IDLE_FOR_CHECK);
+        pool.put('a', 50);
+        assert_eq!(pool.take(50 + MIN_IDLE_FOR_CHECK - 1), Some(('a', SocketCheck::Skip)));
+        pool.put('a', 50);
+        assert_eq!(pool.take(50 + MIN_IDLE_FOR_CHECK), Some(('a', SocketCheck::Needed)));
     }
 
     #[test]
-    fn of_those_that_have_not_rested_the_longest_at_rest_is_taken() {
-        let mut pool = Pool::new(100 * REST);
-        pool.rest('a', 100);
-        pool.rest('b', 200);
-        assert_eq!(pool.take(300), Some(('a', Before::Nothing)));
-        assert_eq!(pool.take(300), Some(('b', Before::Nothing)));
+    fn of_connections_used_a_moment_ago_the_longest_idle_is_taken() {
+        let mut pool = Pool::new(100 * MIN_IDLE_FOR_CHECK);
+        pool.put('a', 100);
+        pool.put('b', 200);
+        assert_eq!(pool.take(300), Some(('a', SocketCheck::Skip)));
+        assert_eq!(pool.take(300), Some(('b', SocketCheck::Skip)));
     }
 
     #[test]
-    fn what_has_rested_for_too_long_goes_and_the_rest_stays() {
+    fn expired_connections_are_removed_and_the_others_stay() {
         let mut pool = Pool::new(1_000);
-        pool.rest('a', 0);
-        pool.rest('b', 400);
-        assert_eq!(pool.due(), Some(1_000));
-        assert_eq!((pool.reap(999), pool.reap(1_000)), (0, 1));
-        assert_eq!(pool.due(), Some(1_400));
+        pool.put('a', 0);
+        pool.put('b', 400);
+        assert_eq!(pool.next_expiry(), Some(1_000));
+        assert_eq!((pool.remove_expired(999), pool.remove_expired(1_000)), (0, 1));
+        assert_eq!(pool.next_expiry(), Some(1_400));
         assert!(pool.drop_oldest() && !pool.drop_oldest() && pool.is_empty());
-        assert_eq!(pool.due(), None);
+        assert_eq!(pool.next_expiry(), None);
     }
 }
--- a/src/net/member_actors.rs
+++ b/src/net/member_actors.rs
@@ -1,6 +1,7 @@
-//! All peers and discovery, as the core sees them. Nothing here waits: mailboxes are filled with `try_send`, and a
-//! full one is answered for at once as an attempt that was never sent. What must not be lost stands in the state that a
-//! peer shares with the fleet (`net::member_state`); orders only hasten it.
+//! The actors of all members, and discovery, as the core sees them. Nothing here waits: mailboxes are filled with
+//! `try_send`, and an attempt that finds a full mailbox is reported at once as never sent. State that must not be
+//! lost is shared between this module and an actor (`net::member_state`); commands only make the actor look at it
+//! sooner.
 
 use super::budget::Budget;
 use super::discovery;
@@ -16,45 +17,45 @@
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
-/// Orders that may wait at a peer.
-const MAILBOX: usize = 1024;
-/// How long a member that has gone keeps its actor, in us: its last attempts may still be cancelled. Longer than any
-/// of them lasts; members are replaced all the time.
-const KEPT: Time = 5_000_000;
+/// Capacity of an actor's mailbox.
+const MAILBOX_SIZE: usize = 1024;
+/// How long the actor of a departed member is kept, in us, as its last attempts may still be cancelled. This is
+/// longer than any attempt lasts. Actors have to be removed, as members are replaced all the time.
+const DEPARTED_RETENTION: Time = 5_000_000;
 
 struct ActorHandle {
-    orders: mpsc::Sender<MemberCommand>,
+    commands: mpsc::Sender<MemberCommand>,
     state: SharedMemberState,
-    /// Announced as leaving.
-    leaves: bool,
-    gone: Option<Time>,
+    /// The member was announced as leaving.
+    leaving: bool,
+    departed: Option<Time>,
 }
 
 impl ActorHandle {
-    /// Hastens what stands in the state already; false where the mailbox is full.
-    fn order(&self, order: MemberCommand) -> bool {
-        let taken = self.orders.try_send(order).is_ok();
-        if !taken {
+    /// Sends a command, so that the actor looks at the shared state sooner. Returns `false` if the mailbox is full.
+    fn send(&self, command: MemberCommand) -> bool {
+        let sent = self.commands.try_send(command).is_ok();
+        if !sent {
             count(Count::orders_dropped);
         }
-        taken
+        sent
     }
 
-    /// Nothing new may go to the member, nor anything of which nothing has been written yet.
+    /// Allows no new attempt, and withdraws those of which nothing has been written yet.
     fn withdraw_all(&self) {
         self.state.lock().gate.withdraw_all();
-        self.order(MemberCommand::Withdrawn);
+        self.send(MemberCommand::Withdrawn);
     }
 
     fn close_idle(&self) {
         self.state.lock().idle_closes += 1;
-        self.order(MemberCommand::Changed);
+        self.send(MemberCommand::Changed);
     }
 }
 
-/// The peers.
+/// The actors of all members.
 pub struct MemberActors<W> {
-    peers: HashMap<MemberId, ActorHandle>,
+    actors: HashMap<MemberId, ActorHandle>,
     core: mpsc::Sender<Input>,
     discovery: mpsc::Sender<discovery::ListRequest>,
     budget: Budget,
@@ -64,7 +65,7 @@
 }
 
 impl<W: MemberProtocol> MemberActors<W> {
-    /// No peers yet.
+    /// Creates it without any member.
     pub fn new(
         core: mpsc::Sender<Input>,
         discovery: mpsc::Sender<discovery::ListRequest>,
@@ -73,59 +74,59 @@
         times: SocketTimes,
         wire: W,
     ) -> Self {
-        MemberActors { peers: HashMap::new(), core, discovery, budget, clock, times, wire }
+        MemberActors { actors: HashMap::new(), core, discovery, budget, clock, times, wire }
     }
 
-    fn order(&self, member: MemberId, order: MemberCommand) -> bool {
-        self.peers.get(&member).is_some_and(|p| p.order(order))
+    fn send(&self, member: MemberId, command: MemberCommand) -> bool {
+        self.actors.get(&member).is_some_and(|a| a.send(command))
     }
 
-    fn gone(&mut self, member: MemberId) {
+    fn remove(&mut self, member: MemberId) {
         let now = self.clock.now();
-        if let Some(p) = self.peers.get_mut(&member) {
-            p.gone.get_or_insert(now);
-            p.withdraw_all();
-            p.close_idle();
+        if let Some(actor) = self.actors.get_mut(&member) {
+            actor.departed.get_or_insert(now);
+            actor.withdraw_all();
+            actor.close_idle();
         }
     }
 }
 
 impl<W: MemberProtocol> Members for MemberActors<W> {
     fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool {
-        let Some(peer) = self.peers.get(&member) else { return false };
+        let Some(actor) = self.actors.get(&member) else { return false };
         let key = attempt.key();
-        if peer.leaves {
+        if actor.leaving {
             report_violation(attempt.id, Some(member), Violation::SentToLeaving);
             return false;
         }
-        peer.state.lock().gate.register(key);
-        let taken = peer.order(MemberCommand::Attempt(attempt));
-        if !taken {
-            peer.state.lock().gate.end(key);
+        actor.state.lock().gate.register(key);
+        let sent = actor.send(MemberCommand::Attempt(attempt));
+        if !sent {
+            actor.state.lock().gate.end(key);
         }
-        taken
+        sent
     }
 
     fn cancel(&mut self, member: MemberId, id: RequestId, number: u32) {
-        if let Some(peer) = self.peers.get(&member) {
-            peer.state.lock().gate.withdraw((id, number));
-            peer.order(MemberCommand::Cancel(id, number));
+        if let Some(actor) = self.actors.get(&member) {
+            actor.state.lock().gate.withdraw((id, number));
+            actor.send(MemberCommand::Cancel(id, number));
         }
     }
 
     fn withdraw(&mut self, member: MemberId, id: RequestId, number: u32) {
-        let Some(peer) = self.peers.get(&member) else { return };
-        if peer.state.lock().gate.withdraw((id, number)) {
-            peer.order(MemberCommand::Cancel(id, number));
+        let Some(actor) = self.actors.get(&member) else { return };
+        if actor.state.lock().gate.withdraw((id, number)) {
+            actor.send(MemberCommand::Cancel(id, number));
         }
     }
 
     fn probe(&mut self, member: MemberId) -> bool {
-        self.order(member, MemberCommand::Probe)
+        self.send(member, MemberCommand::Probe)
     }
 
     fn close_idle(&mut self, member: MemberId) {
-        self.peers.get(&member).into_iter().for_each(ActorHandle::close_idle);
+        self.actors.get(&member).into_iter().for_each(ActorHandle::close_idle);
     }
 
     fn update_list(&mut self, kind: ListKind, entries: &[ListedMember]) {
@@ -134,50 +135,50 @@
         }
         for ListedMember { member, address, .. } in entries {
             if member.service_state == ServiceState::Removed {
-                self.gone(member.id);
+                self.remove(member.id);
                 continue;
             }
             let (core, budget, wire) = (self.core.clone(), self.budget.clone(), self.wire.clone());
             let (clock, times) = (self.clock, self.times);
-            let peer = self.peers.entry(member.id).or_insert_with(|| {
-                let (orders, mailbox) = mpsc::channel(MAILBOX);
+            let actor = self.actors.entry(member.id).or_insert_with(|| {
+                let (commands, mailbox) = mpsc::channel(MAILBOX_SIZE);
                 let state = SharedMemberState::new(*address, times);
-                let actor =
+                let task =
                     member_actor::MemberActor::new(member.id, state.clone(), core, budget, clock, wire);
-                tokio::spawn(actor.run(mailbox));
-                ActorHandle { orders, state, leaves: false, gone: None }
+                tokio::spawn(task.run(mailbox));
+                ActorHandle { commands, state, leaving: false, departed: None }
             });
-            peer.gone = None;
-            if peer.state.moves_to(*address) {
-                peer.order(MemberCommand::Withdrawn);
+            actor.departed = None;
+            if actor.state.set_address(*address) {
+                actor.send(MemberCommand::Withdrawn);
             }
-            peer.leaves = member.service_state == ServiceState::Draining;
-            if peer.leaves {
-                peer.withdraw_all();
+            actor.leaving = member.service_state == ServiceState::Draining;
+            if actor.leaving {
+                actor.withdraw_all();
             }
         }
         if matches!(kind, ListKind::Disk | ListKind::Full) {
-            let left: Vec<MemberId> = self.peers.keys().copied().collect();
-            for id in left {
+            let ids: Vec<MemberId> = self.actors.keys().copied().collect();
+            for id in ids {
                 if !entries.iter().any(|e| e.member.id == id) {
-                    self.gone(id);
+                    self.remove(id);
                 }
             }
         }
         let now = self.clock.now();
-        self.peers.retain(|_, p| p.gone.is_none_or(|t| now < t + KEPT));
+        self.actors.retain(|_, actor| actor.departed.is_none_or(|t| now < t + DEPARTED_RETENTION));
     }
 
     fn set_socket_times(&mut self, times: SocketTimes) {
         self.times = times;
-        for peer in self.peers.values() {
-            peer.state.lock().times = times;
-            peer.order(MemberCommand::Changed);
+        for actor in self.actors.values() {
+            actor.state.lock().times = times;
+            actor.send(MemberCommand::Changed);
         }
     }
 
     fn subscribe(&mut self) -> bool {
-        // One that waits already will do.
+        // If a request is pending already, one is enough.
         !matches!(self.discovery.try_send(discovery::ListRequest), Err(mpsc::error::TrySendError::Closed(_)))
     }
 }
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -1,4 +1,5 @@
-//! What becomes of attempts that wait at a member whose mailbox is full.
+//! Attempts that wait in a full mailbox of a member's actor while the member leaves or moves, or while attempts are
+//! withdrawn: none of them may be sent.
 
 use super::*;
 use crate::core::flow::ChunkSender;
@@ -10,18 +11,18 @@
 use std::time::Duration;
 use tokio::sync::{watch, OwnedSemaphorePermit};
 
-/// A wire whose connections come about once they may, and which counts the statements that are written.
+/// A protocol whose connections open only when `opens` is set, and which counts the statements that are written.
 #[derive(Clone)]
-struct Held {
+struct BlockedProtocol {
     opens: watch::Receiver<bool>,
     written: Arc<AtomicUsize>,
-    /// Where the last connection led.
-    led: Arc<std::sync::Mutex<Vec<std::net::SocketAddr>>>,
+    /// The addresses to which connections were opened.
+    addresses: Arc<std::sync::Mutex<Vec<std::net::SocketAddr>>>,
 }
 
-struct Connection(Held);
+struct Connection(BlockedProtocol);
 
-impl MemberProtocol for Held {
+impl MemberProtocol for BlockedProtocol {
     type Connection = Connection;
 
     async fn open(
@@ -29,7 +30,7 @@
         address: std::net::SocketAddr,
         _permit: OwnedSemaphorePermit,
     ) -> Result<Connection, Outcome> {
-        self.led.lock().expect("no panic").push(address);
+        self.addresses.lock().expect("no panic").push(address);
         let _ = self.opens.clone().wait_for(|opens| *opens).await;
         Ok(Connection(self.clone()))
     }
@@ -64,8 +65,8 @@
 }
 
 const MEMBER: MemberId = MemberId(1);
-/// Attempts that find room, so that the next order does not.
-const ATTEMPTS: usize = MAILBOX;
+/// Attempts that fit into the mailbox, so that the next command does not.
+const ATTEMPTS: usize = MAILBOX_SIZE;
 
 fn listed(service_state: ServiceState, port: u16) -> ListedMember {
     let member = Member { id: MEMBER, zone: 0, group: 1, service_state, primary: true, up_since: None };
@@ -88,62 +89,64 @@
     }
 }
 
-/// Fills the member's mailbox in one go, does something to the member in the same go, and lets the connections come about:
-/// the outcomes of all attempts, how many statements were written, and where connections led.
-fn play(then: impl FnOnce(&mut MemberActors<Held>)) -> (Vec<Outcome>, usize, Vec<std::net::SocketAddr>) {
+/// Fills the member's mailbox and runs `then` before the actor gets to run, then lets connections open. Returns the
+/// outcomes of all attempts, the number of statements written, and the addresses to which connections were opened.
+fn run_with_full_mailbox(
+    then: impl FnOnce(&mut MemberActors<BlockedProtocol>),
+) -> (Vec<Outcome>, usize, Vec<std::net::SocketAddr>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (open, opens) = watch::channel(false);
-        let wire = Held { opens, written: Arc::default(), led: Arc::default() };
+        let protocol = BlockedProtocol { opens, written: Arc::default(), addresses: Arc::default() };
         let (core, mut inputs) = mpsc::channel(8);
         let (clock, times) =
             (Clock::start(), SocketTimes { connect_timeout: 30_000_000, keepalive: 30_000_000 });
         let budget = Budget::new(16_384, 1 << 28);
-        let mut fleet = MemberActors::new(core, mpsc::channel(1).0, budget, clock, times, wire.clone());
-        fleet.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
-        let sent = (0..ATTEMPTS).filter(|n| fleet.start_attempt(MEMBER, attempt(*n, &clock))).count();
-        assert!(!fleet.start_attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
-        then(&mut fleet);
+        let mut actors = MemberActors::new(core, mpsc::channel(1).0, budget, clock, times, protocol.clone());
+        actors.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
+        let accepted = (0..ATTEMPTS).filter(|n| actors.start_attempt(MEMBER, attempt(*n, &clock))).count();
+        assert!(!actors.start_attempt(MEMBER, attempt(ATTEMPTS, &clock)), "the mailbox is full");
+        then(&mut actors);
         let mut outcomes = Vec::new();
         let mut opened = false;
-        while outcomes.len() < sent {
+        while outcomes.len() < accepted {
             let next = tokio::time::timeout(Duration::from_millis(200), inputs.recv()).await;
             match next {
                 Ok(Some(Input::Ended(_, _, ending))) => outcomes.push(ending.outcome),
                 Ok(other) => panic!("{other:?}"),
                 Err(_) if !opened => opened = open.send(true).is_ok(),
-                Err(_) => panic!("{} of {sent} attempts have ended", outcomes.len()),
+                Err(_) => panic!("{} of {accepted} attempts have ended", outcomes.len()),
             }
         }
-        let led = wire.led.lock().expect("no panic").clone();
-        (outcomes, wire.written.load(Ordering::Relaxed), led)
+        let addresses = protocol.addresses.lock().expect("no panic").clone();
+        (outcomes, protocol.written.load(Ordering::Relaxed), addresses)
     })
 }
 
 #[test]
-fn a_member_that_leaves_while_its_mailbox_is_full_gets_nothing_new() {
+fn a_member_that_leaves_while_its_mailbox_is_full_gets_no_new_statement() {
     for service_state in [ServiceState::Draining, ServiceState::Removed] {
         let (outcomes, written, _) =
-            play(|fleet| fleet.update_list(ListKind::Changes, &[listed(service_state, 9)]));
+            run_with_full_mailbox(|actors| actors.update_list(ListKind::Changes, &[listed(service_state, 9)]));
         assert_eq!(written, 0, "{service_state:?}");
         assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{service_state:?}");
     }
 }
 
 #[test]
-fn a_member_that_moves_while_its_mailbox_is_full_gets_nothing_at_its_former_address() {
-    let (outcomes, written, led) = play(|fleet| {
-        fleet.update_list(ListKind::Changes, &[listed(ServiceState::Active, 10)]);
+fn a_member_that_moves_while_its_mailbox_is_full_gets_no_statement_at_its_former_address() {
+    let (outcomes, written, addresses) = run_with_full_mailbox(|actors| {
+        actors.update_list(ListKind::Changes, &[listed(ServiceState::Active, 10)]);
     });
-    assert!(led.iter().all(|address| address.port() == 10), "{led:?}");
+    assert!(addresses.iter().all(|address| address.port() == 10), "{addresses:?}");
     assert_eq!(written, 0);
     assert!(outcomes.iter().all(|o| *o == Outcome::Superseded));
 }
 
 #[test]
-fn what_is_withdrawn_while_the_mailbox_is_full_is_never_sent() {
-    let (outcomes, written, _) = play(|fleet| {
-        (0..ATTEMPTS / 2).for_each(|n| fleet.withdraw(MEMBER, RequestId(n as u64), 0));
+fn attempts_withdrawn_while_the_mailbox_is_full_are_never_sent() {
+    let (outcomes, written, _) = run_with_full_mailbox(|actors| {
+        (0..ATTEMPTS / 2).for_each(|n| actors.withdraw(MEMBER, RequestId(n as u64), 0));
     });
     let ended = |outcome| outcomes.iter().filter(|o| **o == outcome).count();
     assert_eq!(
@@ -153,17 +156,22 @@
 }
 
 #[test]
-fn a_decision_to_send_to_a_member_that_leaves_is_not_carried_out() {
+fn an_attempt_for_a_leaving_member_is_rejected() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let wire = Held { opens: watch::channel(true).1, written: Arc::default(), led: Arc::default() };
+        let protocol = BlockedProtocol {
+            opens: watch::channel(true).1,
+            written: Arc::default(),
+            addresses: Arc::default(),
+        };
         let (clock, times) =
             (Clock::start(), SocketTimes { connect_timeout: 1_000_000, keepalive: 1_000_000 });
         let budget = Budget::new(1_024, 1 << 28);
-        let mut fleet = MemberActors::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, wire);
-        fleet.update_list(ListKind::Full, &[listed(ServiceState::Draining, 9)]);
-        assert!(!fleet.start_attempt(MEMBER, attempt(1, &clock)));
-        fleet.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
-        assert!(fleet.start_attempt(MEMBER, attempt(2, &clock)));
+        let mut actors =
+            MemberActors::new(mpsc::channel(8).0, mpsc::channel(1).0, budget, clock, times, protocol);
+        actors.update_list(ListKind::Full, &[listed(ServiceState::Draining, 9)]);
+        assert!(!actors.start_attempt(MEMBER, attempt(1, &clock)));
+        actors.update_list(ListKind::Full, &[listed(ServiceState::Active, 9)]);
+        assert!(actors.start_attempt(MEMBER, attempt(2, &clock)));
     });
 }
--- a/src/net/member_protocol.rs
+++ b/src/net/member_protocol.rs
@@ -1,4 +1,5 @@
-//! What the peers need of a member's wire, without naming one: open a connection, run a statement, ask for a report.
+//! What member actors need of a protocol to members: opening a connection, running a statement, asking for a
+//! report.
 
 use crate::core::flow::ChunkSender;
 use crate::core::{Value, Work};
@@ -7,24 +8,25 @@
 use std::net::SocketAddr;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// What came of one statement.
+/// The result of one statement.
 #[derive(Debug)]
 pub struct Exchange {
-    /// How it ended.
+    /// How the statement ended.
     pub outcome: Outcome,
-    /// Value, where served.
+    /// The value, if one was served.
     pub value: Option<Value>,
-    /// What the answer says of the member.
+    /// What the answer says about the member.
     pub note: Option<Note>,
     /// The member's report on itself.
     pub report: Option<Report>,
-    /// The connection may carry another.
+    /// Whether the connection can carry another statement.
     pub reusable: bool,
-    /// Of the value only the start has come; the rest is to be passed on here, by [`MemberConnection::forward_rest`].
+    /// Set when only the start of the value has arrived; the rest is to be forwarded to it with
+    /// [`MemberConnection::forward_rest`].
     pub value_rest: Option<ChunkSender>,
 }
 
-/// One that never got as far as being written.
+/// A statement that was never written.
 impl Default for Exchange {
     fn default() -> Self {
         Exchange {
@@ -38,67 +40,67 @@
     }
 }
 
-/// What is known of the bytes that a connection will bring next.
+/// Whether data of an earlier answer may still arrive on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StaleInput {
-    /// None can be left of an earlier answer: the connection is new, or a fence was answered on it just now.
+    /// No: the connection is new, or a fence was answered on it just now.
     Excluded,
-    /// Some might be: the wire itself has to tell them from the answer.
+    /// Yes: the protocol has to tell such data from the answer.
     Possible,
 }
 
-/// What stands behind an answer by which a statement never ran.
+/// What follows an answer that says that a statement never ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Confirmation {
-    /// Nothing, and the connection may carry another statement.
+    /// Nothing, and the connection can carry another statement.
     Reusable,
-    /// Nothing but copies of it, and the connection may carry no other statement, or has ended.
+    /// Nothing but copies of the answer, and the connection has closed or cannot carry another statement.
     NotReusable,
-    /// Something: the statement may have run.
+    /// Something else, so that the statement may have run.
     Contradicted,
 }
 
-/// A connection to a member on which statements can be run, one at a time.
+/// A connection to a member that runs statements, one at a time.
 pub trait MemberConnection: Send + 'static {
-    /// Nothing has come on it since its last answer, not even an end. The socket itself is asked: what the runtime
-    /// remembers of it is as old as its last look.
+    /// Whether nothing has arrived since the last answer, neither data nor the end of the connection. This asks the
+    /// socket, as the runtime's view of it is only as recent as its last poll.
     fn is_quiet(&self) -> bool;
 
-    /// Proves that nothing of an earlier answer is left on it, at the price of one way there and back; false where
-    /// something is, or the connection is of no use any more. Runs nothing.
+    /// Proves, in one round trip, that no data of an earlier answer is left. Returns `false` if some is, or if the
+    /// connection cannot be used any more. Runs nothing.
     fn fence(&mut self) -> impl Future<Output = bool> + Send;
 
-    /// Runs one statement, for whose answer the proxy waits so many ms. `written` is set once its last byte may have
-    /// reached the member's machine.
+    /// Runs one statement; the proxy waits `wait` ms for its answer. `written` is set as soon as the last byte may
+    /// have reached the member's machine.
     fn run(
         &mut self,
         work: &Work,
         wait: Time,
-        guard: StaleInput,
+        stale: StaleInput,
         written: &mut bool,
     ) -> impl Future<Output = Exchange> + Send;
 
-    /// Proves that a whole answer is the last word on its statement, at the price of one way there and back. Runs nothing.
+    /// Proves, in one round trip, that a complete answer is the only one to its statement. Runs nothing.
     fn confirm(&mut self) -> impl Future<Output = Confirmation> + Send;
 
-    /// Passes on the rest of a value that has begun, no faster than it is taken; whether the connection may carry
+    /// Forwards the rest of a value, no faster than the receiver takes it. Returns whether the connection can carry
     /// another statement.
     fn forward_rest(&mut self, to: ChunkSender) -> impl Future<Output = bool> + Send;
 
-    /// Asks for the member's report, and tells whether the connection may carry another query; none if the member
-    /// does not answer. An answer that cannot be read shows no more than that the member is there.
-    fn probe(&mut self, guard: StaleInput) -> impl Future<Output = Option<(Report, bool)>> + Send;
+    /// Asks for the member's report; also returns whether the connection can carry another query. Returns `None` if
+    /// the member does not answer. An unreadable answer shows only that the member is alive.
+    fn probe(&mut self, stale: StaleInput) -> impl Future<Output = Option<(Report, bool)>> + Send;
 }
 
-/// How connections to members come about.
+/// Opens connections to members.
 pub trait MemberProtocol: Clone + Send + Sync + 'static {
-    /// What they are.
+    /// The type of connections.
     type Connection: MemberConnection;
 
-    /// Opens one and waits for its welcome.
+    /// Opens a connection and waits for the member's welcome.
     ///
     /// # Errors
-    /// When there is none: `Refused`, or `Saturated` where the member says that it holds too many.
+    /// Returns `Refused` if that fails, or `Saturated` if the member reports that it has too many connections.
     fn open(
         &self,
         address: SocketAddr,
--- a/src/net/member_state.rs
+++ b/src/net/member_state.rs
@@ -1,5 +1,6 @@
-//! What a member's actor must know at once and must not miss: set by the fleet, read by the actor and by the tasks that run
-//! its attempts. Orders in the actor's mailbox only hasten what stands here; one that finds no room loses nothing.
+//! State that the core must pass to a member's actor without loss or delay: set by `net::member_actors`, read by
+//! the actor and by the tasks that run its attempts. Commands in the actor's mailbox only make the actor look at it
+//! sooner, so a command that is dropped because the mailbox is full loses nothing.
 
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
@@ -9,39 +10,39 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The state itself.
+/// The state of a member.
 #[derive(Debug)]
 pub struct MemberState {
-    /// Which attempts may begin.
+    /// Decides which attempts may begin.
     pub gate: BeginGate,
-    /// Where the member listens.
+    /// The address at which the member listens.
     pub address: SocketAddr,
-    /// How often it has moved: a connection from before leads to whoever has its address now.
+    /// How often the member has moved. Connections from before a move lead to whoever has that address now.
     pub moves: u32,
-    /// How often its idle connections were to be closed.
+    /// How often closing the idle connections was requested.
     pub idle_closes: u32,
-    /// Times for its connections.
+    /// Timeouts of the member's connections.
     pub times: SocketTimes,
 }
 
-/// The same for all that share it. No lock is held while anything is waited for.
+/// The state as shared between its users. The lock is never held while waiting.
 #[derive(Debug, Clone)]
 pub struct SharedMemberState(Arc<Mutex<MemberState>>);
 
 impl SharedMemberState {
-    /// A member that listens there, and has no attempts.
+    /// The state of a member that listens at `address` and has no attempts.
     pub fn new(address: SocketAddr, times: SocketTimes) -> Self {
         let state = MemberState { gate: BeginGate::default(), address, moves: 0, idle_closes: 0, times };
         SharedMemberState(Arc::new(Mutex::new(state)))
     }
 
-    /// Looks at it, or changes it.
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, MemberState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The member is to be found there from now on. Nothing that waits may begin at another.
-    pub fn moves_to(&self, address: SocketAddr) -> bool {
+    /// Sets the member's address and returns whether it changed. After a move, no pending attempt may begin.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         let mut state = self.lock();
         let moved = state.address != address;
         if moved {
@@ -51,11 +52,11 @@
         moved
     }
 
-    /// Whether an attempt begins now; it is told right before its first byte. However long it took to come by the
-    /// connection, and whatever stood still meanwhile.
+    /// Marks an attempt as begun if it still may begin. Called right before its first byte is written, so that
+    /// neither the time it took to get a connection nor a stall of the process leads to an outdated attempt.
     ///
     /// # Errors
-    /// Why it must not.
+    /// The reason why the attempt must not begin.
     pub fn begin(&self, attempt: &Attempt, clock: &Clock) -> Result<(), WithholdReason> {
         let now = clock.now();
         let moment = BeginContext {
@@ -68,7 +69,7 @@
         };
         let begun = self.lock().gate.begin(attempt.key(), moment);
         if let Err(why) = begun {
-            count(withheld(why));
+            count(withheld_counter(why));
             log::debug!(
                 target: crate::core::REQUEST_LOG_TARGET, id = attempt.id.0, attempt = attempt.number, why:? = why;
                 "withheld"
@@ -77,13 +78,13 @@
         begun
     }
 
-    /// Whether the attempt is to be made at all any more.
-    pub fn waits(&self, key: AttemptKey) -> bool {
+    /// Whether the attempt is still to be made.
+    pub fn is_pending(&self, key: AttemptKey) -> bool {
         self.lock().gate.is_waiting(key)
     }
 }
 
-fn withheld(why: WithholdReason) -> Count {
+fn withheld_counter(why: WithholdReason) -> Count {
     match why {
         WithholdReason::Withdrawn => Count::withheld_withdrawn,
         WithholdReason::RulesLapsed => Count::withheld_rules_lapsed,
--- a/src/net/timeout.rs
+++ b/src/net/timeout.rs
@@ -1,27 +1,27 @@
-//! A limit on waiting that is set for wait after wait on the same connection.
+//! A timer that is reused for one wait after another on the same connection.
 //!
-//! Nearly every wait ends long before its limit, and a timer that is entered and removed for each of them costs more
-//! than the wait itself: entered as the earliest of all, it makes the runtime wake itself by a system call. This one
-//! stays where it was entered first. When it rings too early for the wait of the moment, it is moved to where that one
-//! ends.
+//! Nearly every wait ends long before its timeout. Registering and removing a timer for each of them would cost
+//! more than the wait itself; a timer that is the earliest of all even makes the runtime wake itself by a system
+//! call. This timer stays registered at its first deadline. If it expires too early for the current wait, it is
+//! moved to the deadline of that wait.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::task::Poll;
 use tokio::time::{Instant, Sleep};
 
-/// A timer that waits share, one after the other.
-pub struct Timeout(Pin<Box<Sleep>>);
+/// A timer shared by consecutive waits.
+pub struct ReusableTimer(Pin<Box<Sleep>>);
 
-impl Timeout {
-    /// One whose first wait ends at this moment.
+impl ReusableTimer {
+    /// Creates a timer whose first wait ends at `end`.
     pub fn until(end: Instant) -> Self {
-        Timeout(Box::pin(tokio::time::sleep_until(end)))
+        ReusableTimer(Box::pin(tokio::time::sleep_until(end)))
     }
 
-    /// What the future brings, or none if it has brought nothing by then. Pinned by the caller: taken by value it would
-    /// stand twice in the memory of whoever waits.
-    pub async fn within<F: Future>(&mut self, end: Instant, mut future: Pin<&mut F>) -> Option<F::Output> {
+    /// Returns the future's output, or `None` if it is not ready by `end`. The caller pins the future: taken by
+    /// value, it would be stored twice in the memory of the calling future.
+    pub async fn run_until<F: Future>(&mut self, end: Instant, mut future: Pin<&mut F>) -> Option<F::Output> {
         poll_fn(|cx| {
             if let Poll::Ready(done) = future.as_mut().poll(cx) {
                 return Poll::Ready(Some(done));
--- a/src/net/timeout_tests.rs
+++ b/src/net/timeout_tests.rs
@@ -1,4 +1,4 @@
-//! Waits that share a timer, in virtual time.
+//! Consecutive waits on one timer, in virtual time.
 
 use super::*;
 use std::future::pending;
@@ -11,33 +11,33 @@
 }
 
 #[test]
-fn each_wait_ends_at_its_own_moment_earlier_or_later_than_the_one_before() {
+fn each_wait_ends_at_its_own_deadline_earlier_or_later_than_the_previous_one() {
     run(async {
         let (start, ms) = (Instant::now(), Duration::from_millis);
-        let mut timeout = Timeout::until(start + ms(100));
+        let mut timer = ReusableTimer::until(start + ms(100));
         for end in [100, 150, 160, 1_000, 1_001] {
-            assert!(timeout.within(start + ms(end), pin!(pending::<()>())).await.is_none());
+            assert!(timer.run_until(start + ms(end), pin!(pending::<()>())).await.is_none());
             let passed = start.elapsed();
             assert!(passed >= ms(end) && passed < ms(end + 2), "{passed:?} for {end}");
         }
-        // Set for late, then needed early.
-        let mut timeout = Timeout::until(start + ms(60_000));
-        assert!(timeout.within(start + ms(1_100), pin!(pending::<()>())).await.is_none());
+        // Registered for a late deadline, then needed for an early one.
+        let mut timer = ReusableTimer::until(start + ms(60_000));
+        assert!(timer.run_until(start + ms(1_100), pin!(pending::<()>())).await.is_none());
         assert!(start.elapsed() < ms(1_110));
     });
 }
 
 #[test]
-fn what_comes_in_time_is_passed_on_and_does_not_move_the_timer() {
+fn output_in_time_is_returned_and_does_not_move_the_timer() {
     run(async {
         let (start, ms) = (Instant::now(), Duration::from_millis);
-        let mut timeout = Timeout::until(start + ms(100));
+        let mut timer = ReusableTimer::until(start + ms(100));
         for n in 1..=50 {
             let done = tokio::time::sleep(ms(10));
-            assert!(timeout.within(start + ms(10 * n + 200), pin!(done)).await.is_some());
+            assert!(timer.run_until(start + ms(10 * n + 200), pin!(done)).await.is_some());
         }
-        // A wait whose moment has passed still takes what is there already.
-        assert_eq!(timeout.within(start, pin!(async { 7 })).await, Some(7));
-        assert_eq!(timeout.within(start, pin!(pending::<()>())).await, None);
+        // A wait whose deadline has passed still returns the output of a future that is ready.
+        assert_eq!(timer.run_until(start, pin!(async { 7 })).await, Some(7));
+        assert_eq!(timer.run_until(start, pin!(pending::<()>())).await, None);
     });
 }
