--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,13 +1,13 @@
-//! A TCP stream as all framed connections use it.
+//! The TCP stream of all framed connections.
 //!
-//! The kernel tells of a socket that becomes readable or writable once (edge-triggered). The runtime's own stream takes
-//! a call that did less than it was asked to for the last one before the next edge, and waits. Linux promises no such
-//! thing: `recv(2)` and `send(2)` may do less for other reasons, what stands in the socket then brings no edge, and the
-//! connection hangs. So a [`Socket`] forgets that its stream is ready only where the kernel says so (`EAGAIN`), or where
-//! its user knows that nothing is due ([`Socket::assume_drained`]).
+//! The kernel notifies once when a socket becomes readable or writable (edge-triggered). The runtime's own stream
+//! takes a read or write that did less than requested for the last one before the next notification, and waits.
+//! Linux does not promise that: `recv(2)` and `send(2)` may do less for other reasons, in which case no
+//! notification follows and the connection hangs. So a [`Socket`] clears its stream's readiness only when the
+//! kernel says so (`EAGAIN`), or when its user knows that nothing is due ([`Socket::assume_drained`]).
 
 use super::stall;
-use super::transient::{no_memory, MemoryRetry};
+use super::transient::{is_out_of_memory, MemoryRetry};
 use crate::core::ClientConnection;
 use crate::meter::{self, Cost};
 use futures_util::FutureExt;
@@ -20,29 +20,30 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What stands unread in a socket.
+/// The unread input of a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing, as of now.
+    /// Nothing at the moment.
     Nothing,
-    /// Bytes; or the kernel had no memory for a look.
+    /// Bytes, or the kernel had no memory for the check.
     Bytes,
-    /// The end of the connection, or a fault that ended it.
+    /// The end of the connection, or an error that ended it.
     End,
 }
 
-/// A stream whose calls to the kernel are counted, and which believes only the kernel.
+/// A TCP stream that counts its system calls and clears its readiness only as described in the module's
+/// documentation.
 #[derive(Debug)]
 pub struct Socket {
     stream: Arc<TcpStream>,
-    /// What the runtime knows of unread bytes was given up, to hear of an end behind them.
+    /// The runtime's read readiness was cleared although bytes are unread, so that the end after them is noticed.
     unread: bool,
     read_retry: MemoryRetry,
     write_retry: MemoryRetry,
 }
 
 impl Socket {
-    /// Takes a connected stream. Small writes go out at once.
+    /// Takes a connected stream and disables Nagle's algorithm, so that small writes are sent at once.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         Socket {
@@ -53,58 +54,59 @@
         }
     }
 
-    /// The stream itself.
+    /// Returns the stream.
     pub fn get_ref(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// The other side's port, by which the log tells connections apart.
+    /// The peer's port, which identifies the connection in the log.
     pub fn port(&self) -> u16 {
         self.stream.peer_addr().map_or(0, |peer| peer.port())
     }
 
-    /// Tells whether the other side is still there, for as long as this connection lives.
+    /// Reports whether the peer is still connected, for as long as this socket exists.
     pub fn presence(&self) -> Weak<dyn ClientConnection> {
         let stream: Arc<dyn ClientConnection> = self.stream.clone();
         Arc::downgrade(&stream)
     }
 
-    /// The other side has said all that it was asked for: the next read waits for news without a look at the socket. What
-    /// stands there all the same shows with the next bytes that come.
+    /// Declares that the peer has sent all that was requested: the next read waits for a notification without
+    /// trying the socket first. If bytes have arrived after all, they are read with the next ones that arrive.
     pub fn assume_drained(&self) {
-        self.forget_readable();
+        self.clear_readable();
     }
 
-    /// Without a call to the kernel.
-    fn forget_readable(&self) {
-        let forgotten: Result<()> =
+    /// Clears the read readiness without a system call.
+    fn clear_readable(&self) {
+        let cleared: Result<()> =
             self.stream.try_io(Interest::READABLE, || Err(ErrorKind::WouldBlock.into()));
-        drop(forgotten);
+        drop(cleared);
     }
 
-    /// Waits until the other side has ended the connection, while nothing is read from it: what it sent before may still
-    /// stand unread. Cancel safe.
+    /// Waits until the peer has closed the connection, without reading; earlier input may still be unread. Cancel
+    /// safe.
     pub async fn wait_closed(&mut self) {
         loop {
             let ready = self.stream.ready(Interest::READABLE).await;
             if ready.is_err() || self.stream.is_closed() {
                 return;
             }
-            // The next edge, of more bytes or of the end, wakes this again.
+            // The next notification, of more bytes or of the end, wakes this task again.
             self.unread = true;
-            self.forget_readable();
+            self.clear_readable();
         }
     }
 
-    /// Asks the kernel what stands unread, whatever the runtime has heard of it; the next read finds bytes at once.
+    /// Asks the kernel what is unread, regardless of the runtime's readiness. If there are bytes, the next read
+    /// returns them at once.
     pub fn unread(&mut self) -> Unread {
-        let unread = unread_by(|| peek(&self.stream));
+        let unread = unread_input(|| peek(&self.stream));
         self.unread |= unread == Unread::Bytes;
         unread
     }
 
-    /// A read where the runtime may take the socket for empty though it is not.
-    fn read_unheard(&mut self, buf: &mut ReadBuf<'_>) -> Option<Result<()>> {
+    /// Reads if the runtime may regard the socket as empty although it is not.
+    fn read_ignoring_readiness(&mut self, buf: &mut ReadBuf<'_>) -> Option<Result<()>> {
         if !std::mem::take(&mut self.unread) {
             return None;
         }
@@ -128,41 +130,41 @@
         write: impl Fn(&TcpStream) -> Result<usize>,
     ) -> Poll<Result<usize>> {
         loop {
-            ready!(self.write_retry.poll_pause(cx));
+            ready!(self.write_retry.poll_delay(cx));
             ready!(self.stream.poll_write_ready(cx))?;
             meter::add(Cost::Writes, 1);
             let written = write(&self.stream);
             stall::check();
             match written {
-                Err(e) if calls_again(&e) => {}
-                written if self.write_retry.again(&written) => {}
+                Err(e) if did_nothing(&e) => {}
+                written if self.write_retry.needs_repeat(&written) => {}
                 written => return Poll::Ready(written),
             }
         }
     }
 }
 
-/// A call that did nothing: there is nothing to do it with, of which the runtime then knows, or a signal came. Neither says
-/// anything of the connection.
-fn calls_again(e: &Error) -> bool {
+/// Whether a call did nothing, for lack of data or space (the runtime has then cleared the readiness) or because of
+/// a signal. Neither says anything about the connection.
+fn did_nothing(e: &Error) -> bool {
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Looks at the first byte that stands unread, which stays there.
+/// Peeks at the first unread byte.
 fn peek(stream: &TcpStream) -> Result<usize> {
     meter::add(Cost::Peeks, 1);
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1])
 }
 
-/// What stands unread, by as many looks as it takes until one shows it.
-fn unread_by(mut peek: impl FnMut() -> Result<usize>) -> Unread {
+/// Determines what is unread, repeating interrupted calls of `peek`.
+fn unread_input(mut peek: impl FnMut() -> Result<usize>) -> Unread {
     loop {
         match peek() {
             Ok(0) => return Unread::End,
             Ok(_) => return Unread::Bytes,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Unread::Nothing,
-            Err(e) if no_memory(&e) => return Unread::Bytes,
+            Err(e) if is_out_of_memory(&e) => return Unread::Bytes,
             Err(_) => return Unread::End,
         }
     }
@@ -170,18 +172,19 @@
 
 impl ClientConnection for TcpStream {
     fn is_closed(&self) -> bool {
-        // The end behind unread bytes shows in what the kernel told last; with none there it is what a look brings.
-        let told = self.ready(Interest::READABLE).now_or_never().and_then(Result::ok);
-        let unread = unread_by(|| peek(self));
-        told.is_some_and(|ready| ready.is_read_closed()) || unread == Unread::End
+        // An end after unread bytes is part of the kernel's last notification; without unread bytes, peeking
+        // reports it.
+        let readiness = self.ready(Interest::READABLE).now_or_never().and_then(Result::ok);
+        let unread = unread_input(|| peek(self));
+        readiness.is_some_and(|ready| ready.is_read_closed()) || unread == Unread::End
     }
 }
 
 impl AsyncRead for Socket {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         loop {
-            ready!(self.read_retry.poll_pause(cx));
-            let read = match self.read_unheard(buf) {
+            ready!(self.read_retry.poll_delay(cx));
+            let read = match self.read_ignoring_readiness(buf) {
                 Some(read) => read,
                 None => {
                     ready!(self.stream.poll_read_ready(cx))?;
@@ -190,8 +193,8 @@
                 }
             };
             match read {
-                Err(e) if calls_again(&e) => meter::add(Cost::EmptyReads, 1),
-                read if self.read_retry.again(&read) => self.unread = true,
+                Err(e) if did_nothing(&e) => meter::add(Cost::EmptyReads, 1),
+                read if self.read_retry.needs_repeat(&read) => self.unread = true,
                 read => return Poll::Ready(read),
             }
         }
@@ -216,13 +219,13 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<Result<()>> {
-        // Nothing is held back here.
+        // Nothing is buffered here.
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<Result<()>> {
         Poll::Ready(match SockRef::from(&*self.stream).shutdown(std::net::Shutdown::Write) {
-            // The other side has ended it already.
+            // The peer has closed the connection already.
             Err(e) if e.kind() == ErrorKind::NotConnected => Ok(()),
             done => done,
         })
--- a/src/net/socket_tests.rs
+++ b/src/net/socket_tests.rs
@@ -1,31 +1,31 @@
-//! The other side's end of connections, on real sockets, as it is seen here.
+//! Detection of the peer's close, on real sockets.
 
-use super::{unread_by, Unread};
+use super::{unread_input, Unread};
 use crate::net::socket::Socket;
 use crate::net::test_sockets::with_connection;
 use std::io::{Error, ErrorKind, Write};
 use std::time::Duration;
 
-/// No end is seen for so long where there is none.
-const STILL_THERE: Duration = Duration::from_millis(120);
+/// How long a connection is watched to see that no end is reported while the peer is connected.
+const STILL_CONNECTED: Duration = Duration::from_millis(120);
 
 #[test]
-fn an_end_is_seen_behind_bytes_that_are_not_read_and_no_sooner() {
+fn a_close_is_noticed_behind_unread_bytes_and_not_before_it_happens() {
     for unread in [0, 9000] {
         with_connection(|mut client, server| async move {
             let mut server = Socket::new(server);
             client.write_all(&vec![7; unread]).expect("sent");
-            let soon = tokio::time::timeout(STILL_THERE, server.wait_closed()).await;
-            assert!(soon.is_err(), "it is still there, with {unread} bytes unread");
+            let early = tokio::time::timeout(STILL_CONNECTED, server.wait_closed()).await;
+            assert!(early.is_err(), "it is still there, with {unread} bytes unread");
             client.shutdown(std::net::Shutdown::Write).expect("ended");
-            let seen = tokio::time::timeout(Duration::from_secs(20), server.wait_closed()).await;
-            assert!(seen.is_ok(), "{unread} bytes unread");
+            let found = tokio::time::timeout(Duration::from_secs(20), server.wait_closed()).await;
+            assert!(found.is_ok(), "{unread} bytes unread");
         });
     }
 }
 
 #[test]
-fn a_reset_is_an_end() {
+fn a_reset_counts_as_a_close() {
     with_connection(|mut client, server| async move {
         let mut server = Socket::new(server);
         client.write_all(&[7; 64]).expect("sent");
@@ -36,19 +36,19 @@
 }
 
 #[test]
-fn a_look_that_a_signal_interrupts_is_taken_again() {
+fn an_interrupted_peek_is_repeated() {
     for (shown, unread) in [(0, Unread::End), (1, Unread::Bytes)] {
-        let mut looks = 0;
-        let seen = unread_by(|| {
-            looks += 1;
-            if looks < 4 {
+        let mut calls = 0;
+        let found = unread_input(|| {
+            calls += 1;
+            if calls < 4 {
                 Err(ErrorKind::Interrupted.into())
             } else {
                 Ok(shown)
             }
         });
-        assert_eq!((seen, looks), (unread, 4));
+        assert_eq!((found, calls), (unread, 4));
     }
-    let seen = unread_by(|| Err(Error::from_raw_os_error(libc::EAGAIN)));
-    assert_eq!(seen, Unread::Nothing);
+    let found = unread_input(|| Err(Error::from_raw_os_error(libc::EAGAIN)));
+    assert_eq!(found, Unread::Nothing);
 }
--- a/src/net/stall.rs
+++ b/src/net/stall.rs
@@ -1,80 +1,82 @@
-//! Notices that the process was held up: by the machine, or by a step of its own that took long. What stood in its sockets meanwhile
-//! has waited, and its time ran on.
+//! Detects stalls of the process, caused by the machine or by a long step of its own. Input that arrived in the
+//! sockets during a stall has waited, and the time until its deadline has passed meanwhile.
 //!
-//! The runtime's thread looks at the clock at each call that may take long. Two looks far apart with no rest between them are a
-//! hold-up; one soon behind another is the same one, as what came in the first may not have been read before the second. While
-//! the thread rests nothing can be told: it is woken by what comes.
+//! The runtime's thread reads the clock at each call that may take long. Two readings far apart without an idle
+//! period between them are a stall. A stall soon after another one continues it, as input that arrived during the
+//! first may not have been read before the second. While the thread is idle no stall can be detected; arriving
+//! input wakes the thread.
 
 use crate::interface::Time;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Two looks so far apart are a hold-up: no step of the process takes so long.
-const HOLD_UP_MIN: Duration = Duration::from_millis(40);
-/// What stood in the sockets in a hold-up, and in the listener's queue, has been read so long after its end.
-const READ_AFTER: Duration = Duration::from_millis(60);
+/// Two clock readings at least this far apart are a stall, as no normal step of the process takes that long.
+const MIN_STALL: Duration = Duration::from_millis(40);
+/// Input that arrived during a stall, in the sockets or in the listen backlog, has been read by this long after its
+/// end.
+const CATCH_UP_TIME: Duration = Duration::from_millis(60);
 
-/// What one thread has seen.
+/// Clock readings of one thread.
 #[derive(Debug, Clone, Copy)]
-struct Looks {
-    /// The last look, or the end of the last rest.
+struct ClockReadings {
+    /// The last reading, or the end of the last idle period.
     last: Instant,
-    hold_up: Option<HoldUp>,
+    stall: Option<Stall>,
 }
 
-/// A hold-up, or several in a row.
+/// One stall, or several in quick succession.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct HoldUp {
-    /// When the first began.
+struct Stall {
+    /// When the first stall began.
     began: Instant,
-    /// When the last ended.
+    /// When the last stall ended.
     ended: Instant,
 }
 
-impl Looks {
+impl ClockReadings {
     fn new(now: Instant) -> Self {
-        Looks { last: now, hold_up: None }
+        ClockReadings { last: now, stall: None }
     }
 
-    fn rested(mut self, now: Instant) -> Self {
+    fn idle_until(mut self, now: Instant) -> Self {
         self.last = now;
         self
     }
 
-    fn look(mut self, now: Instant) -> Self {
-        // One that begins soon behind another's end is in a row with that.
+    fn read(mut self, now: Instant) -> Self {
+        // A stall that begins soon after the end of another one continues it.
         let last = self.last;
-        self.hold_up = self.hold_up.filter(|hold_up| last < hold_up.ended + READ_AFTER);
-        if now.saturating_duration_since(last) >= HOLD_UP_MIN {
-            let began = self.hold_up.map_or(last, |hold_up| hold_up.began);
-            self.hold_up = Some(HoldUp { began, ended: now });
+        self.stall = self.stall.filter(|stall| last < stall.ended + CATCH_UP_TIME);
+        if now.saturating_duration_since(last) >= MIN_STALL {
+            let began = self.stall.map_or(last, |stall| stall.began);
+            self.stall = Some(Stall { began, ended: now });
         }
-        self.hold_up = self.hold_up.filter(|hold_up| now < hold_up.ended + READ_AFTER);
+        self.stall = self.stall.filter(|stall| now < stall.ended + CATCH_UP_TIME);
         self.last = now;
         self
     }
 }
 
 thread_local! {
-    static LOOKS: Cell<Option<Looks>> = const { Cell::new(None) };
+    static READINGS: Cell<Option<ClockReadings>> = const { Cell::new(None) };
 }
 
-/// The thread has rested up to now.
+/// Records that the thread has been idle until now.
 pub fn thread_unparked() {
     let now = Instant::now();
-    LOOKS.set(Some(LOOKS.get().unwrap_or(Looks::new(now)).rested(now)));
+    READINGS.set(Some(READINGS.get().unwrap_or(ClockReadings::new(now)).idle_until(now)));
 }
 
-/// Looks at the clock: since when what is read now may have stood in its socket, where the process was held up meanwhile.
+/// Reads the clock. After a stall, returns since when input that is read now may have been in its socket.
 pub fn check() -> Option<Instant> {
     let now = Instant::now();
-    let looks = LOOKS.get().unwrap_or(Looks::new(now)).look(now);
-    LOOKS.set(Some(looks));
-    looks.hold_up.map(|hold_up| hold_up.began)
+    let readings = READINGS.get().unwrap_or(ClockReadings::new(now)).read(now);
+    READINGS.set(Some(readings));
+    readings.stall.map(|stall| stall.began)
 }
 
-/// How long, in us, a request that is read now may have waited for that: since a hold-up began, and since `waits_since`, where its
-/// connection was not read from then on.
+/// How long, in us, a request that is read now may have waited in its socket: since a stall began, or since
+/// `waits_since`, if its connection has not been read since then.
 pub fn queued_time(waits_since: Option<Instant>) -> Time {
     let since = waits_since.into_iter().chain(check()).min();
     since.map_or(0, |since| since.elapsed().as_micros() as Time)
@@ -86,33 +88,37 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    fn began(looks: Looks, start: Instant) -> Option<Duration> {
-        looks.hold_up.map(|hold_up| hold_up.began - start)
+    fn began(readings: ClockReadings, start: Instant) -> Option<Duration> {
+        readings.stall.map(|stall| stall.began - start)
     }
 
     #[test]
-    fn a_long_time_between_two_looks_is_a_hold_up_and_one_with_a_rest_is_none() {
+    fn a_long_time_between_two_readings_is_a_stall_unless_the_thread_was_idle() {
         let start = Instant::now();
-        let looks = Looks::new(start).look(start + 10 * MS);
-        assert_eq!(began(looks, start), None);
-        assert_eq!(began(looks.look(start + 160 * MS), start), Some(10 * MS));
-        assert_eq!(began(looks.rested(start + 160 * MS).look(start + 161 * MS), start), None);
+        let readings = ClockReadings::new(start).read(start + 10 * MS);
+        assert_eq!(began(readings, start), None);
+        assert_eq!(began(readings.read(start + 160 * MS), start), Some(10 * MS));
+        assert_eq!(began(readings.idle_until(start + 160 * MS).read(start + 161 * MS), start), None);
     }
 
     #[test]
-    fn a_hold_up_is_over_once_all_that_came_in_it_has_been_read() {
+    fn a_stall_is_over_once_its_input_has_been_read() {
         let start = Instant::now();
-        let held = Looks::new(start).look(start + 150 * MS);
-        let looked = |until: u32| (151..=until).fold(held, |looks, at| looks.look(start + at * MS));
-        assert_eq!(began(looked(200), start), Some(Duration::ZERO));
-        assert_eq!(began(looked(211), start), None);
-        assert_eq!(began(held.rested(start + 900 * MS).look(start + 901 * MS), start), None);
+        let stalled = ClockReadings::new(start).read(start + 150 * MS);
+        let reread_until =
+            |until: u32| (151..=until).fold(stalled, |readings, at| readings.read(start + at * MS));
+        assert_eq!(began(reread_until(200), start), Some(Duration::ZERO));
+        assert_eq!(began(reread_until(211), start), None);
+        assert_eq!(began(stalled.idle_until(start + 900 * MS).read(start + 901 * MS), start), None);
     }
 
     #[test]
-    fn hold_ups_in_a_row_count_from_the_first() {
+    fn stalls_in_quick_succession_count_from_the_first() {
         let start = Instant::now();
-        let held = Looks::new(start).look(start + 150 * MS).rested(start + 170 * MS).look(start + 320 * MS);
-        assert_eq!(began(held, start), Some(Duration::ZERO));
+        let stalled = ClockReadings::new(start)
+            .read(start + 150 * MS)
+            .idle_until(start + 170 * MS)
+            .read(start + 320 * MS);
+        assert_eq!(began(stalled, start), Some(Duration::ZERO));
     }
 }
--- a/src/net/transient.rs
+++ b/src/net/transient.rs
@@ -1,5 +1,6 @@
-//! Sockets, and memory for them, that are not to be had for the moment: errors of this machine, not of the other side, which
-//! Linux documents for `socket(2)`, `bind(2)`, `connect(2)`, `recv(2)` and `send(2)` and which pass by themselves.
+//! Retries calls that failed because this machine had no socket or no memory for one at the moment. Linux documents
+//! these errors for `socket(2)`, `bind(2)`, `connect(2)`, `recv(2)` and `send(2)`. They say nothing about the other
+//! side and are transient.
 
 use crate::core::counters::{count, Count};
 use std::future::Future;
@@ -10,110 +11,112 @@
 use tokio::net::{TcpListener, TcpStream, ToSocketAddrs, UdpSocket};
 use tokio::time::Sleep;
 
-/// Between two tries to listen, and for so many of them (5 s): a start is owed within 10 s.
-const LISTEN_PAUSE: Duration = Duration::from_millis(50);
-const LISTEN_TRIES: u32 = 100;
-/// Before each further try to connect; after the last the connection counts as refused.
-const CONNECT_PAUSES: [Duration; 3] =
+/// Interval and number of attempts to listen, 5 s in total: startup has to be complete within 10 s.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_LISTEN_ATTEMPTS: u32 = 100;
+/// Delay before each further attempt to connect; after the last one the connection counts as refused.
+const CONNECT_RETRY_DELAYS: [Duration; 3] =
     [Duration::from_millis(2), Duration::from_millis(5), Duration::from_millis(15)];
-/// Before a call on a connection that found no memory is made again, and how often in a row it is: in all less than the slack
-/// that a deadline has on its way to a server.
-const MEMORY_PAUSE: Duration = Duration::from_millis(2);
-const MEMORY_RETRIES_MAX: u32 = 40;
+/// Delay before repeating a call on a connection that found no memory, and how often in a row the call is repeated.
+/// In total this is less than the margin that deadlines have for the way to a server.
+const MEMORY_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+const MAX_MEMORY_RETRIES: u32 = 40;
 
-/// The kernel has no memory for a call on a connection. It did nothing, and says nothing of the connection.
-pub fn no_memory(e: &Error) -> bool {
+/// Whether the kernel had no memory for a call on a connection. The call did nothing and says nothing about the
+/// connection.
+pub fn is_out_of_memory(e: &Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::ENOBUFS | libc::ENOMEM))
 }
 
-/// Calls of one sort on one connection, which are made again where they found no memory.
+/// Repeats one kind of call on one connection while the kernel has no memory for it.
 #[derive(Debug, Default)]
 pub struct MemoryRetry {
-    pause: Option<Pin<Box<Sleep>>>,
+    delay: Option<Pin<Box<Sleep>>>,
     failures: u32,
 }
 
 impl MemoryRetry {
     /// Waits until the next call may be made. Cancel safe.
-    pub fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        if let Some(pause) = &mut self.pause {
-            ready!(pause.as_mut().poll(cx));
-            self.pause = None;
+    pub fn poll_delay(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        if let Some(delay) = &mut self.delay {
+            ready!(delay.as_mut().poll(cx));
+            self.delay = None;
         }
         Poll::Ready(())
     }
 
-    /// Whether the call that brought this is to be made again, after the pause.
-    pub fn again<T>(&mut self, done: &Result<T>) -> bool {
-        let again = done.as_ref().is_err_and(no_memory) && self.failures < MEMORY_RETRIES_MAX;
-        self.failures = if again { self.failures + 1 } else { 0 };
-        if again {
+    /// Whether the call with this result has to be repeated, after the delay.
+    pub fn needs_repeat<T>(&mut self, done: &Result<T>) -> bool {
+        let repeat = done.as_ref().is_err_and(is_out_of_memory) && self.failures < MAX_MEMORY_RETRIES;
+        self.failures = if repeat { self.failures + 1 } else { 0 };
+        if repeat {
             count(Count::local_failures);
-            self.pause = Some(Box::pin(tokio::time::sleep(MEMORY_PAUSE)));
+            self.delay = Some(Box::pin(tokio::time::sleep(MEMORY_RETRY_INTERVAL)));
         }
-        again
+        repeat
     }
 }
 
-/// No descriptor or memory for a socket.
-fn no_socket(e: &Error) -> bool {
+/// Whether there was no descriptor or memory for a socket.
+fn lacks_socket(e: &Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM))
 }
 
-/// No port or route either, or a signal that came meanwhile.
-fn no_connection(e: &Error) -> bool {
-    let momentary = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EAGAIN, libc::EINTR];
-    no_socket(e) || e.raw_os_error().is_some_and(|code| momentary.contains(&code))
+/// Whether there was no socket, port or route, or a signal interrupted the call.
+fn is_transient_connect_error(e: &Error) -> bool {
+    let transient = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EAGAIN, libc::EINTR];
+    lacks_socket(e) || e.raw_os_error().is_some_and(|code| transient.contains(&code))
 }
 
-/// No socket, or another process still holds the address: the one that this takes over from may be about to end.
-fn no_listener(e: &Error) -> bool {
-    no_socket(e) || e.raw_os_error() == Some(libc::EADDRINUSE)
+/// Whether there was no socket, or another process uses the address: the process that this one replaces may be
+/// about to end.
+fn is_transient_listen_error(e: &Error) -> bool {
+    lacks_socket(e) || e.raw_os_error() == Some(libc::EADDRINUSE)
 }
 
-/// Listens there, once there is a socket to be had and the address is free.
+/// Listens at `address`, waiting until a socket is available and the address is free.
 ///
 /// # Errors
-/// When the address cannot be listened on, or not for seconds.
+/// When listening at the address is impossible, or still fails after some seconds.
 pub async fn listen(address: impl ToSocketAddrs + Copy) -> Result<TcpListener> {
-    once_free(|| TcpListener::bind(address)).await
+    retry_bind(|| TcpListener::bind(address)).await
 }
 
-/// The same for datagrams.
+/// Like [`listen`], for datagrams.
 ///
 /// # Errors
 /// As [`listen`].
 pub async fn listen_datagrams(address: impl ToSocketAddrs + Copy) -> Result<UdpSocket> {
-    once_free(|| UdpSocket::bind(address)).await
+    retry_bind(|| UdpSocket::bind(address)).await
 }
 
-async fn once_free<T, F: Future<Output = Result<T>>>(bind: impl Fn() -> F) -> Result<T> {
-    let mut tries = 1;
+async fn retry_bind<T, F: Future<Output = Result<T>>>(bind: impl Fn() -> F) -> Result<T> {
+    let mut attempts = 1;
     loop {
         match bind().await {
-            Err(e) if no_listener(&e) && tries < LISTEN_TRIES => {
+            Err(e) if is_transient_listen_error(&e) && attempts < MAX_LISTEN_ATTEMPTS => {
                 count(Count::local_failures);
-                log::warn!("cannot listen yet: {e}");
+                log::warn!("cannot listen yet, will retry: {e}");
             }
             done => return done,
         }
-        tries += 1;
-        tokio::time::sleep(LISTEN_PAUSE).await;
+        attempts += 1;
+        tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
     }
 }
 
-/// Connects, and tries again where this machine had no socket, port or route for the moment. Cancel safe: dropped, nothing
-/// is left of it.
+/// Connects to `address`, and retries where this machine has no socket, port or route at the moment. Cancel safe:
+/// nothing is left behind when the future is dropped.
 ///
 /// # Errors
-/// When the other side cannot be reached, or this machine lacks something for longer.
+/// When the other side cannot be reached, or the shortage on this machine lasts longer.
 pub async fn connect(address: impl ToSocketAddrs + Copy) -> Result<TcpStream> {
-    for pause in CONNECT_PAUSES {
+    for delay in CONNECT_RETRY_DELAYS {
         match TcpStream::connect(address).await {
-            Err(e) if no_connection(&e) => count(Count::local_failures),
+            Err(e) if is_transient_connect_error(&e) => count(Count::local_failures),
             done => return done,
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
     TcpStream::connect(address).await
 }
