--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -1,7 +1,8 @@
-//! Requests that cross the end of a connection, whatever ends it, by both fronts.
+//! Requests that arrive while their connection is being closed, for each cause of a close and on both fronts.
 //!
-//! The real program stands still while the reason for an end comes true and the request is written, so that it finds both
-//! when it goes on. Every request is answered on its connection, and none is read that is not.
+//! The program under test is stopped while the cause for a close becomes true and the request is sent, so that it
+//! finds both when it is continued. Every request must be answered on its connection, and none may be read without
+//! an answer.
 #![allow(missing_docs)]
 
 use linentrail_standins::client::{request_id, Ask, Odata, Pg, Told};
@@ -17,23 +18,25 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longer than anything here takes on a slow machine: only a failure waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Before a limit of the fronts comes true, and until after that.
-const BEFORE: Duration = Duration::from_millis(300);
-const OVER: Duration = Duration::from_millis(700);
-/// The fronts' limits: on silence by the platform's protocol and by OData, on rest, and on a message that was begun.
-const SILENT: [Duration; 2] = [Duration::from_millis(2_500), Duration::from_millis(4_000)];
-const IDLE: Duration = Duration::from_millis(4_000);
-const UNFINISHED: [Duration; 2] = [Duration::from_millis(2_400), Duration::from_millis(2_000)];
-const STILL_COMING: Duration = Duration::from_millis(1_000);
+/// Longer than anything takes on a slow machine; only a failing test waits this long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long before a limit of the fronts the program is stopped, and for how long, so that the limit passes
+/// meanwhile.
+const STOP_BEFORE_LIMIT: Duration = Duration::from_millis(300);
+const STOPPED_FOR: Duration = Duration::from_millis(700);
+/// The fronts' limits: on a connection without any request (PostgreSQL, OData), on an idle connection, and on an
+/// incomplete message (PostgreSQL, OData).
+const FIRST_REQUEST_LIMITS: [Duration; 2] = [Duration::from_millis(2_500), Duration::from_millis(4_000)];
+const IDLE_LIMIT: Duration = Duration::from_millis(4_000);
+const INCOMPLETE_MESSAGE_LIMITS: [Duration; 2] = [Duration::from_millis(2_400), Duration::from_millis(2_000)];
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(1_000);
 
-struct World {
+struct Rig {
     primary: Member,
     setup: Setup,
 }
 
-impl World {
+impl Rig {
     fn new(sockets: u64) -> Self {
         let primary = Member::start(&Group::default(), true, 0, Capacity::default());
         let list = [entry(0, primary.address())];
@@ -41,10 +44,10 @@
             program: env!("CARGO_BIN_EXE_linentrail").into(),
             config: proxy::config("127.0.0.1:9", &list, proxy::settings(), sockets, 192),
             odata: true,
-            still_coming: Some(STILL_COMING),
+            still_coming: Some(SHUTDOWN_GRACE),
             ..Setup::default()
         };
-        World { primary, setup }
+        Rig { primary, setup }
     }
 }
 
@@ -52,14 +55,14 @@
     Ask { class: "monthly-report", key: key.into(), value: None, wait_ms: 14_000, after: None }
 }
 
-/// A client by either protocol.
+/// A client of either protocol.
 enum Client {
     Pg { conn: Pg, started: bool },
     Odata(Odata),
 }
 
 impl Client {
-    /// Connects, and says nothing.
+    /// Connects without sending anything.
     async fn new(proxy: &Proxy, odata: bool) -> Self {
         if odata {
             return Client::Odata(Odata::connect(proxy.odata.unwrap()).await.unwrap());
@@ -67,30 +70,30 @@
         Client::Pg { conn: Pg::connect_silently(proxy.pg).await.unwrap(), started: false }
     }
 
-    /// One that was served and rests.
+    /// Connects and has one request answered.
     async fn served(proxy: &Proxy, odata: bool) -> Self {
         let mut client = Client::new(proxy, odata).await;
-        client.asks("first").await.expect("the first request is answered");
+        client.ask("first").await.expect("the first request is answered");
         client
     }
 
-    /// Sends a request of a session that has begun, and waits for nothing.
-    async fn sends(&mut self, ask: &Ask) {
+    /// Sends a request on a connection whose session has begun, without waiting for the answer.
+    async fn send(&mut self, ask: &Ask) {
         match self {
             Client::Pg { conn, .. } => conn.send(&wire::query(&ask.sql(&request_id()))).await.unwrap(),
             Client::Odata(conn) => conn.send(ask).await,
         }
     }
 
-    /// The next answer.
-    async fn hears(&mut self) -> Result<Told> {
+    /// Reads the next answer.
+    async fn answer(&mut self) -> Result<Told> {
         match self {
             Client::Pg { conn, .. } => conn.answer().await,
             Client::Odata(conn) => conn.answer().await,
         }
     }
 
-    async fn asks(&mut self, key: &str) -> Result<Told> {
+    async fn ask(&mut self, key: &str) -> Result<Told> {
         let answer = async {
             match self {
                 Client::Pg { conn, started: true } => conn.ask(&ask(key)).await,
@@ -101,18 +104,19 @@
                 Client::Odata(conn) => conn.ask(&ask(key)).await,
             }
         };
-        tokio::time::timeout(PATIENCE, answer).await.expect("an answer or an end")
+        tokio::time::timeout(TEST_TIMEOUT, answer).await.expect("an answer or an end")
     }
 }
 
-/// Stands still from now on until `over` has passed, and for so long after the clients have begun to ask.
-async fn all_answered(proxy: &Proxy, over: Duration, clients: Vec<Client>, what: &str) {
+/// Stops the program, waits for `over`, sends a request on each connection, continues the program and expects an
+/// answer to each request.
+async fn assert_all_answered(proxy: &Proxy, over: Duration, clients: Vec<Client>, what: &str) {
     proxy.signal("STOP").unwrap();
     tokio::time::sleep(over).await;
     let mut asking = tokio::task::JoinSet::new();
     for (n, mut client) in clients.into_iter().enumerate() {
         asking.spawn(async move {
-            let answer = client.asks(&format!("k{n}")).await;
+            let answer = client.ask(&format!("k{n}")).await;
             (client, answer)
         });
     }
@@ -123,20 +127,20 @@
     }
 }
 
-/// No request was read and then left without an answer; no client here leaves.
-fn none_was_read_and_dropped(proxy: &Proxy, what: &str) {
+/// Checks that no request was read and then left unanswered. No client disconnects in these tests.
+fn assert_no_unanswered_request(proxy: &Proxy, what: &str) {
     let counters = proxy.counters().unwrap();
     let of = |name: &str| counters.get(name).copied().unwrap_or_default();
     assert_eq!((of("pg_unanswered"), of("closed_dropped"), of("left")), (0, 0, 0), "{what}: {counters:?}");
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_silent_or_resting_connection_is_answered() {
-    let world = World::new(1_024);
+fn a_request_during_the_close_of_an_unused_or_idle_connection_is_answered() {
+    let rig = Rig::new(1_024);
     runtime().block_on(async {
-        for (odata, silent) in [false, true].into_iter().zip(SILENT) {
-            let proxy = Proxy::start(&world.setup).unwrap();
-            for (served, limit) in [(false, silent), (true, IDLE)] {
+        for (odata, silent) in [false, true].into_iter().zip(FIRST_REQUEST_LIMITS) {
+            let proxy = Proxy::start(&rig.setup).unwrap();
+            for (served, limit) in [(false, silent), (true, IDLE_LIMIT)] {
                 let mut clients = Vec::new();
                 for _ in 0..8 {
                     clients.push(match served {
@@ -144,21 +148,21 @@
                         false => Client::new(&proxy, odata).await,
                     });
                 }
-                tokio::time::sleep(limit - BEFORE).await;
+                tokio::time::sleep(limit - STOP_BEFORE_LIMIT).await;
                 let what = format!("OData {odata}, served before {served}");
-                all_answered(&proxy, OVER, clients, &what).await;
-                none_was_read_and_dropped(&proxy, &what);
+                assert_all_answered(&proxy, STOPPED_FOR, clients, &what).await;
+                assert_no_unanswered_request(&proxy, &what);
             }
         }
     });
 }
 
 #[test]
-fn requests_that_cross_the_end_of_the_process_are_answered() {
-    let world = World::new(1_024);
+fn requests_during_process_shutdown_are_answered() {
+    let rig = Rig::new(1_024);
     runtime().block_on(async {
         for odata in [false, true] {
-            let mut proxy = Proxy::start(&world.setup).unwrap();
+            let mut proxy = Proxy::start(&rig.setup).unwrap();
             let mut clients = Vec::new();
             for served in [false, true, false, true, false, true] {
                 clients.push(match served {
@@ -167,82 +171,85 @@
                 });
             }
             proxy.signal("TERM").unwrap();
-            tokio::time::sleep(STILL_COMING - BEFORE).await;
-            all_answered(&proxy, OVER, clients, &format!("OData {odata}")).await;
+            tokio::time::sleep(SHUTDOWN_GRACE - STOP_BEFORE_LIMIT).await;
+            assert_all_answered(&proxy, STOPPED_FOR, clients, &format!("OData {odata}")).await;
             assert!(proxy.wait().unwrap().success());
         }
     });
 }
 
 #[test]
-fn requests_that_cross_the_eviction_of_their_connections_are_answered() {
+fn requests_during_the_eviction_of_their_connections_are_answered() {
     // 40 descriptors leave four permits for clients.
-    let world = World::new(40);
+    let rig = Rig::new(40);
     runtime().block_on(async {
         for odata in [false, true] {
-            let proxy = Proxy::start(&world.setup).unwrap();
+            let proxy = Proxy::start(&rig.setup).unwrap();
             let mut clients = vec![Client::served(&proxy, odata).await, Client::served(&proxy, odata).await];
             for _ in 0..2 {
                 clients.push(Client::new(&proxy, odata).await);
             }
-            // The silent ones count as such.
-            tokio::time::sleep(BEFORE).await;
+            // By now the connections without a request are eligible for eviction.
+            tokio::time::sleep(STOP_BEFORE_LIMIT).await;
             proxy.signal("STOP").unwrap();
             for _ in 0..4 {
                 clients.push(Client::new(&proxy, odata).await);
             }
-            all_answered(&proxy, Duration::ZERO, clients, &format!("OData {odata}")).await;
-            none_was_read_and_dropped(&proxy, &format!("OData {odata}"));
+            assert_all_answered(&proxy, Duration::ZERO, clients, &format!("OData {odata}")).await;
+            assert_no_unanswered_request(&proxy, &format!("OData {odata}"));
         }
     });
 }
 
-/// The first part of a request comes in time, and the rest when its limit is over.
+/// The first part of a request arrives in time, and the rest when its time limit has passed.
 #[test]
-fn the_rest_of_a_request_that_crosses_its_limit_is_answered() {
-    let world = World::new(1_024);
+fn a_request_whose_rest_arrives_as_its_time_limit_passes_is_answered() {
+    let rig = Rig::new(1_024);
     runtime().block_on(async {
-        let proxy = Proxy::start(&world.setup).unwrap();
+        let proxy = Proxy::start(&rig.setup).unwrap();
         let query = wire::query(&ask("k").sql(&request_id()));
         let text =
             "GET /records('k') HTTP/1.1\r\nHost: t\r\nSkip-Class: monthly-report\r\nSkip-Tenant: acme\r\n\
                     Skip-Group: 1\r\nSkip-Wait: 14000\r\n\r\n";
         let cases = [
-            (proxy.pg, [wire::startup(), query].concat(), UNFINISHED[0]),
-            (proxy.odata.unwrap(), text.as_bytes().to_vec(), UNFINISHED[1]),
+            (proxy.pg, [wire::startup(), query].concat(), INCOMPLETE_MESSAGE_LIMITS[0]),
+            (proxy.odata.unwrap(), text.as_bytes().to_vec(), INCOMPLETE_MESSAGE_LIMITS[1]),
         ];
         for (to, request, limit) in cases {
             let mut stream = TcpStream::connect(to).await.unwrap();
             let (first, rest) = request.split_at(request.len() - 20);
             stream.write_all(first).await.unwrap();
-            tokio::time::sleep(limit - BEFORE).await;
+            tokio::time::sleep(limit - STOP_BEFORE_LIMIT).await;
             proxy.signal("STOP").unwrap();
-            tokio::time::sleep(OVER).await;
+            tokio::time::sleep(STOPPED_FOR).await;
             stream.write_all(rest).await.unwrap();
             proxy.signal("CONT").unwrap();
-            let mut told = [0; 4_096];
+            let mut chunk = [0; 4_096];
             let mut all = Vec::new();
             let answered = |all: &[u8]| {
                 let text = String::from_utf8_lossy(all).into_owned();
                 text.contains("SELECT ") || text.contains("08P01") || text.contains("HTTP/1.1 ")
             };
             while !answered(&all) {
-                let read = tokio::time::timeout(PATIENCE, stream.read(&mut told)).await.expect("an answer");
+                let read =
+                    tokio::time::timeout(TEST_TIMEOUT, stream.read(&mut chunk)).await.expect("an answer");
                 let read = read.expect("no reset");
                 assert!(read > 0, "closed behind {:?}", String::from_utf8_lossy(&all));
-                all.extend(&told[..read]);
+                all.extend(&chunk[..read]);
             }
         }
     });
 }
 
-/// A client that holds its body back is told to go on, and its request answered, though the process ends meanwhile.
+/// A client that waits for `100 Continue` before it sends its body is told to continue, and its request is
+/// answered, though the process is ending.
 #[test]
-fn a_body_that_was_asked_for_is_answered_though_the_process_ends() {
-    let world = World::new(1_024);
+fn a_body_sent_after_100_continue_is_answered_though_the_process_ends() {
+    let rig = Rig::new(1_024);
     runtime().block_on(async {
-        let mut proxy = Proxy::start(&world.setup).unwrap();
-        // Times of first sends are told in whole seconds, and one before the process's start proves nothing.
+        let mut proxy = Proxy::start(&rig.setup).unwrap();
+        // The time of a first send has a resolution of seconds, and one before the process's start is no proof that
+        // the request has not run.
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         let body = "{\"k\":\"k\",\"v\":\"AQ\"}";
         let head = format!(
@@ -255,61 +262,67 @@
         );
         let mut stream = TcpStream::connect(proxy.odata.unwrap()).await.unwrap();
         proxy.signal("TERM").unwrap();
-        tokio::time::sleep(STILL_COMING - BEFORE).await;
+        tokio::time::sleep(SHUTDOWN_GRACE - STOP_BEFORE_LIMIT).await;
         stream.write_all(head.as_bytes()).await.unwrap();
-        let mut told = [0; 4_096];
-        let read = tokio::time::timeout(PATIENCE, stream.read(&mut told)).await.unwrap().unwrap();
-        assert!(told[..read].starts_with(b"HTTP/1.1 100"), "{:?}", String::from_utf8_lossy(&told[..read]));
-        tokio::time::sleep(OVER).await;
+        let mut chunk = [0; 4_096];
+        let read = tokio::time::timeout(TEST_TIMEOUT, stream.read(&mut chunk)).await.unwrap().unwrap();
+        assert!(chunk[..read].starts_with(b"HTTP/1.1 100"), "{:?}", String::from_utf8_lossy(&chunk[..read]));
+        tokio::time::sleep(STOPPED_FOR).await;
         stream.write_all(body.as_bytes()).await.unwrap();
         let mut all = Vec::new();
-        tokio::time::timeout(PATIENCE, stream.read_to_end(&mut all)).await.unwrap().unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut all)).await.unwrap().unwrap();
         assert!(all.starts_with(b"HTTP/1.1 201"), "{:?}", String::from_utf8_lossy(&all));
         assert!(proxy.wait().unwrap().success());
     });
 }
 
-/// The members hang through the whole end. A request that comes then on a connection which is still open would wait for 14 s, and the
-/// platform kills the process 3.7 s after it was told to end, as deadlines of over 3 s count as 3 s.
+/// The members do not answer during the whole shutdown. A late request on a connection that is still open would
+/// wait for 14 s, but the platform kills the process 3.7 s after asking it to stop, as deadlines of over 3 s count
+/// as 3 s.
 #[test]
-fn what_is_asked_late_in_the_end_is_answered_before_the_kill() {
-    const KILLED_AFTER: Duration = Duration::from_millis(3_700);
-    const SLOW_MACHINE: Duration = Duration::from_secs(5);
-    let world = World::new(1_024);
+fn late_requests_during_shutdown_are_answered_before_the_kill() {
+    const KILL_DELAY: Duration = Duration::from_millis(3_700);
+    const SLOW_MACHINE_MARGIN: Duration = Duration::from_secs(5);
+    let rig = Rig::new(1_024);
     runtime().block_on(async {
         for odata in [false, true] {
-            let proxy = Proxy::start(&world.setup).unwrap();
+            let proxy = Proxy::start(&rig.setup).unwrap();
             let mut client = Client::served(&proxy, odata).await;
-            world.primary.does(Behaviour::Hold);
+            rig.primary.does(Behaviour::Hold);
             proxy.signal("TERM").unwrap();
-            let told = Instant::now();
-            // What is out keeps the connection open while the process ends; the late one is sent before its answer has come.
+            let asked_to_stop = Instant::now();
+            // The open request keeps the connection open during shutdown; the late one is sent before its answer
+            // has arrived.
             let late = ask("late");
-            client.sends(&Ask { wait_ms: 2_000, ..ask("early") }).await;
-            tokio::time::sleep(STILL_COMING + BEFORE).await;
-            client.sends(&late).await;
+            client.send(&Ask { wait_ms: 2_000, ..ask("early") }).await;
+            tokio::time::sleep(SHUTDOWN_GRACE + STOP_BEFORE_LIMIT).await;
+            client.send(&late).await;
             for what in ["early", "late"] {
-                let answer = tokio::time::timeout(PATIENCE, client.hears()).await.expect("an answer");
+                let answer = tokio::time::timeout(TEST_TIMEOUT, client.answer()).await.expect("an answer");
                 assert!(answer.is_ok(), "OData {odata}, {what}: {answer:?}");
             }
-            assert!(told.elapsed() < KILLED_AFTER + SLOW_MACHINE, "OData {odata}: {:?}", told.elapsed());
-            world.primary.does(Behaviour::Answer);
+            assert!(
+                asked_to_stop.elapsed() < KILL_DELAY + SLOW_MACHINE_MARGIN,
+                "OData {odata}: {:?}",
+                asked_to_stop.elapsed()
+            );
+            rig.primary.does(Behaviour::Answer);
         }
     });
 }
 
-/// Whoever stands in the listener's queue while one process hands over to the next is answered by one of them.
+/// Clients in the listen backlog during a handover are answered by one of the two processes.
 #[test]
-fn a_full_queue_is_answered_when_another_process_takes_over() {
-    let mut world = World::new(1_024);
+fn clients_in_a_full_backlog_are_answered_during_a_handover() {
+    let mut rig = Rig::new(1_024);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
-    world.setup.listener = Some(Arc::new(listener));
+    rig.setup.listener = Some(Arc::new(listener));
     let shared = std::env::temp_dir().join(format!("linentrail-crossed-{}", std::process::id()));
     std::fs::create_dir_all(&shared).unwrap();
-    world.setup.shared = Some(shared.clone());
+    rig.setup.shared = Some(shared.clone());
     runtime().block_on(async {
-        let mut former = Proxy::start(&world.setup).unwrap();
+        let mut former = Proxy::start(&rig.setup).unwrap();
         former.signal("STOP").unwrap();
         let mut asking = tokio::task::JoinSet::new();
         for n in 0..60 {
@@ -319,8 +332,8 @@
         }
         former.signal("TERM").unwrap();
         former.signal("CONT").unwrap();
-        let next = Proxy::start(&world.setup).unwrap();
-        let answers = tokio::time::timeout(PATIENCE, asking.join_all()).await.expect("answers");
+        let next = Proxy::start(&rig.setup).unwrap();
+        let answers = tokio::time::timeout(TEST_TIMEOUT, asking.join_all()).await.expect("answers");
         for answer in answers {
             assert!(matches!(answer, Ok(Told::Served(_) | Told::Refused(_))), "{answer:?}");
         }
@@ -330,15 +343,15 @@
     let _ = std::fs::remove_dir_all(shared);
 }
 
-/// Memory for messages is gone: a sound query is refused, and its connection goes on.
+/// When the memory for messages is used up, a valid query is refused and its connection stays usable.
 #[test]
-fn a_query_that_finds_no_memory_is_refused_and_those_behind_it_are_answered() {
-    let mut world = World::new(1_024);
-    world.setup.config["limits"]["memory_mb"] = 16.into();
+fn a_query_without_memory_is_refused_and_later_ones_are_answered() {
+    let mut rig = Rig::new(1_024);
+    rig.setup.config["limits"]["memory_mb"] = 16.into();
     runtime().block_on(async {
-        let proxy = Proxy::start(&world.setup).unwrap();
+        let proxy = Proxy::start(&rig.setup).unwrap();
         let mut client = Pg::connect(proxy.pg).await.unwrap();
-        // Each claims 120,000 bytes of the 2 MiB that there are, and brings no more.
+        // Each reserves 120,000 of the 2 MiB available and sends nothing more.
         let mut holding = Vec::new();
         for _ in 0..20 {
             let mut holds = Pg::connect(proxy.pg).await.unwrap();
@@ -350,9 +363,11 @@
             [&long, &ask("k")].iter().flat_map(|a| wire::query(&a.sql(&request_id()))).collect();
         client.send(&queries).await.unwrap();
         for (what, refused) in [("long", true), ("behind it", false)] {
-            let told =
-                tokio::time::timeout(PATIENCE, client.answer()).await.expect("an answer").expect("no end");
-            assert_eq!(matches!(told, Told::Refused(_)), refused, "{what}: {told:?}");
+            let answer = tokio::time::timeout(TEST_TIMEOUT, client.answer())
+                .await
+                .expect("an answer")
+                .expect("no end");
+            assert_eq!(matches!(answer, Told::Refused(_)), refused, "{what}: {answer:?}");
         }
         drop(holding);
     });
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,12 +1,12 @@
-//! Events that cross, each forced on real sockets: a member keeps a connection back until the other event has happened.
-//! `docs/crossings.md` says what each order demands.
+//! Concurrent events in each possible order, forced on real sockets: a member delays a connection until the other
+//! event has happened. `docs/crossings.md` lists the required outcomes.
 #![allow(missing_docs)]
 
 mod scenario;
 use scenario::play;
 
 #[test]
-fn a_write_that_waits_for_its_connection_is_not_sent_to_a_member_announced_as_leaving_meanwhile() {
+fn a_write_waiting_for_its_connection_is_not_sent_to_a_member_that_starts_leaving() {
     play(
         "member p primary
          start watching patient
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_waits_for_its_connection_when_its_client_leaves_is_never_sent() {
+fn a_write_waiting_for_its_connection_is_never_sent_after_its_client_has_left() {
     for leaves in ["close", "fin"] {
         play(&format!(
             "member p primary
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_its_goodbye_has_left() {
+fn a_client_that_closes_after_its_terminate_message_has_left() {
     play(
         "member p primary
          start patient
@@ -61,8 +61,9 @@
 }
 
 #[test]
-fn an_end_that_stands_behind_unread_queries_is_seen_while_answers_are_owed() {
-    // Sixteen are read ahead; the end is behind the others. What was sent may run, and nothing more is sent for them.
+fn a_close_behind_unread_queries_is_noticed_while_answers_are_due() {
+    // Sixteen requests are read ahead, and the client's close is behind the others. Requests already sent may run;
+    // nothing more is sent for this client.
     let asked: String = (1..=20).map(|n| format!("a send read k{n} monthly-report\n")).collect();
     play(&format!(
         "member p primary
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_request_that_is_open_when_settings_get_shorter_still_has_its_time_at_the_end() {
+fn an_open_request_keeps_its_deadline_at_shutdown_after_deadlines_were_shortened() {
     play(
         "member p primary
          start
@@ -113,8 +114,9 @@
 }
 
 #[test]
-fn a_connection_from_before_a_member_has_moved_carries_nothing_more() {
-    // The answer that comes after the move is the client's; its connection leads to whoever has the former address now.
+fn a_connection_to_a_members_former_address_carries_no_further_request() {
+    // The answer that arrives after the move goes to the client, but its connection leads to whoever has the former
+    // address now.
     play(
         "member p primary
          start watching
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn what_waits_for_its_connection_when_its_member_moves_goes_to_the_new_address() {
+fn a_write_waiting_for_its_connection_when_its_member_moves_goes_to_the_new_address() {
     play(
         "member p primary
          start watching patient
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn a_booking_that_nobody_waits_for_any_more_is_dropped_before_it_is_sent_and_runs_on_after() {
+fn a_booking_without_waiting_clients_is_dropped_before_it_is_sent_and_completes_after() {
     play(
         "member p primary
          start odata patient
@@ -182,8 +184,9 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_the_list_out_when_discovery_is_back() {
-    // 60 descriptors; clients hold and ask for more of them than there are while every call to discovery fails.
+fn idle_clients_that_use_all_descriptors_do_not_keep_a_recovered_discovery_from_being_called() {
+    // The process may open 60 descriptors. Clients hold more connections than that while every call to discovery
+    // fails.
     let each = |what: &str| (0..60).map(|n| what.replace('#', &n.to_string()) + "\n").collect::<String>();
     play(&format!(
         "member p primary
@@ -206,8 +209,8 @@
 }
 
 #[test]
-fn where_lists_are_pushed_the_agent_is_called_from_the_start_and_again_after_any_failure() {
-    // What it holds counts as told whether or not this process has called.
+fn the_agent_that_pushes_lists_is_called_from_the_start_and_after_every_failure() {
+    // What the agent holds counts as known to the proxy, whether or not this process has called.
     play(
         "member p primary
          member r replica 0
@@ -239,8 +242,8 @@
 }
 
 #[test]
-fn the_list_of_the_start_is_confirmed_at_once_where_nothing_has_changed() {
-    // A watch would wait for a change first, and nothing may be sent meanwhile once that list is too old.
+fn the_list_held_at_startup_is_confirmed_at_once_if_nothing_has_changed() {
+    // A watch would wait for a change first, and once that list is too old no request may be sent.
     play(
         "member p primary
          start watching
@@ -256,8 +259,9 @@
 }
 
 #[test]
-fn a_move_of_discovery_is_one_move_whatever_becomes_of_the_calls_after_it() {
-    // Each failed call is followed by the module's pause; were it taken for a move, the whole list would be asked for at once.
+fn a_move_of_discovery_counts_once_even_if_the_calls_after_it_fail() {
+    // Each failed call is followed by the module's delay. If it counted as a move, the whole list would be
+    // requested at once.
     play(
         "member p primary
          start watching
