--- a/src/net/client_listeners.rs
+++ b/src/net/client_listeners.rs
@@ -17,7 +17,7 @@
 /// The listeners on which clients are accepted.
 pub struct ClientListeners {
     /// When the process started, and so the earliest time at which a client can have connected.
-    began: Instant,
+    started: Instant,
     phase_rx: PhaseReceiver,
     /// One task per listener that accepts clients. Its result refuses late clients; there is none where another
     /// process accepts them.
@@ -27,8 +27,8 @@
 
 impl ClientListeners {
     /// Starts without listeners. `phase_rx` reports the phase of the process.
-    pub fn new(began: Instant, phase_rx: PhaseReceiver) -> Self {
-        ClientListeners { began, phase_rx, accepting: JoinSet::new(), refusing: JoinSet::new() }
+    pub fn new(started: Instant, phase_rx: PhaseReceiver) -> Self {
+        ClientListeners { started, phase_rx, accepting: JoinSet::new(), refusing: JoinSet::new() }
     }
 
     /// Accepts clients of a listener; they wait at the gate until the front is ready and are counted by `counter`.
@@ -41,12 +41,12 @@
         gate: StartGate<F>,
     ) -> Option<SocketAddr> {
         let address = listener.local_addr().ok();
-        let acceptor = gate.acceptor(listener, self.began, counter, budget);
+        let acceptor = gate.acceptor(listener, self.started, counter, budget);
         let phase_rx = self.phase_rx.clone();
         self.accepting.spawn(async move {
             let acceptor = acceptor.accept_all(phase_rx.clone()).await?;
-            let refuses: LateRefusals = Box::pin(acceptor.refuse_all(phase_rx));
-            Some(refuses)
+            let refusals: LateRefusals = Box::pin(acceptor.refuse_all(phase_rx));
+            Some(refusals)
         });
         address
     }
@@ -55,8 +55,8 @@
     /// backlogs has been accepted. Clients that connect later are refused. Cancel safe.
     pub async fn serve_backlogs(&mut self) {
         while let Some(listener) = self.accepting.join_next().await {
-            let refuses = listener.ok().flatten();
-            refuses.into_iter().for_each(|refuses| drop(self.refusing.spawn(refuses)));
+            let refusals = listener.ok().flatten();
+            refusals.into_iter().for_each(|refusals| drop(self.refusing.spawn(refusals)));
         }
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -439,7 +439,11 @@
         let read = json.and_then(|json| self.lists.read(&json, self.held));
         if read.is_none() {
             count(Count::list_dropped);
-            log::warn!(target: LOG_TARGET, "dropping a list of {} bytes: truncated, invalid, too long or too old", body.len());
+            log::warn!(
+                target: LOG_TARGET,
+                "dropping a list of {} bytes: truncated, invalid, too long or too old",
+                body.len()
+            );
         }
         let (version, whole, entries) = read?;
         (self.held, self.renewing, self.confirmed) = (Some(version), true, true);
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -16,8 +16,7 @@
 pub enum ReadEvent<T> {
     /// A complete message, an error, or the end of the connection.
     Message(Option<T>),
-    /// The first bytes of a message have arrived, but not all of it. Not reported when `part` says that this is
-    /// known.
+    /// The first bytes of a message have arrived, but not all of it. Not reported again if `partial_seen` is set.
     Partial,
 }
 
@@ -33,11 +32,13 @@
 /// these.
 pub async fn read_next<S: AsyncRead + Unpin, C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<S, C>,
-    part: bool,
+    partial_seen: bool,
 ) -> ReadEvent<<Framed<S, C> as Stream>::Item> {
     poll_fn(|cx| match conn.poll_next_unpin(cx) {
         Poll::Ready(message) => Poll::Ready(ReadEvent::Message(message)),
-        Poll::Pending if !part && (!conn.read_buffer().is_empty() || conn.codec().holds_partial()) => {
+        Poll::Pending
+            if !partial_seen && (!conn.read_buffer().is_empty() || conn.codec().holds_partial()) =>
+        {
             Poll::Ready(ReadEvent::Partial)
         }
         Poll::Pending => Poll::Pending,
@@ -45,16 +46,16 @@
     .await
 }
 
-/// Reads the next event, or only waits for the end of the connection when `reads` is false. Reading is paused while
-/// answers are due, but the end must still be noticed so that nothing more is sent on behalf of a client that has
-/// gone.
+/// Reads the next event, or only waits for the end of the connection when `reading` is false. Reading is paused
+/// while answers are due, but the end must still be noticed so that nothing more is sent on behalf of a client that
+/// has gone.
 pub async fn read_next_or_close<C: Decoder + BuffersPartial + Unpin>(
     conn: &mut Framed<Socket, C>,
-    reads: bool,
-    part: bool,
+    reading: bool,
+    partial_seen: bool,
 ) -> ReadEvent<<Framed<Socket, C> as Stream>::Item> {
-    if reads {
-        return read_next(conn, part).await;
+    if reading {
+        return read_next(conn, partial_seen).await;
     }
     conn.get_mut().wait_closed().await;
     ReadEvent::Message(None)
