--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -41,8 +41,10 @@
     async fn attempt(address: SocketAddr, statement: usize, timeout: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
-        let state =
-            SharedMemberState::new(address, SocketTimes { connect_timeout: TEST_TIMEOUT, keepalive: TEST_TIMEOUT });
+        let state = SharedMemberState::new(
+            address,
+            SocketTimes { connect_timeout: TEST_TIMEOUT, keepalive: TEST_TIMEOUT },
+        );
         let (core, reports) = mpsc::channel(8);
         let (commands, mailbox) = mpsc::channel(8);
         let protocol = PgConnector::new(budget.bytes.clone());
--- a/src/net/member_actors_tests.rs
+++ b/src/net/member_actors_tests.rs
@@ -126,8 +126,9 @@
 #[test]
 fn a_member_that_leaves_while_its_mailbox_is_full_gets_no_new_statement() {
     for service_state in [ServiceState::Draining, ServiceState::Removed] {
-        let (outcomes, written, _) =
-            run_with_full_mailbox(|actors| actors.update_list(ListKind::Changes, &[listed(service_state, 9)]));
+        let (outcomes, written, _) = run_with_full_mailbox(|actors| {
+            actors.update_list(ListKind::Changes, &[listed(service_state, 9)])
+        });
         assert_eq!(written, 0, "{service_state:?}");
         assert!(outcomes.iter().all(|o| *o == Outcome::Superseded), "{service_state:?}");
     }
