--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -86,16 +86,16 @@
 }
 
 impl DescriptorBudget {
-    /// Permits for `size` sockets, at most `idle` of which may be idle. With `refuses`, a few are reserved for
+    /// Permits for `size` sockets, at most `max_idle` of which may be idle. With `refuses`, a few are reserved for
     /// refusals.
-    fn new(size: usize, idle: usize, refuses: bool) -> Self {
+    fn new(size: usize, max_idle: usize, refuses: bool) -> Self {
         // With few permits, the one for refusals comes from the reserved descriptors.
         let refusals = if refuses { (size / REFUSAL_DIVISOR).min(MAX_REFUSAL_PERMITS) } else { 0 };
         let (size, refusals_size) = (size - refusals, refusals.max(1));
         DescriptorBudget(Arc::new(DescriptorState {
             permits: Arc::new(Semaphore::new(size)),
             unused: EvictionQueue::new(usize::MAX),
-            idle: EvictionQueue::new(idle),
+            idle: EvictionQueue::new(max_idle),
             refusal_permits: Arc::new(Semaphore::new(refusals_size)),
             refusals: EvictionQueue::new(usize::MAX),
             size,
@@ -309,9 +309,9 @@
         let free = limit.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         let clients = free * 5 / 9;
         let bytes = (memory.saturating_sub(RESERVED_MEMORY) / COPIES_PER_MESSAGE).max(MIN_BYTE_BUDGET);
-        let idle = (limit / IDLE_DIVISOR).max(2);
+        let max_idle = (limit / IDLE_DIVISOR).max(2);
         Budget {
-            clients: DescriptorBudget::new(clients, idle, true),
+            clients: DescriptorBudget::new(clients, max_idle, true),
             members: DescriptorBudget::new(free - clients, usize::MAX, false),
             bytes: ByteBudget::new(bytes),
         }
--- a/src/net/client_close.rs
+++ b/src/net/client_close.rs
@@ -6,9 +6,9 @@
 //!
 //! | close | input that can still arrive | what happens to it |
 //! | --- | --- | --- |
-//! | [`close_if_idle`], client answered before | a request after the check | left unread, so that the client sends it again elsewhere |
-//! | [`close_if_idle`], client never answered | its first request | the final message, a refusal, is its answer |
-//! | [`close_after_last_message`], [`close_with_error`], [`refuse`] | anything after a fatal error | the error is its answer |
+//! | [`close_if_idle`], answered before | a request after the check | left unread; the client sends it again |
+//! | [`close_if_idle`], never answered | its first request | the final message, a refusal, is its answer |
+//! | [`close_after_last_message`], [`close_with_error`], [`refuse`] | input after an error | the error is its answer |
 //! | [`close_as_announced`] | a request after the response that announced the close | left unread |
 //! | [`closed_by_client`] | none, as the client has gone | |
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -301,7 +301,7 @@
             return !self.core.is_closed();
         }
         tokio::select! {
-            asks = requests.recv() => return asks.is_some(),
+            request = requests.recv() => return request.is_some(),
             Ok(()) = service.changed() => self.on_move(),
         }
         true
--- a/src/net/member_actor.rs
+++ b/src/net/member_actor.rs
@@ -183,10 +183,10 @@
     fn handle(&mut self, command: MemberCommand) {
         self.apply_shared_state();
         match command {
-            MemberCommand::Attempt(attempt) => self.attempt(attempt),
+            MemberCommand::Attempt(attempt) => self.start_attempt(attempt),
             MemberCommand::Cancel(id, number) => self.end_attempt((id, number)),
             MemberCommand::Withdrawn => self.end_withdrawn(),
-            MemberCommand::Probe => self.probe(),
+            MemberCommand::Probe => self.start_probe(),
             MemberCommand::Changed => {}
         }
     }
@@ -253,7 +253,7 @@
         (ConnectionSource { ready, safe, address, timeout, budget, protocol }, timer)
     }
 
-    fn attempt(&mut self, attempt: Attempt) {
+    fn start_attempt(&mut self, attempt: Attempt) {
         // Withdrawn while it was in the mailbox.
         if !self.state.is_pending(attempt.key()) {
             return self.report_end(attempt.key(), Outcome::Superseded, 0);
@@ -331,7 +331,7 @@
         self.running.insert(key, Running { task: task.abort_handle(), since });
     }
 
-    fn probe(&mut self) {
+    fn start_probe(&mut self) {
         let ((source, timer), core, id) = (self.connection_source(true), self.core.clone(), self.id);
         let (task_ended, moves) = (self.task_ended.clone(), self.moves);
         self.probing += 1;
--- a/src/net/member_actor_tests.rs
+++ b/src/net/member_actor_tests.rs
@@ -38,7 +38,7 @@
 
 impl ActorRig {
     /// Starts an actor for the member at `address` and gives it an attempt whose time is over after `timeout` us.
-    async fn attempt(address: SocketAddr, statement: usize, timeout: Time, safe: bool) -> Self {
+    async fn start(address: SocketAddr, statement: usize, timeout: Time, safe: bool) -> Self {
         let clock = Clock::start();
         let budget = Budget::new(64, 1 << 28);
         let state = SharedMemberState::new(
@@ -137,7 +137,7 @@
 fn an_attempt_that_times_out_while_being_written_never_arrives_whole() {
     let (outcome, member) = block_on(async {
         let member = SlowReader::start();
-        let outcome = ActorRig::attempt(member.address, LARGE, 300_000, false).await.outcome().await;
+        let outcome = ActorRig::start(member.address, LARGE, 300_000, false).await.outcome().await;
         (outcome, member)
     });
     assert!(matches!(outcome, Outcome::Refused | Outcome::Superseded), "{outcome:?}");
@@ -148,7 +148,7 @@
 fn an_attempt_that_times_out_after_its_last_byte_is_not_reported_as_never_run() {
     let (outcome, member) = block_on(async {
         let member = SlowReader::start();
-        let outcome = ActorRig::attempt(member.address, 64, 300_000, false).await.outcome().await;
+        let outcome = ActorRig::start(member.address, 64, 300_000, false).await.outcome().await;
         (outcome, member)
     });
     // On a slow machine the attempt may not even have begun.
@@ -159,7 +159,7 @@
 fn an_attempt_cancelled_while_being_written_is_not_reported_as_never_run() {
     let (outcome, member) = block_on(async {
         let mut member = SlowReader::start();
-        let mut rig = ActorRig::attempt(member.address, LARGE, TEST_TIMEOUT, false).await;
+        let mut rig = ActorRig::start(member.address, LARGE, TEST_TIMEOUT, false).await;
         (&mut member.begun).await.expect("the first byte comes");
         rig.cancel().await;
         (rig.outcome().await, member)
@@ -175,7 +175,7 @@
         SockRef::from(&*client).set_linger(Some(Duration::ZERO))
     });
     let outcome =
-        block_on(async { ActorRig::attempt(address, LARGE, TEST_TIMEOUT, false).await.outcome().await });
+        block_on(async { ActorRig::start(address, LARGE, TEST_TIMEOUT, false).await.outcome().await });
     assert_eq!(outcome, Outcome::Refused);
     member.join().expect("no panic").expect("its client came");
 }
@@ -187,7 +187,7 @@
         SockRef::from(&*client).set_linger(Some(Duration::ZERO))
     });
     let outcome =
-        block_on(async { ActorRig::attempt(address, 4096, TEST_TIMEOUT, false).await.outcome().await });
+        block_on(async { ActorRig::start(address, 4096, TEST_TIMEOUT, false).await.outcome().await });
     assert_eq!(outcome, Outcome::Reset);
     member.join().expect("no panic").expect("its client came");
 }
@@ -202,7 +202,7 @@
         Ok(())
     });
     let ends = block_on(async {
-        let mut rig = ActorRig::attempt(address, 64, TEST_TIMEOUT, true).await;
+        let mut rig = ActorRig::start(address, 64, TEST_TIMEOUT, true).await;
         let Some(Input::Ended(_, _, ending)) = rig.reports.recv().await else { panic!("no end") };
         rig.cancel().await;
         // The member closes the connection only after the cancellation.
@@ -226,7 +226,7 @@
         Ok(read_query(client).is_ok())
     });
     let asked_again = block_on(async {
-        let mut rig = ActorRig::attempt(address, 64, TEST_TIMEOUT, false).await;
+        let mut rig = ActorRig::start(address, 64, TEST_TIMEOUT, false).await;
         assert_eq!(rig.outcome().await, Outcome::Errored);
         rig.send_attempt((RequestId(8), 0), 64, TEST_TIMEOUT, true).await;
         tokio::task::spawn_blocking(|| member.join()).await.expect("it is waited for")
@@ -249,7 +249,7 @@
         Ok(asked)
     });
     let outcome = block_on(async {
-        let mut rig = ActorRig::attempt(address, 64, TEST_TIMEOUT, safe).await;
+        let mut rig = ActorRig::start(address, 64, TEST_TIMEOUT, safe).await;
         let outcome = rig.outcome().await;
         assert_eq!(rig.all_ends(outcome).await, [outcome]);
         outcome
--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -108,11 +108,11 @@
     }
 }
 
-/// Stops the program, waits for `over`, sends a request on each connection, continues the program and expects an
+/// Stops the program, waits for `pause`, sends a request on each connection, continues the program and expects an
 /// answer to each request.
-async fn assert_all_answered(proxy: &Proxy, over: Duration, clients: Vec<Client>, what: &str) {
+async fn assert_all_answered(proxy: &Proxy, pause: Duration, clients: Vec<Client>, what: &str) {
     proxy.signal("STOP").unwrap();
-    tokio::time::sleep(over).await;
+    tokio::time::sleep(pause).await;
     let mut asking = tokio::task::JoinSet::new();
     for (n, mut client) in clients.into_iter().enumerate() {
         asking.spawn(async move {
@@ -130,8 +130,12 @@
 /// Checks that no request was read and then left unanswered. No client disconnects in these tests.
 fn assert_no_unanswered_request(proxy: &Proxy, what: &str) {
     let counters = proxy.counters().unwrap();
-    let of = |name: &str| counters.get(name).copied().unwrap_or_default();
-    assert_eq!((of("pg_unanswered"), of("closed_dropped"), of("left")), (0, 0, 0), "{what}: {counters:?}");
+    let counter = |name: &str| counters.get(name).copied().unwrap_or_default();
+    assert_eq!(
+        (counter("pg_unanswered"), counter("closed_dropped"), counter("left")),
+        (0, 0, 0),
+        "{what}: {counters:?}"
+    );
 }
 
 #[test]
