--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,27 +1,27 @@
-//! HTTP/1.1, as far as discovery and OData need it; `httparse` reads the heads.
+//! A codec for the subset of HTTP/1.1 that discovery and OData need. Message heads are parsed by `httparse`.
 
-use crate::net::budget::{ByteBudget, ByteReservation};
-use crate::net::frames::BuffersPartial;
+use crate::net::budget::{ByteBudget, Share};
+use crate::net::frames::Holds;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest head taken in.
-const LONGEST_HEAD: usize = 16 * 1024;
-const HEADERS: usize = 64;
+/// Maximum length of a message head.
+const MAX_HEAD_LEN: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 
-/// What can be wrong with what was read.
+/// An error while reading a message.
 #[derive(Debug)]
 pub enum HttpError {
     /// The connection broke.
     Io(io::Error),
-    /// A head or body is longer than is taken in.
+    /// The head or body exceeds the maximum length.
     TooLong,
-    /// A message is malformed.
+    /// The message is malformed.
     Malformed(String),
-    /// All connections together hold as many bytes as memory allows.
-    NoRoom,
-    /// A message was begun and not ended in time.
+    /// The byte budget shared by all connections is exhausted.
+    BudgetExhausted,
+    /// The rest of a partially received message did not arrive in time.
     Unfinished,
 }
 
@@ -36,36 +36,36 @@
         match self {
             HttpError::Io(e) => write!(f, "{e}"),
             HttpError::TooLong => write!(f, "the message is too long"),
-            HttpError::NoRoom => write!(f, "no room for one more request; trying again is harmless"),
+            HttpError::BudgetExhausted => write!(f, "no room for one more request; trying again is harmless"),
             HttpError::Unfinished => write!(f, "the request was begun and not ended in time"),
             HttpError::Malformed(what) => write!(f, "the message is malformed: {what}"),
         }
     }
 }
 
-/// Header fields in their order; names compare without regard to case.
+/// Header fields in their original order; names are case-insensitive.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The first value of a name.
+    /// Returns the first value of a field.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// All values of a name.
+    /// Returns all values of a field.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// Adds a field.
+    /// Appends a field.
     pub fn add(&mut self, name: &str, value: impl Into<String>) {
         self.0.push((name.to_string(), value.into()));
     }
 
-    fn parsed(found: &[httparse::Header]) -> Self {
+    fn from_parsed(fields: &[httparse::Header]) -> Self {
         let text = |v: &[u8]| String::from_utf8_lossy(v).trim().to_string();
-        Headers(found.iter().map(|h| (h.name.to_string(), text(h.value))).collect())
+        Headers(fields.iter().map(|h| (h.name.to_string(), text(h.value))).collect())
     }
 
     fn connection_close(&self) -> bool {
@@ -76,7 +76,7 @@
 /// A client's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method.
+    /// Request method, such as `GET`.
     pub method: String,
     /// Path and query.
     pub target: String,
@@ -84,185 +84,196 @@
     pub headers: Headers,
     /// Body.
     pub body: Bytes,
-    /// The client wants no further request on this connection.
+    /// The client sends no further request on this connection.
     pub connection_close: bool,
 }
 
-/// What a server reads.
+/// Input read by a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Incoming {
-    /// The client holds a body back until it is told to go on: answer with [`HttpResponse::go_on`].
-    Expects,
-    /// A whole request.
+    /// The client waits for `100 Continue` before it sends the body; reply with [`HttpResponse::continue_response`].
+    ExpectContinue,
+    /// A complete request.
     Request(HttpRequest),
 }
 
 /// A server's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Header fields; the length is added by the codec.
+    /// Header fields, without `Content-Length`, which the codec adds.
     pub headers: Headers,
     /// Body.
     pub body: Bytes,
-    /// The connection ends with it.
+    /// The connection is closed after this response.
     pub connection_close: bool,
 }
 
 impl HttpResponse {
-    /// Tells a client to send the body that it holds back.
-    pub fn go_on() -> Self {
+    /// `100 Continue`, which makes the client send the body that it holds back.
+    pub fn continue_response() -> Self {
         HttpResponse { status: 100, headers: Headers::default(), body: Bytes::new(), connection_close: false }
     }
 }
 
 /// How a body is delimited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Body {
+enum BodyFraming {
     Length(usize),
     Chunked,
-    UntilEnd,
+    UntilClose,
 }
 
-/// A head that waits for its body.
+/// The first line of a message.
 #[derive(Debug)]
 enum Head {
     Request { method: String, target: String, minor: u8 },
     Response { status: u16, minor: u8 },
 }
 
-struct Reading {
+/// A message whose head has been read, and its body not completely.
+struct PartialMessage {
     head: Head,
     headers: Headers,
-    body: Body,
+    framing: BodyFraming,
     chunks: BytesMut,
-    /// The client waits to be told to go on.
-    expects: bool,
-    /// The body's share of the budget, from the moment that its length is known.
-    share: Option<ByteReservation>,
+    /// The client waits for `100 Continue`.
+    expects_continue: bool,
+    /// The body's share of the byte budget, taken once the body's maximum length is known.
+    share: Option<Share>,
 }
 
-fn body_of(headers: &Headers, response: Option<u16>) -> Result<Body, HttpError> {
+fn body_framing(headers: &Headers, response: Option<u16>) -> Result<BodyFraming, HttpError> {
     let malformed = |what: &str| Err(HttpError::Malformed(what.to_string()));
     if matches!(response, Some(100..=199 | 204 | 304)) {
-        return Ok(Body::Length(0));
+        return Ok(BodyFraming::Length(0));
     }
     if let Some(coding) = headers.get("Transfer-Encoding") {
         if headers.get("Content-Length").is_some() {
             return malformed("it has both a length and a transfer coding");
         }
         return match coding.eq_ignore_ascii_case("chunked") {
-            true => Ok(Body::Chunked),
+            true => Ok(BodyFraming::Chunked),
             false => malformed("its transfer coding is unknown"),
         };
     }
     let mut lengths = headers.all("Content-Length");
     match (lengths.next(), lengths.next()) {
         (Some(n), None) if n.bytes().all(|b| b.is_ascii_digit()) => {
-            n.parse().map(Body::Length).map_err(|_| HttpError::TooLong)
+            n.parse().map(BodyFraming::Length).map_err(|_| HttpError::TooLong)
         }
         (Some(_), _) => malformed("its length is unclear"),
-        (None, _) if response.is_some() => Ok(Body::UntilEnd),
-        (None, _) => Ok(Body::Length(0)),
+        (None, _) if response.is_some() => Ok(BodyFraming::UntilClose),
+        (None, _) => Ok(BodyFraming::Length(0)),
     }
 }
 
-/// What both ends share: a head, then its body.
-struct Reader {
-    reading: Option<Reading>,
-    longest: usize,
+/// Reads messages for both the client and the server: a head, then its body.
+struct MessageReader {
+    partial: Option<PartialMessage>,
+    max_body_len: usize,
     budget: Option<ByteBudget>,
 }
 
-impl Reader {
-    fn head(&mut self, src: &mut BytesMut, server: bool) -> Result<bool, HttpError> {
+impl MessageReader {
+    fn read_head(&mut self, src: &mut BytesMut, server: bool) -> Result<bool, HttpError> {
         let malformed = |e: httparse::Error| HttpError::Malformed(e.to_string());
-        let mut found = [httparse::EMPTY_HEADER; HEADERS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let (end, head, headers, status) = if server {
-            let mut parsed = httparse::Request::new(&mut found);
+            let mut parsed = httparse::Request::new(&mut fields);
             match parsed.parse(src).map_err(malformed)? {
                 httparse::Status::Complete(end) => {
                     let method = parsed.method.unwrap_or_default().to_string();
                     let target = parsed.path.unwrap_or_default().to_string();
                     let minor = parsed.version.unwrap_or(0);
-                    (end, Head::Request { method, target, minor }, Headers::parsed(parsed.headers), None)
+                    (end, Head::Request { method, target, minor }, Headers::from_parsed(parsed.headers), None)
                 }
-                httparse::Status::Partial => return self.partial(src),
+                httparse::Status::Partial => return self.check_head_len(src),
             }
         } else {
-            let mut parsed = httparse::Response::new(&mut found);
+            let mut parsed = httparse::Response::new(&mut fields);
             match parsed.parse(src).map_err(malformed)? {
                 httparse::Status::Complete(end) => {
                     let (status, minor) = (parsed.code.unwrap_or(0), parsed.version.unwrap_or(0));
-                    (end, Head::Response { status, minor }, Headers::parsed(parsed.headers), Some(status))
+                    (
+                        end,
+                        Head::Response { status, minor },
+                        Headers::from_parsed(parsed.headers),
+                        Some(status),
+                    )
                 }
-                httparse::Status::Partial => return self.partial(src),
+                httparse::Status::Partial => return self.check_head_len(src),
             }
         };
         src.advance(end);
-        let body = body_of(&headers, status)?;
-        let expects = headers.get("Expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
-        let most = match body {
-            Body::Length(n) if n > self.longest => return Err(HttpError::TooLong),
-            Body::Length(n) => n,
-            Body::Chunked | Body::UntilEnd => self.longest,
+        let framing = body_framing(&headers, status)?;
+        let expects_continue = headers.get("Expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
+        let body_len_limit = match framing {
+            BodyFraming::Length(n) if n > self.max_body_len => return Err(HttpError::TooLong),
+            BodyFraming::Length(n) => n,
+            BodyFraming::Chunked | BodyFraming::UntilClose => self.max_body_len,
         };
-        let share = self.budget.as_ref().map(|r| r.try_reserve(most).ok_or(HttpError::NoRoom)).transpose()?;
-        self.reading = Some(Reading { head, headers, body, chunks: BytesMut::new(), expects, share });
+        let share = self
+            .budget
+            .as_ref()
+            .map(|r| r.take(body_len_limit).ok_or(HttpError::BudgetExhausted))
+            .transpose()?;
+        self.partial =
+            Some(PartialMessage { head, headers, framing, chunks: BytesMut::new(), expects_continue, share });
         Ok(true)
     }
 
-    fn partial(&self, src: &BytesMut) -> Result<bool, HttpError> {
-        if src.len() > LONGEST_HEAD {
+    fn check_head_len(&self, src: &BytesMut) -> Result<bool, HttpError> {
+        if src.len() > MAX_HEAD_LEN {
             return Err(HttpError::TooLong);
         }
         Ok(false)
     }
 
-    /// The next whole message; `ended` when nothing more will come.
-    fn message(
+    /// Returns the next complete message. `at_eof`: no more input will arrive.
+    fn next_message(
         &mut self,
         src: &mut BytesMut,
         server: bool,
-        ended: bool,
+        at_eof: bool,
     ) -> Result<Option<(Head, Headers, Bytes, bool)>, HttpError> {
-        if self.reading.is_none() && (src.is_empty() || !self.head(src, server)?) {
+        if self.partial.is_none() && (src.is_empty() || !self.read_head(src, server)?) {
             return Ok(None);
         }
-        let Some(reading) = &mut self.reading else { return Ok(None) };
-        let body = match reading.body {
-            Body::Length(n) if src.len() >= n => src.split_to(n).freeze(),
-            Body::Length(_) => return Ok(None),
-            Body::UntilEnd if src.len() > self.longest => return Err(HttpError::TooLong),
-            Body::UntilEnd if ended => src.split().freeze(),
-            Body::UntilEnd => return Ok(None),
-            Body::Chunked => match chunked(src, &mut reading.chunks, self.longest)? {
-                true => reading.chunks.split().freeze(),
+        let Some(partial) = &mut self.partial else { return Ok(None) };
+        let body = match partial.framing {
+            BodyFraming::Length(n) if src.len() >= n => src.split_to(n).freeze(),
+            BodyFraming::Length(_) => return Ok(None),
+            BodyFraming::UntilClose if src.len() > self.max_body_len => return Err(HttpError::TooLong),
+            BodyFraming::UntilClose if at_eof => src.split().freeze(),
+            BodyFraming::UntilClose => return Ok(None),
+            BodyFraming::Chunked => match chunked(src, &mut partial.chunks, self.max_body_len)? {
+                true => partial.chunks.split().freeze(),
                 false => return Ok(None),
             },
         };
-        let Some(Reading { head, headers, body: kind, share, .. }) = self.reading.take() else {
+        let Some(PartialMessage { head, headers, framing: kind, share, .. }) = self.partial.take() else {
             return Ok(None);
         };
-        let body = share.map_or(body.clone(), |share| share.attach_to_copy(&body));
+        let body = share.map_or(body.clone(), |share| share.hold(&body));
         let minor = match &head {
             Head::Request { minor, .. } | Head::Response { minor, .. } => *minor,
         };
-        let connection_close = headers.connection_close() || minor == 0 || kind == Body::UntilEnd;
+        let connection_close = headers.connection_close() || minor == 0 || kind == BodyFraming::UntilClose;
         Ok(Some((head, headers, body, connection_close)))
     }
 }
 
-/// Takes whole chunks off `src`; true once the last one and its trailer have come.
-fn chunked(src: &mut BytesMut, body: &mut BytesMut, longest: usize) -> Result<bool, HttpError> {
+/// Moves complete chunks from `src` to `body`; returns true once the last chunk and its trailer have been read.
+fn chunked(src: &mut BytesMut, body: &mut BytesMut, max_body_len: usize) -> Result<bool, HttpError> {
     loop {
         let size = httparse::parse_chunk_size(src);
         let size = size.map_err(|_| HttpError::Malformed("a chunk's size cannot be read".to_string()))?;
         let httparse::Status::Complete((at, size)) = size else {
-            return if src.len() > LONGEST_HEAD { Err(HttpError::TooLong) } else { Ok(false) };
+            return if src.len() > MAX_HEAD_LEN { Err(HttpError::TooLong) } else { Ok(false) };
         };
-        let Some(size) = usize::try_from(size).ok().filter(|n| body.len().saturating_add(*n) <= longest)
+        let Some(size) = usize::try_from(size).ok().filter(|n| body.len().saturating_add(*n) <= max_body_len)
         else {
             return Err(HttpError::TooLong);
         };
@@ -273,7 +284,7 @@
                 .then_some(at + 2)
                 .or_else(|| src[at..].windows(4).position(|w| w == b"\r\n\r\n").map(|n| at + n + 4));
             let Some(end) = end else {
-                return if src.len() > LONGEST_HEAD { Err(HttpError::TooLong) } else { Ok(false) };
+                return if src.len() > MAX_HEAD_LEN { Err(HttpError::TooLong) } else { Ok(false) };
             };
             src.advance(end);
             return Ok(true);
@@ -291,19 +302,19 @@
     }
 }
 
-/// The server's end.
-pub struct HttpServer(Reader);
+/// The server side of the protocol.
+pub struct HttpServer(MessageReader);
 
 impl HttpServer {
-    /// One that takes bodies of up to `longest` bytes, as far as the budget goes.
-    pub fn new(longest: usize, budget: ByteBudget) -> Self {
-        HttpServer(Reader { reading: None, longest, budget: Some(budget) })
+    /// Creates a codec that accepts bodies of up to `max_body_len` bytes and counts them against the budget.
+    pub fn new(max_body_len: usize, budget: ByteBudget) -> Self {
+        HttpServer(MessageReader { partial: None, max_body_len, budget: Some(budget) })
     }
 }
 
-impl BuffersPartial for HttpServer {
-    fn holds_partial(&self) -> bool {
-        self.0.reading.is_some()
+impl Holds for HttpServer {
+    fn holds(&self) -> bool {
+        self.0.partial.is_some()
     }
 }
 
@@ -312,7 +323,7 @@
     type Error = HttpError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Incoming>, HttpError> {
-        if let Some((head, headers, body, connection_close)) = self.0.message(src, true, false)? {
+        if let Some((head, headers, body, connection_close)) = self.0.next_message(src, true, false)? {
             return Ok(match head {
                 Head::Request { method, target, .. } => {
                     Some(Incoming::Request(HttpRequest { method, target, headers, body, connection_close }))
@@ -320,8 +331,9 @@
                 Head::Response { .. } => None,
             });
         }
-        let expects = self.0.reading.as_mut().is_some_and(|r| std::mem::take(&mut r.expects));
-        Ok(expects.then_some(Incoming::Expects))
+        let expects_continue =
+            self.0.partial.as_mut().is_some_and(|r| std::mem::take(&mut r.expects_continue));
+        Ok(expects_continue.then_some(Incoming::ExpectContinue))
     }
 }
 
@@ -330,11 +342,11 @@
 
     fn encode(&mut self, response: HttpResponse, dst: &mut BytesMut) -> Result<(), HttpError> {
         dst.put_slice(format!("HTTP/1.1 {} {}\r\n", response.status, reason(response.status)).as_bytes());
-        put_fields(&response.headers, dst);
+        write_headers(&response.headers, dst);
         if response.connection_close {
             dst.put_slice(b"Connection: close\r\n");
         }
-        // A length on an answer that has no body by its status is not allowed.
+        // Content-Length is not allowed for a status that never has a body.
         if !matches!(response.status, 100 | 204) {
             dst.put_slice(format!("Content-Length: {}\r\n", response.body.len()).as_bytes());
         }
@@ -344,9 +356,9 @@
     }
 }
 
-fn put_fields(headers: &Headers, dst: &mut BytesMut) {
+fn write_headers(headers: &Headers, dst: &mut BytesMut) {
     for (name, value) in &headers.0 {
-        // A line break in a value would start a field of its own.
+        // A line break in a value would start another header field.
         let value = value.replace(['\r', '\n'], " ");
         dst.put_slice(format!("{name}: {value}\r\n").as_bytes());
     }
@@ -375,24 +387,24 @@
     }
 }
 
-/// The client's end.
-pub struct HttpClient(Reader);
+/// The client side of the protocol.
+pub struct HttpClient(MessageReader);
 
 impl HttpClient {
-    /// One that takes bodies of up to `longest` bytes.
-    pub fn new(longest: usize) -> Self {
-        HttpClient(Reader { reading: None, longest, budget: None })
+    /// Creates a codec that accepts bodies of up to `max_body_len` bytes.
+    pub fn new(max_body_len: usize) -> Self {
+        HttpClient(MessageReader { partial: None, max_body_len, budget: None })
     }
 
-    fn response(&mut self, src: &mut BytesMut, ended: bool) -> Result<Option<HttpResponse>, HttpError> {
-        Ok(self.0.message(src, false, ended)?.and_then(
-            |(head, headers, body, connection_close)| match head {
+    fn response(&mut self, src: &mut BytesMut, at_eof: bool) -> Result<Option<HttpResponse>, HttpError> {
+        Ok(self.0.next_message(src, false, at_eof)?.and_then(|(head, headers, body, connection_close)| {
+            match head {
                 Head::Response { status, .. } => {
                     Some(HttpResponse { status, headers, body, connection_close })
                 }
                 Head::Request { .. } => None,
-            },
-        ))
+            }
+        }))
     }
 }
 
@@ -414,7 +426,7 @@
 
     fn encode(&mut self, request: HttpRequest, dst: &mut BytesMut) -> Result<(), HttpError> {
         dst.put_slice(format!("{} {} HTTP/1.1\r\n", request.method, request.target).as_bytes());
-        put_fields(&request.headers, dst);
+        write_headers(&request.headers, dst);
         if !request.body.is_empty() {
             dst.put_slice(format!("Content-Length: {}\r\n", request.body.len()).as_bytes());
         }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -1,23 +1,23 @@
-//! The OData front: what every connection needs, how a client is refused, and what a request is answered with.
+//! The OData front: state shared by its connections, refusals, and the execution of calls.
 
-use super::reply::{self, Asked, Fault};
-use super::request::{self, Call, Facts, Form, Repeatable};
+use super::reply::{self, CallKind, ODataError};
+use super::request::{self, Call, CallParams, Repeatable, ResponseFormat};
 use super::session::{last_refusal, Conn, Session};
-use crate::class_table::ClassTable;
 use crate::clock::Clock;
-use crate::core::bookings::{BookingOutcome, BookingTry, Bookings};
+use crate::core::bookings::{Booked, Bookings, Try};
 use crate::core::counters::{count, Count};
-use crate::core::repeat_ledger::ClaimRequest;
-use crate::core::{Answer, ClientConnection, Handle, Operation, Request, Work};
+use crate::core::repeat_ledger::Candidate;
+use crate::core::{Answer, Handle, Operation, Presence, Request, Work};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{Budget, ByteBudget, ErrorPacer};
-use crate::net::client_close::{self, ConnectionClosed};
-use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
-use crate::net::listen::{PhaseReceiver, Refusal};
+use crate::net::budget::{Budget, ByteBudget, Pace};
+use crate::net::client_end::{self, Ended};
+use crate::net::frames::{next, ROOM};
+use crate::net::listen::{Closing, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
+use crate::terms::Terms;
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use std::future::Future;
@@ -28,27 +28,27 @@
 use tokio::sync::watch;
 use tokio_util::codec::Framed;
 
-/// A value in base64url with room for the rest of its JSON.
+/// Maximum length of a request body: the longest value in base64url and the rest of its JSON.
 pub(super) const MAX_BODY_LEN: usize = 128 * 1024;
-/// The module's last word comes no earlier than this before a deadline, in us.
-const LEAD: Time = 25_000;
-/// How long the bytes of a value that flows may take to come.
-const GATHER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the request of a client that is refused is waited for.
+/// The router gives up on a request at most this long before its deadline, in us.
+const LATE_MARGIN: Time = 25_000;
+/// Time limit for receiving all bytes of a streamed value.
+const COLLECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client that is to be refused may take to send its request.
 const REFUSED_REQUEST_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What every connection needs.
+/// State shared by all connections of the OData front.
 pub struct Front {
     core: Handle,
     bookings: Bookings,
-    class_table: watch::Receiver<Arc<ClassTable>>,
+    terms: watch::Receiver<Arc<Terms>>,
     pub(super) clock: Clock,
     pub(super) budget: Budget,
-    pub(super) pace: ErrorPacer,
+    pub(super) pace: Pace,
     answer_limit: AnswerLimit,
-    /// For the ids of statements.
+    /// Hashes `next_id` into the ids of statements.
     random: RandomState,
-    sent: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl ClientFront for Front {
@@ -58,8 +58,8 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: PhaseReceiver,
-    ) -> Result<ConnectionClosed, HttpError> {
+        closing: Closing,
+    ) -> Result<Ended, HttpError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -68,109 +68,111 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<ConnectionClosed, HttpError> {
+    ) -> Result<Ended, HttpError> {
         why.count();
-        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
-        Ok(client_close::refuse(conn, first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried)
+        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), ROOM);
+        Ok(client_end::refuse(conn, read_first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried)
             .await)
     }
 }
 
-/// Reads up to the first request, which a refusal answers.
-async fn first_request(conn: &mut Conn) {
-    let _ = read_next(conn, true).await;
+/// Reads the first request, to which a refusal is the response.
+async fn read_first_request(conn: &mut Conn) {
+    let _ = next(conn, true).await;
 }
 
 impl Front {
-    /// A front on the core.
+    /// Creates a front that submits its requests to `core`.
     pub fn new(
         core: Handle,
         bookings: Bookings,
-        class_table: watch::Receiver<Arc<ClassTable>>,
+        terms: watch::Receiver<Arc<Terms>>,
         clock: Clock,
-        (budget, pace): (Budget, ErrorPacer),
+        (budget, pace): (Budget, Pace),
         answer_limit: AnswerLimit,
     ) -> Self {
-        let (random, sent) = (RandomState::new(), AtomicU64::new(0));
-        Front { core, bookings, class_table, clock, budget, pace, answer_limit, random, sent }
+        let (random, next_id) = (RandomState::new(), AtomicU64::new(0));
+        Front { core, bookings, terms, clock, budget, pace, answer_limit, random, next_id }
     }
 
-    /// The response to a request that has waited so long, in us, before it could be read.
+    /// Returns the response to a request. `waited` is the time, in us, that the request waited before it was read.
     pub(super) async fn answer(
         &self,
         http: &HttpRequest,
-        client: Weak<dyn ClientConnection>,
+        client: Weak<dyn Presence>,
         waited: Time,
     ) -> HttpResponse {
-        let form = match request::form(http) {
-            Ok(form) => form,
-            Err(fault) => return refused(fault, Form::default()),
+        let format = match request::response_format(http) {
+            Ok(format) => format,
+            Err(error) => return error_response(error, ResponseFormat::default()),
         };
-        let class_table = self.class_table.borrow().clone();
-        let mut call = request::read(http, &class_table);
-        if let Ok(Call::Read(facts, _) | Call::Create { facts, .. }) = &mut call {
-            facts.wait = facts.wait.saturating_sub(waited);
+        let terms = self.terms.borrow().clone();
+        let mut call = request::parse(http, &terms);
+        if let Ok(Call::Read(params, _) | Call::Create { params, .. }) = &mut call {
+            params.wait = params.wait.saturating_sub(waited);
         }
         match call {
-            Ok(Call::Service) => reply::service(form),
-            Ok(Call::Metadata) => reply::metadata(form),
-            Ok(Call::Read(facts, key)) => {
-                let mut request = self.request(&class_table, facts, &key, None);
+            Ok(Call::Service) => reply::service(format),
+            Ok(Call::Metadata) => reply::metadata(format),
+            Ok(Call::Read(params, key)) => {
+                let mut request = self.build_request(&terms, params, &key, None);
                 request.client = Some(client);
                 let deadline = request.deadline;
-                let safe = class_table.classes[request.class].effect == Effect::Safe;
-                let answer = self.gathered(self.core.submit(request).await.await, safe).await;
-                reply::answer(form, Asked::Read(&key), answer, self.late(deadline))
+                let safe = terms.classes[request.class].repeat == Repeat::Safe;
+                let answer = self.collect_value(self.core.submit(request).await.await, safe).await;
+                reply::answer(format, CallKind::Read(&key), answer, self.is_late(deadline))
             }
-            Ok(Call::Create { facts, key, value, repeatable, minimal }) => {
-                let asked = Asked::Create { key: &key, minimal, repeatable: repeatable.is_some() };
-                let fingerprint = fingerprint(&class_table, &facts, &key, &value);
-                let answer_bytes = value.len() + 512;
-                let mut request = self.request(&class_table, facts, &key, Some(value));
+            Ok(Call::Create { params, key, value, repeatable, minimal }) => {
+                let call_kind = CallKind::Create { key: &key, minimal, repeatable: repeatable.is_some() };
+                let fingerprint = fingerprint(&terms, &params, &key, &value);
+                let weight = value.len() + 512;
+                let mut request = self.build_request(&terms, params, &key, Some(value));
                 let deadline = request.deadline;
                 let Some(Repeatable { id, first_sent }) = repeatable else {
                     request.client = Some(client);
                     let answer = self.core.submit(request).await.await;
-                    return reply::answer(form, asked, answer, self.late(deadline));
+                    return reply::answer(format, call_kind, answer, self.is_late(deadline));
                 };
-                let candidate = ClaimRequest { fingerprint, answer_bytes, first_sent };
-                match self.bookings.book(BookingTry { id, candidate }, request).await {
-                    BookingOutcome::Answer(answer) => reply::answer(form, asked, answer, self.late(deadline)),
-                    BookingOutcome::IdConflict => {
+                let candidate = Candidate { fingerprint, weight, first_sent };
+                match self.bookings.book(Try { id, candidate }, request).await {
+                    Booked::Answer(answer) => {
+                        reply::answer(format, call_kind, answer, self.is_late(deadline))
+                    }
+                    Booked::Differs => {
                         count(Count::odata_conflicts);
                         let text = "this Repeatability-Request-ID stands for another request";
-                        refused(Fault::new(412, "RepeatabilityConflict", text).rejected(), form)
+                        error_response(ODataError::new(412, "RepeatabilityConflict", text).rejected(), format)
                     }
-                    BookingOutcome::Unprovable => {
+                    Booked::Unprovable => {
                         count(Count::odata_unprovable);
                         let text = "it cannot be proved that it has not run: first sent too long ago, or its id cannot be looked up";
-                        refused(Fault::new(412, "RepeatabilityExpired", text).rejected(), form)
+                        error_response(ODataError::new(412, "RepeatabilityExpired", text).rejected(), format)
                     }
-                    BookingOutcome::ClaimedByPeer => {
+                    Booked::Elsewhere => {
                         count(Count::odata_elsewhere);
                         let text = "another process of this proxy has taken this id: it may have run there";
-                        refused(Fault::new(412, "RepeatabilityExpired", text).rejected(), form)
+                        error_response(ODataError::new(412, "RepeatabilityExpired", text).rejected(), format)
                     }
-                    BookingOutcome::NoRoom => {
+                    Booked::Full => {
                         let text = "no room to remember one more booking; nothing has run";
-                        refused(Fault::come_back(None, text).rejected(), form)
+                        error_response(ODataError::retry_later(None, text).rejected(), format)
                     }
                 }
             }
-            Err(fault) => refused(fault, form),
+            Err(error) => error_response(error, format),
         }
     }
 
-    /// An answer whose value is whole: this wire's form of it cannot be begun before it ends. The request has run; without
-    /// memory for its value it is refused only if it may safely run again.
-    async fn gathered(&self, answer: Answer, safe: bool) -> Answer {
+    /// Collects a streamed value, as a JSON response cannot be sent before the value is complete. The request has run by
+    /// now: if there is no memory for the value, it is refused only if it may safely run again.
+    async fn collect_value(&self, answer: Answer, safe: bool) -> Answer {
         let Answer::Served(mut value, position) = answer else { return answer };
-        let Some(flow) = value.stream.take() else { return Answer::Served(value, position) };
-        // As it is, and in base64 in its response.
-        let Some(_share) = self.budget.bytes.try_reserve(flow.length().saturating_mul(3)) else {
+        let Some(flow) = value.flow.take() else { return Answer::Served(value, position) };
+        // Three times its length: the value itself, and its base64 form in the response.
+        let Some(_share) = self.budget.bytes.take(flow.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
-        match tokio::time::timeout(GATHER_TIMEOUT, flow.collect()).await {
+        match tokio::time::timeout(COLLECT_TIMEOUT, flow.gather()).await {
             Ok(Some(bytes)) => {
                 value.bytes = Some(bytes);
                 Answer::Served(value, position)
@@ -179,38 +181,29 @@
         }
     }
 
-    /// Whether an answer given now comes of the deadline: the module gives up a little before it.
-    fn late(&self, deadline: Time) -> bool {
-        self.clock.now() + LEAD >= deadline
+    /// Whether an answer given now is due to the deadline: the router gives up slightly before it.
+    fn is_late(&self, deadline: Time) -> bool {
+        self.clock.now() + LATE_MARGIN >= deadline
     }
 
-    fn request(
+    fn build_request(
         &self,
-        class_table: &Arc<ClassTable>,
-        facts: Facts,
+        terms: &Arc<Terms>,
+        params: CallParams,
         key: &str,
         value: Option<Bytes>,
     ) -> Request {
-        let Facts { class, tenant, group, session, after, wait, repeat } = facts;
-        let id = self.random.hash_one(self.sent.fetch_add(1, Ordering::Relaxed));
+        let CallParams { class, tenant, group, session, after, wait, repeat } = params;
+        let id = self.random.hash_one(self.next_id.fetch_add(1, Ordering::Relaxed));
         let key_text = key.to_string();
-        let operation = Operation {
-            class_table: class_table.clone(),
-            id,
-            class,
-            tenant,
-            group,
-            after,
-            repeat,
-            key: key_text,
-            value,
-        };
+        let operation =
+            Operation { terms: terms.clone(), id, class, tenant, group, after, repeat, key: key_text, value };
         let work = Work::Operation(Arc::new(operation));
         let deadline = self.answer_limit.cap(self.clock.now().saturating_add(wait));
         let session: Option<Arc<str>> = session.map(Arc::from);
         let key_session = session.as_ref().filter(|s| &***s != key).map(|_| Arc::from(key));
         Request {
-            class_table: class_table.clone(),
+            terms: terms.clone(),
             name: None,
             class,
             tenant,
@@ -226,13 +219,13 @@
     }
 }
 
-/// Fingerprint of what a booking asks for; how long a try waits is not part of it. By names, as a reload may give a class
-/// another number, and by a hash that every version of the program works out alike.
-fn fingerprint(class_table: &ClassTable, facts: &Facts, key: &str, value: &[u8]) -> u64 {
-    let group = facts.group.to_be_bytes();
-    let session = facts.session.as_deref().unwrap_or_default();
-    let class = class_table.class_name(facts.class);
-    let tenant = class_table.names.tenants.get(facts.tenant).map_or("", |name| name);
+/// Fingerprint of a booking's content; the waiting time is not part of it. Uses the names of class and tenant, since a
+/// reload can change their indexes, and a hash that is the same in every version of the program.
+fn fingerprint(terms: &Terms, params: &CallParams, key: &str, value: &[u8]) -> u64 {
+    let group = params.group.to_be_bytes();
+    let session = params.session.as_deref().unwrap_or_default();
+    let class = terms.class_name(params.class);
+    let tenant = terms.names.tenants.get(params.tenant).map_or("", |name| name);
     let mut hash = Sha256::new();
     for field in [class.as_bytes(), tenant.as_bytes(), &group, session.as_bytes(), key.as_bytes(), value] {
         hash.update((field.len() as u64).to_be_bytes());
@@ -241,7 +234,8 @@
     hash.finalize().first_chunk().map_or(0, |first| u64::from_be_bytes(*first))
 }
 
-pub(super) fn refused(fault: Fault, form: Form) -> HttpResponse {
+/// Counts a rejected request and builds the response.
+pub(super) fn error_response(error: ODataError, format: ResponseFormat) -> HttpResponse {
     count(Count::odata_bad);
-    fault.response(form)
+    error.response(format)
 }
--- a/src/odata/mod.rs
+++ b/src/odata/mod.rs
@@ -1,6 +1,6 @@
-//! The OData front: 4.01, JSON, on the same core and under the same rules as the platform's protocol.
+//! The OData front: OData 4.01 in JSON, on the same core and under the same rules as the PostgreSQL front.
 //!
-//! [`request`] turns HTTP into typed calls, [`front`] carries them out, [`reply`] words what comes of them.
+//! [`request`] parses HTTP requests into typed calls, [`front`] executes them, [`reply`] builds the responses.
 
 pub mod front;
 pub mod reply;
--- a/src/odata/reply.rs
+++ b/src/odata/reply.rs
@@ -1,6 +1,6 @@
-//! From what came of a call to an HTTP response.
+//! Builds the HTTP response to a call.
 
-use super::request::{binary, Form, Metadata};
+use super::request::{encode_binary, MetadataLevel, ResponseFormat};
 use crate::core::{Answer, Value};
 use crate::http::{Headers, HttpResponse};
 use crate::interface::*;
@@ -9,12 +9,12 @@
 
 /// Name of the service's schema.
 const SCHEMA: &str = "SkipHire";
-/// When to come back where no one said, in us.
-const COME_BACK: Time = 1_000_000;
+/// Retry delay, in us, if the answer gives none.
+const DEFAULT_RETRY_AFTER: Time = 1_000_000;
 
-/// A call that cannot be carried out.
+/// An error response to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct ODataError {
     status: u16,
     code: &'static str,
     message: String,
@@ -23,43 +23,43 @@
     rejected: bool,
 }
 
-impl Fault {
-    /// One with a status, a code for programs and a message for people.
+impl ODataError {
+    /// Creates an error with an HTTP status, a machine-readable code and a human-readable message.
     pub fn new(status: u16, code: &'static str, message: impl Into<String>) -> Self {
-        Fault { status, code, message: message.into(), target: None, header: None, rejected: false }
+        ODataError { status, code, message: message.into(), target: None, header: None, rejected: false }
     }
 
-    /// What it is about.
-    pub fn at(mut self, target: &str) -> Self {
+    /// Sets the target: the part of the request that the error is about.
+    pub fn with_target(mut self, target: &str) -> Self {
         self.target = Some(target.to_string());
         self
     }
 
-    /// One more header field.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
+    /// Sets an additional header field.
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.header = Some((name, value.into()));
         self
     }
 
-    /// The Repeatable Requests headers were not taken.
+    /// Marks the Repeatable Requests headers as rejected.
     pub fn rejected(mut self) -> Self {
         self.rejected = true;
         self
     }
 
-    /// Trying again after so long is harmless.
-    pub fn come_back(after: Option<Time>, message: &str) -> Self {
-        let seconds = after.unwrap_or(COME_BACK).div_ceil(1_000_000).max(1);
-        Fault::new(503, "Refused", message).with("Retry-After", seconds.to_string())
+    /// Creates the error of a refused call that may safely be retried after `after`, in us.
+    pub fn retry_later(after: Option<Time>, message: &str) -> Self {
+        let seconds = after.unwrap_or(DEFAULT_RETRY_AFTER).div_ceil(1_000_000).max(1);
+        ODataError::new(503, "Refused", message).with_header("Retry-After", seconds.to_string())
     }
 
-    /// The response that tells it.
-    pub fn response(self, form: Form) -> HttpResponse {
+    /// Builds the error response.
+    pub fn response(self, format: ResponseFormat) -> HttpResponse {
         let mut error = json!({"code": self.code, "message": self.message});
         if let Some(target) = self.target {
             error["target"] = target.into();
         }
-        let mut response = json_response(self.status, form, &json!({ "error": error }));
+        let mut response = json_response(self.status, format, &json!({ "error": error }));
         if let Some((name, value)) = self.header {
             response.headers.add(name, value);
         }
@@ -70,37 +70,37 @@
     }
 }
 
-fn response(status: u16, form: Form, kind: &str, body: String) -> HttpResponse {
+fn response(status: u16, format: ResponseFormat, kind: &str, body: String) -> HttpResponse {
     let mut headers = Headers::default();
-    headers.add("OData-Version", form.version);
+    headers.add("OData-Version", format.version);
     if status != 204 {
         headers.add("Content-Type", kind);
     }
     HttpResponse { status, headers, body: Bytes::from(body), connection_close: false }
 }
 
-fn json_response(status: u16, form: Form, json: &Json) -> HttpResponse {
-    let metadata = match form.metadata {
-        Metadata::None => "none",
-        Metadata::Minimal => "minimal",
-        Metadata::Full => "full",
+fn json_response(status: u16, format: ResponseFormat, json: &Json) -> HttpResponse {
+    let metadata = match format.metadata {
+        MetadataLevel::None => "none",
+        MetadataLevel::Minimal => "minimal",
+        MetadataLevel::Full => "full",
     };
-    response(status, form, &format!("application/json;odata.metadata={metadata}"), json.to_string())
+    response(status, format, &format!("application/json;odata.metadata={metadata}"), json.to_string())
 }
 
-/// The service document.
-pub fn service(form: Form) -> HttpResponse {
+/// Builds the service document.
+pub fn service(format: ResponseFormat) -> HttpResponse {
     let sets = json!([{"name": "records", "kind": "EntitySet", "url": "records"}]);
-    let json = match form.metadata {
-        Metadata::None => json!({ "value": sets }),
+    let json = match format.metadata {
+        MetadataLevel::None => json!({ "value": sets }),
         _ => json!({"@odata.context": "$metadata", "value": sets}),
     };
-    json_response(200, form, &json)
+    json_response(200, format, &json)
 }
 
-/// The metadata document, CSDL in XML or JSON.
-pub fn metadata(form: Form) -> HttpResponse {
-    if form.xml {
+/// Builds the metadata document, CSDL in XML or JSON.
+pub fn metadata(format: ResponseFormat) -> HttpResponse {
+    if format.xml {
         let text = format!(
             r#"<?xml version="1.0" encoding="UTF-8"?>
 <edmx:Edmx Version="{version}" xmlns:edmx="http://docs.oasis-open.org/odata/ns/edmx">
@@ -118,9 +118,9 @@
   </edmx:DataServices>
 </edmx:Edmx>
 "#,
-            version = form.version
+            version = format.version
         );
-        return response(200, form, "application/xml", text);
+        return response(200, format, "application/xml", text);
     }
     let record = json!({
         "$Kind": "EntityType", "$Key": ["k"], "k": {"$MaxLength": 128},
@@ -129,15 +129,15 @@
     let container = json!({
         "$Kind": "EntityContainer", "records": {"$Collection": true, "$Type": format!("{SCHEMA}.Record")}
     });
-    let mut schema = json!({"$Version": form.version, "$EntityContainer": format!("{SCHEMA}.Container")});
+    let mut schema = json!({"$Version": format.version, "$EntityContainer": format!("{SCHEMA}.Container")});
     schema[SCHEMA] = json!({"Record": record, "Container": container});
-    json_response(200, form, &schema)
+    json_response(200, format, &schema)
 }
 
-/// The bytes of a value, in whichever form the member gave them.
-fn bytes_of(value: &Value) -> Option<Bytes> {
+/// Returns the bytes of a value, decoding the text format if the member sent that.
+fn decode_value(value: &Value) -> Option<Bytes> {
     let bytes = value.bytes.clone()?;
-    // Only bytea has a text form of its own; of other types the text is the value.
+    // Only bytea (type 17) is encoded in its text format; for other types the text is the value.
     if value.binary || value.type_id != 17 {
         return Some(bytes);
     }
@@ -150,13 +150,13 @@
     pairs.collect::<Option<Vec<u8>>>().map(Bytes::from)
 }
 
-/// One record.
-fn record(form: Form, key: &str, value: &Value) -> Option<Json> {
-    let mut record = json!({"k": key, "v": binary(&bytes_of(value)?)});
-    if form.metadata != Metadata::None {
+/// Builds the JSON of a record.
+fn record(format: ResponseFormat, key: &str, value: &Value) -> Option<Json> {
+    let mut record = json!({"k": key, "v": encode_binary(&decode_value(value)?)});
+    if format.metadata != MetadataLevel::None {
         record["@odata.context"] = "$metadata#records/$entity".into();
     }
-    if form.metadata == Metadata::Full {
+    if format.metadata == MetadataLevel::Full {
         record["@odata.type"] = format!("#{SCHEMA}.Record").into();
         record["@odata.id"] = url(key).into();
         record["v@odata.type"] = "#Binary".into();
@@ -169,63 +169,67 @@
     format!("records('{key}')")
 }
 
-/// What becomes of a call that reached the core: exactly one response.
-pub enum Asked<'a> {
+/// The kind of call that an answer of the core belongs to.
+pub enum CallKind<'a> {
     /// A read by key.
     Read(&'a str),
     /// A create.
     Create {
         /// Key.
         key: &'a str,
-        /// The record itself need not come back.
+        /// The client does not want the record in the response.
         minimal: bool,
-        /// It came with Repeatable Requests headers.
+        /// The request had Repeatable Requests headers.
         repeatable: bool,
     },
 }
 
-/// Words the final answer; `late`: the client's time is up.
-pub fn answer(form: Form, asked: Asked, answer: Answer, late: bool) -> HttpResponse {
-    let key = match asked {
-        Asked::Read(key) | Asked::Create { key, .. } => key,
+/// Builds the response from the core's answer. `late`: the client's deadline is reached or about to be.
+pub fn answer(format: ResponseFormat, call: CallKind, answer: Answer, late: bool) -> HttpResponse {
+    let key = match call {
+        CallKind::Read(key) | CallKind::Create { key, .. } => key,
     };
-    let fault = |fault: Fault| fault.response(form);
+    let error = |error: ODataError| error.response(format);
     let mut response = match answer {
         Answer::Served(value, position) => {
-            let body = record(form, key, &value);
-            let mut response = match (&asked, body) {
-                (Asked::Read(_), _) if value.rows == 0 => {
-                    fault(Fault::new(404, "NotFound", "there is no record of this key"))
+            let body = record(format, key, &value);
+            let mut response = match (&call, body) {
+                (CallKind::Read(_), _) if value.rows == 0 => {
+                    error(ODataError::new(404, "NotFound", "there is no record of this key"))
                 }
-                (Asked::Create { minimal: true, .. }, _) => {
-                    let mut response = response(204, form, "", String::new());
+                (CallKind::Create { minimal: true, .. }, _) => {
+                    let mut response = response(204, format, "", String::new());
                     response.headers.add("Preference-Applied", "return=minimal");
                     response
                 }
-                (_, None) => fault(Fault::new(502, "BadValue", "the member's value cannot be read")),
-                (Asked::Read(_), Some(record)) => json_response(200, form, &record),
-                (Asked::Create { .. }, Some(record)) => json_response(201, form, &record),
+                (_, None) => error(ODataError::new(502, "BadValue", "the member's value cannot be read")),
+                (CallKind::Read(_), Some(record)) => json_response(200, format, &record),
+                (CallKind::Create { .. }, Some(record)) => json_response(201, format, &record),
             };
-            if matches!(asked, Asked::Create { .. }) {
+            if matches!(call, CallKind::Create { .. }) {
                 response.headers.add("Location", format!("/{}", url(key)));
                 response.headers.add("OData-EntityId", format!("/{}", url(key)));
-                // For the client to carry in Skip-After, by whichever proxy it reads.
+                // The client sends this back in Skip-After when it reads, through any proxy.
                 if let Some(commit) = position {
                     response.headers.add("Skip-Commit", commit.div_ceil(1000).to_string());
                 }
             }
             response
         }
-        // Given up for want of time: a deadline, though trying again is harmless here too.
-        Answer::Refused(after) if late => {
-            fault(Fault { status: 504, code: "Late", ..Fault::come_back(after, "no answer in time") })
+        // Refused because the deadline was near: reported as a timeout, although a retry is safe here too.
+        Answer::Refused(after) if late => error(ODataError {
+            status: 504,
+            code: "Late",
+            ..ODataError::retry_later(after, "no answer in time")
+        }),
+        Answer::Refused(after) => error(ODataError::retry_later(after, "refused; trying again is harmless")),
+        Answer::Taken => {
+            error(ODataError::new(409, "Taken", "the id belongs to a request that is still open"))
         }
-        Answer::Refused(after) => fault(Fault::come_back(after, "refused; trying again is harmless")),
-        Answer::Taken => fault(Fault::new(409, "Taken", "the id belongs to a request that is still open")),
-        Answer::Failed => fault(Fault::new(502, "Failed", "failed; it may have had its effect")),
-        Answer::Late => fault(Fault::new(504, "Late", "no answer in time; it may have had its effect")),
+        Answer::Failed => error(ODataError::new(502, "Failed", "failed; it may have had its effect")),
+        Answer::Late => error(ODataError::new(504, "Late", "no answer in time; it may have had its effect")),
     };
-    if matches!(asked, Asked::Create { repeatable: true, .. }) {
+    if matches!(call, CallKind::Create { repeatable: true, .. }) {
         response.headers.add("Repeatability-Result", "accepted");
     }
     response
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -1,26 +1,26 @@
-//! One client's connection by OData: requests in, one response each, in their order.
+//! A client connection of the OData front. Each request gets one response, in the order of the requests.
 //!
-//! | state | ends by |
+//! | state | what ends it |
 //! | --- | --- |
-//! | never asked, or at rest | the client; `IDLE_TIMEOUT`; others who lack a permit; the end of the process; the first two of these once it was quiet |
-//! | a request is begun | its rest; `UNFINISHED_REQUEST_TIMEOUT` |
-//! | a response is owed | nothing but the client |
+//! | no request received | the client; `IDLE_TIMEOUT`; others in need of a permit, or the shutdown, both after `QUIET_MIN` |
+//! | idle between requests | the client; `IDLE_TIMEOUT`; others in need of a permit; the shutdown |
+//! | request partially received | the rest of the request; `UNFINISHED_REQUEST_TIMEOUT` |
+//! | response pending | only the client |
 //!
-//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
+//! Except where the client itself closes, the connection is closed through [`client_end`], which never closes a
+//! connection that has unanswered input.
 
-use super::front::{refused, Front, MAX_BODY_LEN};
-use super::reply::Fault;
-use super::request::Form;
+use super::front::{error_response, Front, MAX_BODY_LEN};
+use super::reply::ODataError;
+use super::request::ResponseFormat;
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
-use crate::net::budget::MIN_QUIET_TIME;
-use crate::net::client_close::{self, CloseReason, ConnectionClosed};
-use crate::net::frames::{
-    read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE,
-};
-use crate::net::listen::{wait_for_closing, PhaseReceiver, ProcessPhase, Refusal};
+use crate::net::budget::QUIET_MIN;
+use crate::net::client_end::{self, EndReason, Ended};
+use crate::net::frames::{next, next_or_end, shrink, Next, ROOM};
+use crate::net::held_up;
+use crate::net::listen::{closed, Closing, Phase, Refusal};
 use crate::net::socket::Socket;
-use crate::net::stall;
 use futures_util::SinkExt;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -30,208 +30,223 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// Requests read ahead on one connection while one is carried out.
+/// Maximum number of requests read ahead on a connection while one is executed.
 const MAX_READ_AHEAD: usize = 8;
-/// How long a client may hold its connection between requests, and how long a request that was begun may take to end.
+/// Time after which an idle connection is closed, and time that the rest of a partially received request may take.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 const UNFINISHED_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may take to take in a response.
+/// Time limit for writing a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) type Conn = Framed<Socket, HttpServer>;
 
-/// What comes of waiting for a request.
-enum Waited {
-    /// One, or a head whose body is held back.
-    Came(Incoming),
-    /// The first bytes of one.
-    Part,
-    /// What cannot be read.
-    Fault(HttpError),
-    /// The client has ended its connection.
-    Left,
-    /// A reason to end the connection.
-    Ends(CloseReason),
+/// The result of waiting for a request.
+enum WaitResult {
+    /// A request, or the head of one whose client waits for `100 Continue`.
+    Input(Incoming),
+    /// The first bytes of a request.
+    Partial,
+    /// Input that cannot be read.
+    Error(HttpError),
+    /// The client closed the connection.
+    Closed,
+    /// The connection is to be closed for this reason.
+    End(EndReason),
 }
 
-/// What has come of a request, and of what was read behind it.
-struct Answered {
+/// The response to a request, with the state of the input read meanwhile.
+struct ResponseReady {
     response: HttpResponse,
-    /// What stands behind it cannot be read.
-    broken: Option<HttpError>,
+    /// The input after the request cannot be read.
+    read_error: Option<HttpError>,
 }
 
-/// A connection while it is served.
+/// A client connection that is being served.
 pub(super) struct Session {
     front: Arc<Front>,
     conn: Conn,
-    /// Requests that were read while another was carried out.
-    ahead: VecDeque<Incoming>,
-    /// Something was asked on it.
-    asked: bool,
-    /// A request is begun.
-    part: bool,
-    /// Since when nothing was asked and nothing answered.
-    rests: Instant,
-    /// Until when something more has to come.
-    until: Instant,
-    /// What has come until the first answer may have been sent since then.
-    waits_since: Option<std::time::Instant>,
+    /// Requests that were read while another one was executed.
+    read_ahead: VecDeque<Incoming>,
+    /// A request was received.
+    request_seen: bool,
+    /// A request is partially received.
+    partial: bool,
+    /// When the last response was sent, or the connection was opened.
+    idle_since: Instant,
+    /// Time by which more input has to arrive.
+    read_deadline: Instant,
+    /// Input received before the first request is answered may have been sent as early as this.
+    waiting_since: Option<std::time::Instant>,
 }
 
 impl Session {
-    /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
-    pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
+    /// Creates the session of a new connection, whose input may have been sent as early as `waiting_since`.
+    pub(super) fn new(front: Arc<Front>, waiting_since: Option<std::time::Instant>, stream: Socket) -> Self {
         let codec = HttpServer::new(MAX_BODY_LEN, front.budget.bytes.clone());
-        let conn = Framed::with_capacity(stream, codec, INITIAL_BUFFER_SIZE);
-        let rests = Instant::now();
-        let until = rests + IDLE_TIMEOUT;
-        let ahead = VecDeque::new();
-        Session { front, conn, ahead, asked: false, part: false, rests, until, waits_since }
+        let conn = Framed::with_capacity(stream, codec, ROOM);
+        let idle_since = Instant::now();
+        let read_deadline = idle_since + IDLE_TIMEOUT;
+        let read_ahead = VecDeque::new();
+        Session {
+            front,
+            conn,
+            read_ahead,
+            request_seen: false,
+            partial: false,
+            idle_since,
+            read_deadline,
+            waiting_since,
+        }
     }
 
-    /// Serves it to its end.
-    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, HttpError> {
+    /// Serves the connection until it is closed.
+    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, HttpError> {
         loop {
             let request = match self.wait(&mut closing).await {
-                Waited::Came(Incoming::Request(request)) => request,
-                Waited::Came(Incoming::Expects) => {
-                    self.conn.send(HttpResponse::go_on()).await?;
-                    self.begun();
+                WaitResult::Input(Incoming::Request(request)) => request,
+                WaitResult::Input(Incoming::ExpectContinue) => {
+                    self.conn.send(HttpResponse::continue_response()).await?;
+                    self.start_request_timeout();
                     continue;
                 }
-                Waited::Part => {
-                    self.begun();
+                WaitResult::Partial => {
+                    self.start_request_timeout();
                     continue;
                 }
-                Waited::Fault(fault) => return Box::pin(self.end_with(fault)).await,
-                Waited::Left => return Ok(client_close::closed_by_client(self.conn)),
-                Waited::Ends(reason) => match end_at_rest(&mut self.conn, reason, self.asked).await {
+                WaitResult::Error(error) => return Box::pin(self.end_with_error(error)).await,
+                WaitResult::Closed => return Ok(client_end::by_client(self.conn)),
+                WaitResult::End(reason) => match end_if_idle(&mut self.conn, reason, self.request_seen).await
+                {
                     Some(ended) => return Ok(ended),
                     None => {
-                        if reason == CloseReason::MadeRoom {
-                            self.front.budget.clients.request_eviction();
+                        if reason == EndReason::MadeRoom {
+                            self.front.budget.clients.ask_for_room();
                         }
                         continue;
                     }
                 },
             };
-            (self.part, self.asked) = (false, true);
-            let Some(Answered { mut response, broken }) = self.answer(&request).await? else {
-                return Ok(client_close::closed_by_client(self.conn));
+            (self.partial, self.request_seen) = (false, true);
+            let Some(ResponseReady { mut response, read_error }) = self.answer(&request).await? else {
+                return Ok(client_end::by_client(self.conn));
             };
-            let ends = *closing.borrow() >= ProcessPhase::HandingOver
-                && self.ahead.is_empty()
-                && broken.is_none()
-                && !client_close::has_unanswered_input(&mut self.conn);
-            response.connection_close = request.connection_close || ends;
-            let closes = response.connection_close;
+            let shutting_down = *closing.borrow() >= Phase::Leaving
+                && self.read_ahead.is_empty()
+                && read_error.is_none()
+                && !client_end::holds_unanswered(&mut self.conn);
+            response.connection_close = request.connection_close || shutting_down;
+            let close = response.connection_close;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
                 Ok(sent) => sent?,
                 Err(_) => return Err(HttpError::Io(ErrorKind::TimedOut.into())),
             }
-            if closes {
-                let reason = if ends { CloseReason::Shutdown } else { CloseReason::ClientLeft };
-                return Ok(Box::pin(client_close::close_as_announced(self.conn, reason)).await);
+            if close {
+                let reason = if shutting_down { EndReason::Shutdown } else { EndReason::ClientLeft };
+                return Ok(Box::pin(client_end::announced(self.conn, reason)).await);
             }
-            if let Some(fault) = broken {
-                return Box::pin(self.end_with(fault)).await;
+            if let Some(error) = read_error {
+                return Box::pin(self.end_with_error(error)).await;
             }
-            release_large_buffers(&mut self.conn);
-            self.rests = Instant::now();
-            self.until = self.rests + IDLE_TIMEOUT;
+            shrink(&mut self.conn);
+            self.idle_since = Instant::now();
+            self.read_deadline = self.idle_since + IDLE_TIMEOUT;
         }
     }
 
-    /// The rest of a request has so long to come.
-    fn begun(&mut self) {
-        (self.part, self.until) = (true, Instant::now() + UNFINISHED_REQUEST_TIMEOUT);
+    /// Starts the timeout for the rest of a partially received request.
+    fn start_request_timeout(&mut self) {
+        (self.partial, self.read_deadline) = (true, Instant::now() + UNFINISHED_REQUEST_TIMEOUT);
     }
 
-    /// Waits for the next request, or for a reason to end. One of which a part has been read is the proxy's to answer.
-    async fn wait(&mut self, closing: &mut PhaseReceiver) -> Waited {
-        if let Some(request) = self.ahead.pop_front() {
-            return Waited::Came(request);
+    /// Waits for the next request, or for a reason to close the connection. Once part of a request has been read, the
+    /// connection is not closed before that request has a response.
+    async fn wait(&mut self, closing: &mut Closing) -> WaitResult {
+        if let Some(request) = self.read_ahead.pop_front() {
+            return WaitResult::Input(request);
         }
-        let (part, asked, rests) = (self.part, self.asked, self.rests);
+        let (partial, request_seen, idle_since) = (self.partial, self.request_seen, self.idle_since);
         tokio::select! {
             biased;
-            read = read_next(&mut self.conn, part) => match read {
-                ReadEvent::Message(Some(Ok(request))) => Waited::Came(request),
-                ReadEvent::Message(Some(Err(fault))) => Waited::Fault(fault),
-                ReadEvent::Message(None) => Waited::Left,
-                ReadEvent::Partial => Waited::Part,
+            read = next(&mut self.conn, partial) => match read {
+                Next::Message(Some(Ok(request))) => WaitResult::Input(request),
+                Next::Message(Some(Err(error))) => WaitResult::Error(error),
+                Next::Message(None) => WaitResult::Closed,
+                Next::Part => WaitResult::Partial,
             },
-            () = closed_and_quiet(closing, asked, rests), if !part => Waited::Ends(CloseReason::Shutdown),
-            () = self.front.budget.clients.client_eviction_requested(!asked, rests), if !part => Waited::Ends(CloseReason::MadeRoom),
-            () = tokio::time::sleep_until(self.until) => match part {
-                true => Waited::Fault(HttpError::Unfinished),
-                false => Waited::Ends(if asked { CloseReason::Idle } else { CloseReason::Silent }),
+            () = closing_and_quiet(closing, request_seen, idle_since),
+                if !partial => WaitResult::End(EndReason::Shutdown),
+            () = self.front.budget.clients.client_wanted(!request_seen, idle_since),
+                if !partial => WaitResult::End(EndReason::MadeRoom),
+            () = tokio::time::sleep_until(self.read_deadline) => match partial {
+                true => WaitResult::Error(HttpError::Unfinished),
+                false => WaitResult::End(if request_seen { EndReason::Idle } else { EndReason::Silent }),
             },
         }
     }
 
-    /// Has a request answered, and reads on meanwhile: this is how a client that leaves is noticed, and by a look where no more is
-    /// read. None if it has left.
-    async fn answer(&mut self, request: &HttpRequest) -> Result<Option<Answered>, HttpError> {
+    /// Executes a request and reads ahead meanwhile, which also shows whether the client has left; when enough is read
+    /// ahead, only a close is watched for. Returns `None` if the client has left.
+    async fn answer(&mut self, request: &HttpRequest) -> Result<Option<ResponseReady>, HttpError> {
         count(Count::odata_requests);
-        // What was sent before the front was there has waited since then.
-        let waited = stall::queued_time(self.waits_since.take());
+        // Input sent before the front started to serve has been waiting since then.
+        let waited = held_up::waited(self.waiting_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
-        let mut broken = None;
+        let mut read_error = None;
         loop {
-            let reads = self.ahead.len() < MAX_READ_AHEAD && broken.is_none();
+            let may_read = self.read_ahead.len() < MAX_READ_AHEAD && read_error.is_none();
             tokio::select! {
                 biased;
-                response = &mut answer => return Ok(Some(Answered { response, broken })),
-                read = read_next_or_close(&mut self.conn, reads, true) => match read {
-                    ReadEvent::Message(Some(Ok(next))) => self.ahead.push_back(next),
-                    ReadEvent::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
-                    ReadEvent::Message(Some(Err(e))) => broken = Some(e),
-                    ReadEvent::Message(None) => return Ok(None),
-                    ReadEvent::Partial => {}
+                response = &mut answer => return Ok(Some(ResponseReady { response, read_error })),
+                read = next_or_end(&mut self.conn, may_read, true) => match read {
+                    Next::Message(Some(Ok(next))) => self.read_ahead.push_back(next),
+                    Next::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
+                    Next::Message(Some(Err(e))) => read_error = Some(e),
+                    Next::Message(None) => return Ok(None),
+                    Next::Part => {}
                 },
             }
         }
     }
 
-    /// Answers what could not be read, in its turn, and ends the connection: where the next request starts is not
-    /// known.
-    async fn end_with(self, error: HttpError) -> Result<ConnectionClosed, HttpError> {
-        let no_room = matches!(error, HttpError::NoRoom);
-        let fault = match error {
+    /// Answers input that cannot be read, after a delay, and closes the connection, because the start of the next
+    /// request is unknown.
+    async fn end_with_error(self, error: HttpError) -> Result<Ended, HttpError> {
+        let over_budget = matches!(error, HttpError::BudgetExhausted);
+        let response_error = match error {
             HttpError::Io(_) => return Err(error),
-            HttpError::TooLong => Fault::new(413, "TooLarge", "the request is too long"),
-            HttpError::Malformed(_) => Fault::new(400, "BadRequest", error.to_string()),
-            HttpError::Unfinished => Fault::new(408, "Unfinished", error.to_string()),
-            HttpError::NoRoom => Fault::come_back(None, &error.to_string()),
+            HttpError::TooLong => ODataError::new(413, "TooLarge", "the request is too long"),
+            HttpError::Malformed(_) => ODataError::new(400, "BadRequest", error.to_string()),
+            HttpError::Unfinished => ODataError::new(408, "Unfinished", error.to_string()),
+            HttpError::BudgetExhausted => ODataError::retry_later(None, &error.to_string()),
         };
-        let mut response = refused(fault, Form::default());
+        let mut response = error_response(response_error, ResponseFormat::default());
         response.connection_close = true;
         let Front { budget, pace, clock, .. } = &*self.front;
-        // A sound request that finds no room is refused at once.
-        let turn = (!no_room).then(|| pace.next_delay(clock.now()));
-        Ok(client_close::close_with_error(self.conn, response, turn, &budget.clients).await)
+        // A well-formed request for which there is no memory is refused without delay.
+        let delay = (!over_budget).then(|| pace.turn(clock.now()));
+        Ok(client_end::after_fault(self.conn, response, delay, &budget.clients).await)
     }
 }
 
-/// Waits until connections are to end, and one on which nothing was asked has been quiet: its first request may be on its way.
-async fn closed_and_quiet(closing: &mut PhaseReceiver, asked: bool, rests: Instant) {
-    wait_for_closing(closing).await;
-    if !asked {
-        tokio::time::sleep_until(rests + MIN_QUIET_TIME).await;
+/// Waits until connections are to be closed. One that has received no request must also have been quiet for
+/// `QUIET_MIN`, as its first request may be in transit.
+async fn closing_and_quiet(closing: &mut Closing, request_seen: bool, idle_since: Instant) {
+    closed(closing).await;
+    if !request_seen {
+        tokio::time::sleep_until(idle_since + QUIET_MIN).await;
     }
 }
 
-/// Ends a connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-async fn end_at_rest(conn: &mut Conn, reason: CloseReason, asked: bool) -> Option<ConnectionClosed> {
-    let last_word = (!asked).then(|| last_refusal(Refusal::for_close(reason)));
-    client_close::close_if_idle(conn, reason, last_word).await
+/// Closes the connection unless there is unanswered input. A client that has sent no request gets a refusal, which
+/// answers a request that may be in transit.
+async fn end_if_idle(conn: &mut Conn, reason: EndReason, request_seen: bool) -> Option<Ended> {
+    let final_response = (!request_seen).then(|| last_refusal(Refusal::at_end(reason)));
+    client_end::at_rest(conn, reason, final_response).await
 }
 
-/// A refusal behind which the connection ends.
+/// The refusal that a client gets before its connection is closed.
 pub(super) fn last_refusal(why: Refusal) -> HttpResponse {
-    let mut response = Fault::come_back(None, why.text()).response(Form::default());
+    let mut response = ODataError::retry_later(None, why.text()).response(ResponseFormat::default());
     response.connection_close = true;
     response
 }
--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -1,6 +1,6 @@
-//! The server's end of a client's connection: what clients say, decoded once, and the answers, encoded once.
+//! Codec for client connections, where the proxy acts as the server: decodes client messages, encodes replies.
 
-use super::frames::{Body, Frames, LONGEST};
+use super::frames::{BodyReader, FrameReader, MAX_MESSAGE_LEN};
 use crate::core::Value;
 use crate::meter::{self, Cost};
 use crate::net::budget::ByteBudget;
@@ -10,81 +10,81 @@
 
 pub use super::frames::WireError;
 
-/// The longest startup message taken in, as PostgreSQL itself has it.
-const LONGEST_STARTUP: usize = 10_000;
-/// Of a longer message so much must have come before room is made for the rest of what it claims.
-const EARNEST: usize = 16 * 1024;
+/// Maximum length of a startup message; PostgreSQL has the same limit.
+const MAX_STARTUP_LEN: usize = 10_000;
+/// Number of bytes of a longer message that must have arrived before the buffer is grown to the length it claims.
+const GROW_THRESHOLD: usize = 16 * 1024;
 
-/// What a client says.
+/// A message from a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frontend {
     /// Opens a session of protocol version 3.
     Startup {
-        /// Who.
+        /// User name.
         user: String,
     },
     /// Asks for TLS or GSS encryption.
-    Encrypt,
+    EncryptionRequest,
     /// Asks to cancel another connection's query.
-    Cancel,
+    CancelRequest,
     /// A simple query.
     Query(Bytes),
-    /// A message for which there is no memory; it is passed over.
-    NoRoom,
+    /// A message for which there is no memory; the codec skips it.
+    BudgetExhausted,
     /// Synchronisation point of the extended protocol.
     Sync,
-    /// Goodbye.
+    /// Ends the session.
     Terminate,
-    /// Anything else, by its tag.
+    /// Any other message, by its tag.
     Other(u8),
 }
 
-/// What is said to a client.
+/// A reply to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// One byte outside any message: no encryption here.
-    NoEncryption,
-    /// All that stands between a startup and the first query.
-    Welcome,
-    /// The server waits for a command.
-    Ready,
-    /// The answer to an empty query, and ReadyForQuery.
-    Empty,
-    /// A member's value, and ReadyForQuery; whether it came of a write.
+    /// The single byte, outside any message, that declines encryption.
+    EncryptionDeclined,
+    /// The whole response to a startup message, up to the first ReadyForQuery.
+    StartupComplete,
+    /// ReadyForQuery.
+    ReadyForQuery,
+    /// EmptyQueryResponse and ReadyForQuery.
+    EmptyQuery,
+    /// A member's value and ReadyForQuery; the flag is true for a write.
     Row(Value, bool),
-    /// An error.
+    /// ErrorResponse.
     Error {
-        /// What becomes of the connection.
-        after: After,
+        /// What follows the error.
+        after: AfterError,
         /// SQLSTATE.
         code: &'static str,
-        /// For people.
+        /// Human-readable message.
         message: Bytes,
-        /// Field D.
+        /// Detail, field D of the ErrorResponse.
         detail: Option<u64>,
     },
 }
 
-/// What follows an error.
+/// What follows an ErrorResponse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
-    /// The connection's end.
-    End,
+pub enum AfterError {
+    /// The connection is closed.
+    Close,
     /// ReadyForQuery.
-    Ready,
-    /// Nothing until the client's Sync.
-    Sync,
+    ReadyForQuery,
+    /// Nothing until the client sends Sync.
+    AwaitSync,
 }
 
-/// The server's end.
+/// The server side of the protocol.
 pub struct ServerCodec {
     started: bool,
-    frames: Frames,
+    frames: FrameReader,
 }
 
 impl BuffersPartial for ServerCodec {
     fn holds_partial(&self) -> bool {
-        self.frames.passes_over()
+        self.frames.is_skipping()
     }
 }
 
@@ -94,35 +94,35 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Frontend>, WireError> {
         if !self.started {
-            let Some(found) = self.frames.next(src, false, |_| Some(LONGEST_STARTUP))? else {
+            let Some(frame) = self.frames.next(src, false, |_| Some(MAX_STARTUP_LEN))? else {
                 return Ok(None);
             };
-            let message = startup(Body(found.body(src)))?;
-            found.skip(src);
+            let message = parse_startup(BodyReader(frame.body(src)))?;
+            frame.discard(src);
             self.started = matches!(message, Frontend::Startup { .. });
             return Ok(Some(message));
         }
-        let longest = |tag| match tag {
-            b'Q' | b'P' | b'B' | b'F' | b'd' => Some(LONGEST),
+        let max_len = |tag| match tag {
+            b'Q' | b'P' | b'B' | b'F' | b'd' => Some(MAX_MESSAGE_LEN),
             b'S' | b'X' | b'H' | b'c' => Some(4),
-            b'D' | b'E' | b'C' | b'f' => Some(LONGEST_STARTUP),
+            b'D' | b'E' | b'C' | b'f' => Some(MAX_STARTUP_LEN),
             _ => None,
         };
-        let found = match self.frames.next(src, true, longest) {
-            // A sound message that is refused; what stands behind it can still be found.
-            Err(WireError::NoRoom) => return Ok(Some(Frontend::NoRoom)),
-            found => found?,
+        let frame = match self.frames.next(src, true, max_len) {
+            // The message is well-formed and refused; the messages after it can still be found.
+            Err(WireError::BudgetExhausted) => return Ok(Some(Frontend::BudgetExhausted)),
+            frame => frame?,
         };
-        let Some(found) = found else { return Ok(None) };
-        Ok(Some(match found.tag {
+        let Some(frame) = frame else { return Ok(None) };
+        Ok(Some(match frame.tag {
             b'Q' => {
-                let mut body = Body(found.body(src));
-                body.text()?;
-                body.ended()?;
-                Frontend::Query(found.keep(src, 0, 1))
+                let mut body = BodyReader(frame.body(src));
+                body.read_string()?;
+                body.expect_end()?;
+                Frontend::Query(frame.into_body(src, 0, 1))
             }
             tag => {
-                found.skip(src);
+                frame.discard(src);
                 match tag {
                     b'S' => Frontend::Sync,
                     b'X' => Frontend::Terminate,
@@ -134,24 +134,24 @@
 }
 
 impl ServerCodec {
-    /// One for a new connection.
+    /// Creates the codec of a new connection.
     pub fn new(budget: ByteBudget) -> Self {
-        ServerCodec { started: false, frames: Frames::new(budget, 0, EARNEST) }
+        ServerCodec { started: false, frames: FrameReader::new(budget, 0, GROW_THRESHOLD) }
     }
 }
 
-fn startup(mut body: Body) -> Result<Frontend, WireError> {
-    match u32::from_be_bytes(body.take()?) {
-        80_877_103 | 80_877_104 => Ok(Frontend::Encrypt),
-        80_877_102 => Ok(Frontend::Cancel),
+fn parse_startup(mut body: BodyReader) -> Result<Frontend, WireError> {
+    match u32::from_be_bytes(body.read_bytes()?) {
+        80_877_103 | 80_877_104 => Ok(Frontend::EncryptionRequest),
+        80_877_102 => Ok(Frontend::CancelRequest),
         version if version >> 16 == 3 => {
             let mut user = None;
             loop {
-                let name = body.text()?;
+                let name = body.read_string()?;
                 if name.is_empty() {
                     break;
                 }
-                let value = body.text()?;
+                let value = body.read_string()?;
                 if name == b"user" {
                     user = Some(String::from_utf8_lossy(value).into_owned());
                 }
@@ -163,7 +163,7 @@
     }
 }
 
-fn put(dst: &mut BytesMut, tag: u8, body: impl FnOnce(&mut BytesMut)) {
+fn write_message(dst: &mut BytesMut, tag: u8, body: impl FnOnce(&mut BytesMut)) {
     dst.put_u8(tag);
     let at = dst.len();
     dst.put_u32(0);
@@ -172,20 +172,20 @@
     dst[at..at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-fn put_text(dst: &mut BytesMut, text: &[u8]) {
+fn write_string(dst: &mut BytesMut, text: &[u8]) {
     dst.put_slice(text);
     dst.put_u8(0);
 }
 
-fn ready(dst: &mut BytesMut) {
-    put(dst, b'Z', |d| d.put_u8(b'I'));
+fn write_ready_for_query(dst: &mut BytesMut) {
+    write_message(dst, b'Z', |d| d.put_u8(b'I'));
 }
 
-/// The part of an answer that stands before its value: the description, and the row up to the value's first byte.
-pub fn row_head(value: &Value, dst: &mut BytesMut) {
-    put(dst, b'T', |d| {
+/// Writes the part of an answer before its value: RowDescription, and DataRow up to the value's first byte.
+pub fn write_row_prefix(value: &Value, dst: &mut BytesMut) {
+    write_message(dst, b'T', |d| {
         d.put_u16(1);
-        put_text(d, b"v");
+        write_string(d, b"v");
         d.put_u32(0);
         d.put_u16(0);
         d.put_u32(value.type_id);
@@ -194,8 +194,8 @@
         d.put_u16(u16::from(value.binary));
     });
     if value.rows > 0 {
-        let flows = value.stream.as_ref().map(|flow| flow.length());
-        let length = flows.or(value.bytes.as_ref().map(Bytes::len));
+        let streamed = value.stream.as_ref().map(|flow| flow.length());
+        let length = streamed.or(value.bytes.as_ref().map(Bytes::len));
         dst.put_u8(b'D');
         dst.put_u32(length.unwrap_or(0) as u32 + 10);
         dst.put_u16(1);
@@ -206,13 +206,13 @@
     }
 }
 
-/// The part behind it.
-pub fn row_tail(value: &Value, write: bool, dst: &mut BytesMut) {
-    put(dst, b'C', |d| {
+/// Writes the part of an answer after its value: CommandComplete and ReadyForQuery.
+pub fn write_row_suffix(value: &Value, write: bool, dst: &mut BytesMut) {
+    write_message(dst, b'C', |d| {
         d.put_slice(if write { b"INSERT 0 " } else { b"SELECT " });
-        put_text(d, itoa::Buffer::new().format(value.rows).as_bytes());
+        write_string(d, itoa::Buffer::new().format(value.rows).as_bytes());
     });
-    ready(dst);
+    write_ready_for_query(dst);
 }
 
 impl Encoder<Reply> for ServerCodec {
@@ -220,53 +220,53 @@
 
     fn encode(&mut self, reply: Reply, dst: &mut BytesMut) -> Result<(), WireError> {
         match reply {
-            Reply::NoEncryption => dst.put_u8(b'N'),
-            Reply::Welcome => {
-                put(dst, b'R', |d| d.put_u32(0));
+            Reply::EncryptionDeclined => dst.put_u8(b'N'),
+            Reply::StartupComplete => {
+                write_message(dst, b'R', |d| d.put_u32(0));
                 for (name, value) in [
                     ("server_version", "15.0"),
                     ("server_encoding", "UTF8"),
                     ("client_encoding", "UTF8"),
                     ("standard_conforming_strings", "on"),
                 ] {
-                    put(dst, b'S', |d| {
-                        put_text(d, name.as_bytes());
-                        put_text(d, value.as_bytes());
+                    write_message(dst, b'S', |d| {
+                        write_string(d, name.as_bytes());
+                        write_string(d, value.as_bytes());
                     });
                 }
-                put(dst, b'K', |d| d.put_u64(0));
-                ready(dst);
+                write_message(dst, b'K', |d| d.put_u64(0));
+                write_ready_for_query(dst);
             }
-            Reply::Ready => ready(dst),
-            Reply::Empty => {
-                put(dst, b'I', |_| {});
-                ready(dst);
+            Reply::ReadyForQuery => write_ready_for_query(dst),
+            Reply::EmptyQuery => {
+                write_message(dst, b'I', |_| {});
+                write_ready_for_query(dst);
             }
             Reply::Row(value, write) => {
-                row_head(&value, dst);
+                write_row_prefix(&value, dst);
                 if let Some(bytes) = value.bytes.as_ref().filter(|_| value.rows > 0) {
                     meter::add(Cost::Copied, bytes.len());
                     dst.put_slice(bytes);
                 }
-                row_tail(&value, write, dst);
+                write_row_suffix(&value, write, dst);
             }
             Reply::Error { after, code, message, detail } => {
-                put(dst, b'E', |d| {
-                    let severity: &[u8] = if after == After::End { b"FATAL" } else { b"ERROR" };
+                write_message(dst, b'E', |d| {
+                    let severity: &[u8] = if after == AfterError::Close { b"FATAL" } else { b"ERROR" };
                     for (name, value) in
                         [(b'S', severity), (b'V', severity), (b'C', code.as_bytes()), (b'M', &message)]
                     {
                         d.put_u8(name);
-                        put_text(d, value);
+                        write_string(d, value);
                     }
                     if let Some(detail) = detail {
                         d.put_u8(b'D');
-                        put_text(d, itoa::Buffer::new().format(detail).as_bytes());
+                        write_string(d, itoa::Buffer::new().format(detail).as_bytes());
                     }
                     d.put_u8(0);
                 });
-                if after == After::Ready {
-                    ready(dst);
+                if after == AfterError::ReadyForQuery {
+                    write_ready_for_query(dst);
                 }
             }
         }
--- a/src/pg/frames.rs
+++ b/src/pg/frames.rs
@@ -1,4 +1,4 @@
-//! Cutting messages off what was read, and what can be wrong with them; shared by both ends of the protocol.
+//! Message framing and wire errors, shared by both ends of the protocol.
 
 use crate::net::budget::{ByteBudget, ByteReservation};
 use crate::net::frames::INITIAL_BUFFER_SIZE;
@@ -6,25 +6,25 @@
 use std::io;
 use std::ops::Range;
 
-/// The longest message taken in: a value of 64 KiB in hex with its statement fits well.
-pub const LONGEST: usize = 144 * 1024;
-/// A body from this size on is passed on in the very buffer that it was read into; a smaller one is copied out.
-const LARGE: usize = 4 * 1024;
-/// Room beyond a large message for what stands behind it, so that one read can bring all.
-const BEHIND: usize = 256;
+/// Maximum length of a message. A 64 KiB value in hex fits with room for its statement.
+pub const MAX_MESSAGE_LEN: usize = 144 * 1024;
+/// A body of at least this size keeps the buffer that it was read into; a smaller one is copied out.
+const MIN_ZERO_COPY_LEN: usize = 4 * 1024;
+/// Spare capacity beyond a large message, so that a single read can also fetch the message that follows it.
+const SPARE_CAPACITY: usize = 256;
 
-/// What can be wrong with what was read.
+/// An error while reading a message.
 #[derive(Debug)]
 pub enum WireError {
     /// The connection broke.
     Io(io::Error),
-    /// A message is longer than is taken in.
+    /// The message, of this length, exceeds the maximum.
     TooLong(usize),
-    /// A message is malformed.
+    /// The message is malformed.
     Malformed(&'static str),
-    /// All connections together hold as many bytes as memory allows.
-    NoRoom,
-    /// A message was begun and not ended in time.
+    /// The byte budget shared by all connections is exhausted.
+    BudgetExhausted,
+    /// The rest of a partially received message did not arrive in time.
     Unfinished,
 }
 
@@ -40,43 +40,43 @@
             WireError::Io(e) => write!(f, "{e}"),
             WireError::TooLong(n) => write!(f, "a message of {n} bytes is too long"),
             WireError::Malformed(what) => write!(f, "{what}"),
-            WireError::NoRoom => write!(f, "no room for one more message; trying again is harmless"),
+            WireError::BudgetExhausted => write!(f, "no room for one more message; trying again is harmless"),
             WireError::Unfinished => write!(f, "a message was begun and not ended in time"),
         }
     }
 }
 
-/// Where the next whole message stands in what was read.
-pub(super) struct Found {
-    /// Its tag; 0 where it has none.
+/// Position of a complete message in the read buffer.
+pub(super) struct Frame {
+    /// Message tag, or 0 for untagged messages.
     pub tag: u8,
     body: Range<usize>,
     share: Option<ByteReservation>,
 }
 
-impl Found {
-    /// Its body.
+impl Frame {
+    /// Returns the message body.
     pub fn body<'a>(&self, src: &'a BytesMut) -> &'a [u8] {
         &src[self.body.clone()]
     }
 
-    /// Takes it off what was read, of no more use.
-    pub fn skip(self, src: &mut BytesMut) {
+    /// Removes the message from the read buffer and discards it.
+    pub fn discard(self, src: &mut BytesMut) {
         src.advance(self.body.end);
     }
 
-    /// Takes it off what was read and keeps its body, but for `head` bytes in front and `tail` at the end, for as long
-    /// as any copy of it lives.
-    pub fn keep(self, src: &mut BytesMut, head: usize, tail: usize) -> Bytes {
-        let Found { body: Range { start, end }, share, .. } = self;
+    /// Removes the message from the read buffer and returns its body without the first `head` and the last `tail`
+    /// bytes. The message's share of the budget is held until the last clone of the returned `Bytes` is dropped.
+    pub fn into_body(self, src: &mut BytesMut, head: usize, tail: usize) -> Bytes {
+        let Frame { body: Range { start, end }, share, .. } = self;
         let part = start + head..end - tail;
         let Some(share) = share else {
             let kept = Bytes::copy_from_slice(&src[part]);
             src.advance(end);
             return kept;
         };
-        // Not where that would keep much more than the share counts.
-        if part.len() < LARGE || src.capacity() > 2 * end + BEHIND {
+        // Copies if keeping the buffer would hold much more memory than the share accounts for.
+        if part.len() < MIN_ZERO_COPY_LEN || src.capacity() > 2 * end + SPARE_CAPACITY {
             let kept = share.attach_to_copy(&src[part]);
             src.advance(end);
             return kept;
@@ -90,47 +90,47 @@
     }
 }
 
-/// Finds messages in what was read. The length that a message claims is no reason to make room for it: its share of
-/// the budget is taken first, and the buffer grows with what comes.
-pub(super) struct Frames {
+/// Finds message boundaries in the read buffer. A length field alone causes no allocation: the message's share of the
+/// byte budget is taken first, and the buffer is grown only once enough of the message has arrived.
+pub(super) struct FrameReader {
     budget: ByteBudget,
     share: Option<ByteReservation>,
-    /// Short messages need no share: the buffer that every connection has holds them.
-    free: usize,
-    /// So much of a long message must have come before room is made for the rest.
-    earnest: usize,
-    /// So many bytes of a message that found no memory are still to be passed over.
-    unwanted: usize,
+    /// Messages up to this length take no share: they fit in the buffer that every connection has anyway.
+    uncounted_len: usize,
+    /// Number of bytes of a long message that must have arrived before the buffer is grown for the rest.
+    grow_threshold: usize,
+    /// Remaining bytes to skip of a message that was rejected for lack of memory.
+    bytes_to_skip: usize,
 }
 
-impl Frames {
-    /// For an end that counts messages longer than `free` and makes room for a whole message once `earnest` bytes of
-    /// it have come.
-    pub fn new(budget: ByteBudget, free: usize, earnest: usize) -> Self {
-        Frames { budget, share: None, free, earnest, unwanted: 0 }
+impl FrameReader {
+    /// Creates a reader that counts messages longer than `uncounted_len` against the budget, and grows the buffer to
+    /// the full message length once `grow_threshold` bytes have arrived.
+    pub fn new(budget: ByteBudget, uncounted_len: usize, grow_threshold: usize) -> Self {
+        FrameReader { budget, share: None, uncounted_len, grow_threshold, bytes_to_skip: 0 }
     }
 
-    /// Whether bytes of a message are still to come that found no memory.
-    pub fn passes_over(&self) -> bool {
-        self.unwanted > 0
+    /// Whether bytes of a rejected message are still to be skipped.
+    pub fn is_skipping(&self) -> bool {
+        self.bytes_to_skip > 0
     }
 
-    /// The next message. `longest` tells the longest length of a tag's messages, or that there is no such tag: noise
-    /// is known by its first byte, however long it says that it is. One that finds no memory is an error once, and the next
-    /// calls pass over it.
+    /// Returns the next complete message. `max_len` gives the maximum length for a tag, or `None` for an unknown tag:
+    /// garbage is rejected at its first byte, whatever length it claims. A message for which there is no memory is
+    /// reported once as an error, and later calls skip it.
     pub fn next(
         &mut self,
         src: &mut BytesMut,
         tagged: bool,
-        longest: impl Fn(u8) -> Option<usize>,
-    ) -> Result<Option<Found>, WireError> {
-        let passed_over = self.unwanted.min(src.len());
-        src.advance(passed_over);
-        self.unwanted -= passed_over;
+        max_len: impl Fn(u8) -> Option<usize>,
+    ) -> Result<Option<Frame>, WireError> {
+        let skipped = self.bytes_to_skip.min(src.len());
+        src.advance(skipped);
+        self.bytes_to_skip -= skipped;
         let at = usize::from(tagged);
         let tag = if tagged { src.first().copied() } else { Some(0) };
         let Some(tag) = tag else { return Ok(None) };
-        let longest = longest(tag).ok_or(WireError::Malformed("there is no such message"))?;
+        let max_len = max_len(tag).ok_or(WireError::Malformed("there is no such message"))?;
         if src.len() < at + 4 {
             return Ok(None);
         }
@@ -138,16 +138,16 @@
         if length < 4 {
             return Err(WireError::Malformed("a message is shorter than its own length field"));
         }
-        if length > longest {
+        if length > max_len {
             return Err(WireError::TooLong(length));
         }
         let end = at + length;
         let share = match self.share.take() {
-            None if length <= self.free => None,
+            None if length <= self.uncounted_len => None,
             None => match self.budget.try_reserve(length) {
                 None => {
-                    self.unwanted = end;
-                    return Err(WireError::NoRoom);
+                    self.bytes_to_skip = end;
+                    return Err(WireError::BudgetExhausted);
                 }
                 share => share,
             },
@@ -155,34 +155,34 @@
         };
         if src.len() < end {
             self.share = share;
-            if end > INITIAL_BUFFER_SIZE && src.len() >= self.earnest && src.capacity() < end {
-                src.reserve(end + BEHIND - src.len());
+            if end > INITIAL_BUFFER_SIZE && src.len() >= self.grow_threshold && src.capacity() < end {
+                src.reserve(end + SPARE_CAPACITY - src.len());
             }
             return Ok(None);
         }
-        Ok(Some(Found { tag, body: at + 4..end, share }))
+        Ok(Some(Frame { tag, body: at + 4..end, share }))
     }
 }
 
-/// A body read from its start.
-pub(super) struct Body<'a>(pub &'a [u8]);
+/// Reads the fields of a message body in order.
+pub(super) struct BodyReader<'a>(pub &'a [u8]);
 
-impl<'a> Body<'a> {
-    /// Nothing is left of it.
-    pub fn ended(&self) -> Result<(), WireError> {
+impl<'a> BodyReader<'a> {
+    /// Fails if unread bytes are left.
+    pub fn expect_end(&self) -> Result<(), WireError> {
         self.0.is_empty().then_some(()).ok_or(WireError::Malformed("a message holds more than belongs to it"))
     }
 
-    /// A string up to its zero byte.
-    pub fn text(&mut self) -> Result<&'a [u8], WireError> {
+    /// Reads a zero-terminated string, without the terminator.
+    pub fn read_string(&mut self) -> Result<&'a [u8], WireError> {
         let end = memchr::memchr(0, self.0);
-        let (text, rest) = end.map(|end| (&self.0[..end], &self.0[end + 1..])).ok_or(NO_END)?;
+        let (text, rest) = end.map(|end| (&self.0[..end], &self.0[end + 1..])).ok_or(UNTERMINATED_STRING)?;
         self.0 = rest;
         Ok(text)
     }
 
-    /// So many bytes.
-    pub fn take<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
+    /// Reads `N` bytes.
+    pub fn read_bytes<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
         let (head, rest) =
             self.0.split_first_chunk().ok_or(WireError::Malformed("a message ends too early"))?;
         self.0 = rest;
@@ -190,4 +190,4 @@
     }
 }
 
-const NO_END: WireError = WireError::Malformed("a string does not end");
+const UNTERMINATED_STRING: WireError = WireError::Malformed("a string does not end");
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -1,6 +1,6 @@
-//! The platform's front, kept thin: what every connection needs, how a client is refused, and answers in the wire's words.
+//! The PostgreSQL front: state shared by its connections, refusals, and the mapping from answers to replies.
 
-use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
+use super::codec::{AfterError, Frontend, Reply, ServerCodec, WireError};
 use super::session::{Conn, Session};
 use crate::class_table::ClassTable;
 use crate::clock::Clock;
@@ -20,27 +20,27 @@
 use tokio::sync::watch;
 use tokio_util::codec::Framed;
 
-/// SQLSTATEs of refusals.
+/// SQLSTATEs of refused connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 const CANNOT_CONNECT_NOW: &str = "57P03";
-/// How long the startup of a client that is refused is waited for.
+/// How long a client that is to be refused may take to send its startup message.
 const REFUSED_STARTUP_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What every connection needs.
+/// State shared by all connections of the PostgreSQL front.
 pub struct Front {
-    /// Way into the core.
+    /// Handle for submitting requests to the core.
     pub core: Handle,
-    /// The terms under which requests are read.
+    /// The current terms, under which requests are parsed.
     pub class_table: watch::Receiver<Arc<ClassTable>>,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Permits for clients' connections.
+    /// Permits for client connections.
     pub clients: DescriptorBudget,
-    /// Bytes of messages.
+    /// Budget for the bytes of messages.
     pub bytes: ByteBudget,
-    /// When bad messages are answered.
+    /// Spaces out the replies to malformed messages.
     pub pace: ErrorPacer,
-    /// Until when requests may be answered.
+    /// Latest time at which requests may be answered.
     pub answer_limit: AnswerLimit,
 }
 
@@ -64,44 +64,45 @@
     ) -> Result<ConnectionClosed, WireError> {
         why.count();
         let conn = Framed::with_capacity(stream, ServerCodec::new(bytes), INITIAL_BUFFER_SIZE);
-        Ok(client_close::refuse(conn, startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried).await)
+        Ok(client_close::refuse(conn, read_startup, REFUSED_STARTUP_TIMEOUT, last_refusal(why), hurried)
+            .await)
     }
 }
 
-/// Reads up to the startup, which a refusal answers; a request for encryption is turned down.
-async fn startup(conn: &mut Conn) {
-    while let Some(Ok(Frontend::Encrypt)) = conn.next().await {
-        if conn.send(Reply::NoEncryption).await.is_err() {
+/// Reads up to the startup message, to which a refusal is the reply. Declines encryption requests.
+async fn read_startup(conn: &mut Conn) {
+    while let Some(Ok(Frontend::EncryptionRequest)) = conn.next().await {
+        if conn.send(Reply::EncryptionDeclined).await.is_err() {
             return;
         }
     }
 }
 
-/// A refusal behind which the connection ends.
+/// The refusal that a client gets before its connection is closed.
 pub(super) fn last_refusal(why: Refusal) -> Reply {
     let code = match why {
         Refusal::NoPermit => TOO_MANY_CONNECTIONS,
         Refusal::Starting | Refusal::Silent | Refusal::Ending => CANNOT_CONNECT_NOW,
     };
-    error(code, why.text(), After::End)
+    error(code, why.text(), AfterError::Close)
 }
 
-/// An error with a text of ours.
-pub(super) fn error(code: &'static str, message: &'static str, after: After) -> Reply {
+/// Creates an error reply with a fixed message.
+pub(super) fn error(code: &'static str, message: &'static str, after: AfterError) -> Reply {
     Reply::Error { after, code, message: Bytes::from_static(message.as_bytes()), detail: None }
 }
 
-/// An answer in the wire's words; whether it came of a write.
+/// Maps an answer of the core to a reply; `write` tells whether the request was a write.
 pub(super) fn reply(answer: Answer, write: bool) -> Reply {
-    let ready = After::Ready;
+    let ready = AfterError::ReadyForQuery;
     match answer {
         Answer::Served(value, _) => Reply::Row(value, write),
-        // The number in the detail says when to come back, in milliseconds.
-        Answer::Refused(come_back) => Reply::Error {
+        // The detail is the number of milliseconds after which the client may retry.
+        Answer::Refused(retry_after) => Reply::Error {
             after: ready,
             code: "53300",
             message: Bytes::from_static(b"refused; trying again is harmless"),
-            detail: come_back.map(|t| t.div_ceil(1000)),
+            detail: retry_after.map(|t| t.div_ceil(1000)),
         },
         Answer::Taken => error("42710", "the id belongs to a request that is still open", ready),
         Answer::Failed => error("XX000", "failed; it may have had its effect", ready),
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -1,11 +1,11 @@
-//! The proxy's end of a connection to a member.
+//! Connections from the proxy to members.
 //!
-//! An answer counts only as a whole: its messages in their order, each as long as it says, up to ReadyForQuery. What
-//! is not so has been spoilt on the way. The statement then may have run, whatever the rest of the answer says, and
-//! nothing that came with it is believed.
+//! An answer is accepted only if it is complete: its messages in the order of the protocol, each of the length that it
+//! announces, up to ReadyForQuery. Any other answer is treated as corrupted in transit: the statement may have run,
+//! whatever the rest of the answer says, and nothing that came with it is used.
 
 use super::frames::WireError;
-use super::member_codec::{statement, Backend, ClientCodec, Column, Frontend, Parameter};
+use super::member_codec::{encode_statement, Backend, ClientCodec, Column, Frontend, Parameter};
 use super::statement::{is_write, render};
 use crate::core::counters::{count, Count};
 use crate::core::flow::{Chunk, ChunkSender, ValueStream};
@@ -29,54 +29,53 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// Once an answer's first bytes are there, more must come within this, time after time: what is missing then will not
-/// come.
-const STALL: Duration = Duration::from_millis(300);
-/// The same for a large value that is passed on as it comes.
-const FLOW_STALL: Duration = Duration::from_secs(3);
-/// Most messages that are passed over before the fence's answer.
-const STRAYS: usize = 16;
+/// Maximum time without new bytes once an answer has begun to arrive; after that the rest is taken for lost.
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// The same for a large value that is streamed to the client.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of messages that are skipped before the fence's answer.
+const MAX_STRAY_MESSAGES: usize = 16;
 
-/// Whether a member that answers with this code has turned the statement away untouched.
-fn turns_away(code: &[u8; 5]) -> bool {
+/// Whether an error with this code means that the member rejected the statement without running it.
+fn is_rejection(code: &[u8; 5]) -> bool {
     matches!(code, b"53300" | b"25006" | b"72000")
 }
 
-/// The members' side of the platform's protocol.
+/// Opens PostgreSQL connections to members.
 #[derive(Clone)]
 pub struct PgConnector {
     bytes: ByteBudget,
 }
 
 impl PgConnector {
-    /// Connections count the bytes of what they hold in `bytes`.
+    /// Creates a connector whose connections count the messages they hold in memory against `bytes`.
     pub fn new(bytes: ByteBudget) -> Self {
         PgConnector { bytes }
     }
 }
 
-/// A connection that has been welcomed.
+/// A connection to a member whose startup is complete.
 pub struct Connection {
     framed: Framed<Socket, ClientCodec>,
-    /// An answer of which the value has begun to come.
-    begun: Option<Box<Reply>>,
+    /// The answer whose value is being streamed.
+    partial_reply: Option<Box<Reply>>,
     _permit: OwnedSemaphorePermit,
 }
 
 /// How the messages of an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    /// With ReadyForQuery, or with the connection's orderly end after a fatal error.
-    Whole { ready: bool },
-    /// The connection broke or ended before that.
-    Broken,
-    /// Not yet: so many bytes of its value follow.
-    Begun(usize),
-    /// With something that does not belong there.
-    Spoilt(&'static str),
+enum ReplyEnd {
+    /// With ReadyForQuery, or with an orderly close of the connection after a fatal error.
+    Complete { ready: bool },
+    /// The connection failed or was closed before that.
+    Disconnected,
+    /// Not yet: this many bytes of its value follow.
+    Streaming(usize),
+    /// With something that is not a valid answer, for this reason.
+    Corrupt(&'static str),
 }
 
-/// What an answer holds.
+/// Contents of an answer.
 #[derive(Default)]
 struct Reply {
     column: Option<Column>,
@@ -98,22 +97,22 @@
             ClientCodec::new(self.bytes.clone()),
             INITIAL_BUFFER_SIZE,
         );
-        let mut link = Connection { framed, begun: None, _permit: permit };
+        let mut link = Connection { framed, partial_reply: None, _permit: permit };
         link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
-        // No statement has been written, so that nothing here can have run.
-        let mut known = false;
+        // No statement has been written yet, so nothing can have run and every failure counts as a refusal.
+        let mut authenticated = false;
         loop {
             let ReadEvent::Message(Some(Ok(message))) = read_next(&mut link.framed, true).await else {
                 return Err(Outcome::Refused);
             };
             match message {
-                Backend::AuthenticationOk if !known => known = true,
-                // What stands behind it already would pass for the first statement's answer.
-                Backend::Ready if known && !link.left_over() => {
+                Backend::AuthenticationOk if !authenticated => authenticated = true,
+                // Bytes that follow it already would be taken for the first statement's answer.
+                Backend::ReadyForQuery if authenticated && !link.has_unexpected_bytes() => {
                     link.framed.get_ref().assume_drained();
                     return Ok(link);
                 }
-                Backend::ParameterStatus(..) | Backend::KeyData if known => {}
+                Backend::ParameterStatus(..) | Backend::BackendKeyData if authenticated => {}
                 Backend::Other(b'N') => {}
                 Backend::Error { code, .. } if &code == b"53300" => return Err(Outcome::Saturated),
                 _ => return Err(Outcome::Refused),
@@ -123,99 +122,108 @@
 }
 
 impl Connection {
-    /// Reads up to the end of the fence's answer; how many messages stood before it, which an earlier answer has left.
-    async fn past_fence(&mut self) -> Result<usize, End> {
-        let mut strays = 0;
+    /// Reads up to the end of the fence's answer. Returns the number of messages before it, which are left over from an
+    /// earlier answer.
+    async fn read_fence_answer(&mut self) -> Result<usize, ReplyEnd> {
+        let mut stray_messages = 0;
         loop {
             match read_next(&mut self.framed, true).await {
                 ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) => break,
-                // As many as an answer may have: whoever sends more, sends without end.
-                ReadEvent::Message(Some(Ok(_))) if strays < STRAYS => strays += 1,
-                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return Err(End::Broken),
-                _ => return Err(End::Spoilt("what stands before an answer cannot be read")),
+                // An answer has no more messages than this; a member that sends more may never stop.
+                ReadEvent::Message(Some(Ok(_))) if stray_messages < MAX_STRAY_MESSAGES => stray_messages += 1,
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return Err(ReplyEnd::Disconnected),
+                _ => return Err(ReplyEnd::Corrupt("what stands before an answer cannot be read")),
             }
         }
         match read_next(&mut self.framed, true).await {
-            ReadEvent::Message(Some(Ok(Backend::Ready))) => Ok(strays),
-            ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => Err(End::Broken),
-            _ => Err(End::Spoilt("the fence's answer does not end")),
+            ReadEvent::Message(Some(Ok(Backend::ReadyForQuery))) => Ok(stray_messages),
+            ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => Err(ReplyEnd::Disconnected),
+            _ => Err(ReplyEnd::Corrupt("the fence's answer does not end")),
         }
     }
 
-    async fn reply(&mut self) -> (Reply, End) {
+    /// Reads one answer.
+    async fn read_reply(&mut self) -> (Reply, ReplyEnd) {
         let mut reply = Reply::default();
-        let mut stall: Option<Instant> = None;
+        let mut stall_deadline: Option<Instant> = None;
         loop {
-            let held = self.framed.read_buffer().len();
-            let read = read_next(&mut self.framed, stall.is_some());
-            let read = match stall {
+            let len_before = self.framed.read_buffer().len();
+            let read = read_next(&mut self.framed, stall_deadline.is_some());
+            let read = match stall_deadline {
                 Some(at) => match tokio::time::timeout_at(at, read).await {
                     Ok(read) => read,
-                    // A slow member's answer comes in small pieces; so long as any come, more may.
-                    Err(_) if self.framed.read_buffer().len() > held => {
-                        stall = Some(Instant::now() + STALL);
+                    // The answer of a slow member arrives in small pieces: waits on as long as any bytes arrive.
+                    Err(_) if self.framed.read_buffer().len() > len_before => {
+                        stall_deadline = Some(Instant::now() + STALL_TIMEOUT);
                         continue;
                     }
-                    Err(_) => return (reply, End::Spoilt("the rest of an answer did not come")),
+                    Err(_) => return (reply, ReplyEnd::Corrupt("the rest of an answer did not come")),
                 },
                 None => read.await,
             };
             let message = match read {
                 ReadEvent::Partial => {
-                    stall = Some(Instant::now() + STALL);
+                    stall_deadline = Some(Instant::now() + STALL_TIMEOUT);
                     continue;
                 }
                 ReadEvent::Message(Some(Ok(message))) => message,
                 ReadEvent::Message(Some(Err(WireError::Io(_))) | None)
                     if reply.fatal && self.framed.read_buffer().is_empty() =>
                 {
-                    return (reply, End::Whole { ready: false })
+                    return (reply, ReplyEnd::Complete { ready: false })
+                }
+                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => {
+                    return (reply, ReplyEnd::Disconnected)
                 }
-                ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => return (reply, End::Broken),
                 ReadEvent::Message(Some(Err(e))) => {
                     log::debug!("a member's message cannot be read: {e}");
-                    return (reply, End::Spoilt("a message of an answer cannot be read"));
+                    return (reply, ReplyEnd::Corrupt("a message of an answer cannot be read"));
                 }
             };
-            if let Backend::RowBegins(length) = message {
+            if let Backend::LargeRowStart(length) = message {
                 return match reply.expects_row() {
-                    true => (reply, End::Begun(length)),
-                    false => (reply, End::Spoilt("a message stands where it does not belong")),
+                    true => (reply, ReplyEnd::Streaming(length)),
+                    false => (reply, ReplyEnd::Corrupt("a message stands where it does not belong")),
                 };
             }
-            // A notice or a parameter may come long before the answer proper.
-            let aside = matches!(message, Backend::ParameterStatus(..) | Backend::Other(_));
-            stall = if aside { None } else { stall.or_else(|| Some(Instant::now() + STALL)) };
-            match reply.take(message) {
+            // A notice or a parameter may arrive long before the rest of the answer.
+            let unrelated = matches!(message, Backend::ParameterStatus(..) | Backend::Other(_));
+            stall_deadline = if unrelated {
+                None
+            } else {
+                stall_deadline.or_else(|| Some(Instant::now() + STALL_TIMEOUT))
+            };
+            match reply.add(message) {
                 Ok(false) => {}
-                Ok(true) => return (reply, End::Whole { ready: true }),
-                Err(what) => return (reply, End::Spoilt(what)),
+                Ok(true) => return (reply, ReplyEnd::Complete { ready: true }),
+                Err(what) => return (reply, ReplyEnd::Corrupt(what)),
             }
         }
     }
 
-    /// The answer to what was written under this guard. Whether anything stood before it that does not belong to it.
-    async fn answer(&mut self, guard: StaleInput) -> (Reply, End, bool) {
-        let strays = match guard {
+    /// Reads the answer to what was written under this guard. The flag tells whether messages that are not part of the
+    /// answer came before it.
+    async fn read_answer(&mut self, guard: StaleInput) -> (Reply, ReplyEnd, bool) {
+        let stray_messages = match guard {
             StaleInput::Excluded => 0,
-            StaleInput::Possible => match self.past_fence().await {
-                Ok(strays) => strays,
+            StaleInput::Possible => match self.read_fence_answer().await {
+                Ok(stray_messages) => stray_messages,
                 Err(end) => return (Reply::default(), end, true),
             },
         };
-        if strays > 0 {
+        if stray_messages > 0 {
             count(Count::member_extras);
         }
-        let (reply, end) = self.reply().await;
-        // Of a value that has begun the rest may stand in the socket already.
-        if matches!(end, End::Whole { .. }) {
+        let (reply, end) = self.read_reply().await;
+        // The rest of a streamed value may be in the socket already.
+        if matches!(end, ReplyEnd::Complete { .. }) {
             self.framed.get_ref().assume_drained();
         }
-        (reply, end, strays > 0)
+        (reply, end, stray_messages > 0)
     }
 
-    /// Bytes have been read that belong to no answer.
-    fn left_over(&self) -> bool {
+    /// Whether bytes were received that belong to no answer. Counts them if so.
+    fn has_unexpected_bytes(&self) -> bool {
         let any = !self.framed.read_buffer().is_empty();
         if any {
             count(Count::member_extras);
@@ -233,19 +241,19 @@
             }
         };
         let parts = (text.get(..at.start).unwrap_or_default(), text.get(at.end..).unwrap_or_default());
-        let mut message = statement(parts, wait, fence);
+        let mut message = encode_statement(parts, wait, fence);
         self.framed.get_mut().write_all_buf(&mut message).await
     }
 }
 
 impl MemberConnection for Connection {
     fn is_quiet(&self) -> bool {
-        if self.left_over() {
+        if self.has_unexpected_bytes() {
             return false;
         }
         meter::add(Cost::Peeks, 1);
         let peeked = SockRef::from(self.framed.get_ref().get_ref()).peek(&mut [MaybeUninit::uninit(); 1]);
-        // An end is no byte; it makes the connection useless all the same.
+        // A close delivers no byte, so it is not counted, but it makes the connection unusable too.
         if peeked.as_ref().is_ok_and(|n| *n > 0) {
             count(Count::member_extras);
         }
@@ -253,44 +261,45 @@
     }
 
     async fn fence(&mut self) -> bool {
-        if self.framed.send(Frontend::Empty).await.is_err() {
+        if self.framed.send(Frontend::EmptyQuery).await.is_err() {
             return false;
         }
-        let strays = self.past_fence().await;
+        let stray_messages = self.read_fence_answer().await;
         self.framed.get_ref().assume_drained();
-        if matches!(strays, Ok(n) if n > 0) {
+        if matches!(stray_messages, Ok(n) if n > 0) {
             count(Count::member_extras);
         }
-        matches!(strays, Ok(0)) && self.framed.read_buffer().is_empty()
+        matches!(stray_messages, Ok(0)) && self.framed.read_buffer().is_empty()
     }
 
     async fn run(&mut self, work: &Work, wait: Time, guard: StaleInput, written: &mut bool) -> Exchange {
         if self.write(work, wait, guard == StaleInput::Possible).await.is_err() {
-            // The break came before the last byte was written: it never ran.
+            // The connection failed before the last byte was written: the statement never ran.
             return Exchange::default();
         }
         *written = true;
-        let (mut reply, end, strays) = self.answer(guard).await;
+        let (mut reply, end, had_stray_messages) = self.read_answer(guard).await;
         release_large_buffers(&mut self.framed);
         let outcome = match end {
-            End::Whole { .. } => reply.outcome(is_write(work)),
-            End::Begun(_) => Outcome::Completed,
-            // The member answered, but not with what can be passed on, and it may have run.
-            End::Spoilt(_) => Outcome::Errored,
-            End::Broken => Outcome::Reset,
+            ReplyEnd::Complete { .. } => reply.outcome(is_write(work)),
+            ReplyEnd::Streaming(_) => Outcome::Completed,
+            // The member's answer cannot be passed on, and the statement may have run.
+            ReplyEnd::Corrupt(_) => Outcome::Errored,
+            ReplyEnd::Disconnected => Outcome::Reset,
         };
-        // What proves that nothing ran must be beyond doubt, and the socket is asked whether anything came with it. A
-        // value stands for itself; what comes behind it shows when the connection is used again.
-        let proof = matches!(outcome, Outcome::Miss | Outcome::Saturated);
-        let whole = end == End::Whole { ready: true };
-        let more = strays || whole && if proof { !self.is_quiet() } else { self.left_over() };
-        let outcome = if more && proof { Outcome::Errored } else { outcome };
-        if let End::Spoilt(what) = end {
+        // An outcome that proves that nothing ran must be certain, so the socket itself is checked for further bytes.
+        // For a value the read buffer is enough: later bytes are detected when the connection is used again.
+        let proves_not_run = matches!(outcome, Outcome::Miss | Outcome::Saturated);
+        let complete = end == ReplyEnd::Complete { ready: true };
+        let has_extra_bytes = had_stray_messages
+            || complete && if proves_not_run { !self.is_quiet() } else { self.has_unexpected_bytes() };
+        let outcome = if has_extra_bytes && proves_not_run { Outcome::Errored } else { outcome };
+        if let ReplyEnd::Corrupt(what) = end {
             count(Count::member_spoilt);
             log::debug!("an answer is spoilt: {what}");
             return Exchange { outcome, ..Exchange::default() };
         }
-        if let End::Begun(length) = end {
+        if let ReplyEnd::Streaming(length) = end {
             count(Count::flows);
             let (source, flow) = ValueStream::new(length);
             let value = reply.column.as_ref().map(|c| Value {
@@ -302,7 +311,7 @@
             });
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
-            self.begun = Some(Box::new(reply));
+            self.partial_reply = Some(Box::new(reply));
             return Exchange { outcome, value, note, report, reusable: false, value_rest: Some(source) };
         }
         let Reply { column, row, note, report, .. } = reply;
@@ -313,28 +322,30 @@
             bytes: row.flatten(),
             stream: None,
         });
-        Exchange { outcome, value, note, report, reusable: whole && !more, value_rest: None }
+        Exchange { outcome, value, note, report, reusable: complete && !has_extra_bytes, value_rest: None }
     }
 
     async fn confirm(&mut self) -> Confirmation {
-        // Where this cannot be written the connection has ended, which reading shows, behind all that came before.
-        let _ = self.framed.send(Frontend::Empty).await;
+        // If the write fails the connection is closed, which the reads below report after all input received before.
+        let _ = self.framed.send(Frontend::EmptyQuery).await;
         let mut copies = 0;
         let mut answered = false;
         let confirmation = loop {
             match read_next(&mut self.framed, true).await {
                 ReadEvent::Message(Some(Ok(Backend::EmptyQuery))) if !answered => answered = true,
-                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered && copies == 0 => {
+                ReadEvent::Message(Some(Ok(Backend::ReadyForQuery))) if answered && copies == 0 => {
                     break Confirmation::Reusable
                 }
-                ReadEvent::Message(Some(Ok(Backend::Ready))) if answered => break Confirmation::NotReusable,
-                // A copy of the refusal says nothing else.
+                ReadEvent::Message(Some(Ok(Backend::ReadyForQuery))) if answered => {
+                    break Confirmation::NotReusable
+                }
+                // A duplicate of the refusal does not contradict it.
                 ReadEvent::Message(Some(Ok(Backend::Error { code, .. })))
-                    if copies < STRAYS && turns_away(&code) =>
+                    if copies < MAX_STRAY_MESSAGES && is_rejection(&code) =>
                 {
                     copies += 1;
                 }
-                ReadEvent::Message(Some(Ok(Backend::Ready))) if copies > 0 => {}
+                ReadEvent::Message(Some(Ok(Backend::ReadyForQuery))) if copies > 0 => {}
                 ReadEvent::Message(Some(Err(WireError::Io(_))) | None) => break Confirmation::NotReusable,
                 _ => break Confirmation::Contradicted,
             }
@@ -350,17 +361,17 @@
     }
 
     async fn forward_rest(&mut self, to: ChunkSender) -> bool {
-        let Some(mut reply) = self.begun.take() else { return false };
+        let Some(mut reply) = self.partial_reply.take() else { return false };
         let whole = loop {
-            let read = tokio::time::timeout(FLOW_STALL, read_next(&mut self.framed, true)).await;
+            let read = tokio::time::timeout(STREAM_STALL_TIMEOUT, read_next(&mut self.framed, true)).await;
             let Ok(ReadEvent::Message(Some(Ok(message)))) = read else { break false };
             match message {
-                // As fast as it is taken; whoever wanted it may have left.
+                // Waits until the client takes the chunk; fails if the client has left.
                 Backend::Chunk(bytes) => match to.send(Chunk::Bytes(bytes)).await {
                     Ok(()) => {}
                     Err(_) => break false,
                 },
-                message => match reply.take(message) {
+                message => match reply.add(message) {
                     Ok(false) => {}
                     Ok(true) => break reply.code.is_none(),
                     Err(_) => break false,
@@ -374,21 +385,21 @@
         } else {
             count(Count::flows_broken);
         }
-        whole && !self.left_over()
+        whole && !self.has_unexpected_bytes()
     }
 
     async fn probe(&mut self, guard: StaleInput) -> Option<(Report, bool)> {
         if guard == StaleInput::Possible {
-            self.framed.feed(Frontend::Empty).await.ok()?;
+            self.framed.feed(Frontend::EmptyQuery).await.ok()?;
         }
         self.framed.send(Frontend::Stats).await.ok()?;
-        let (reply, end, strays) = self.answer(guard).await;
+        let (reply, end, had_stray_messages) = self.read_answer(guard).await;
         match end {
-            End::Whole { ready: true } if reply.code.is_none() => {
-                let report = reply.row.flatten().and_then(|row| report(&row));
-                Some((report.unwrap_or_default(), !strays && !self.left_over()))
+            ReplyEnd::Complete { ready: true } if reply.code.is_none() => {
+                let report = reply.row.flatten().and_then(|row| parse_report(&row));
+                Some((report.unwrap_or_default(), !had_stray_messages && !self.has_unexpected_bytes()))
             }
-            End::Spoilt(_) => {
+            ReplyEnd::Corrupt(_) => {
                 count(Count::member_spoilt);
                 Some((Report::default(), false))
             }
@@ -398,18 +409,18 @@
 }
 
 impl Reply {
-    /// Neither the command's end nor an error has come.
+    /// Whether neither CommandComplete nor an error has been received.
     fn is_open(&self) -> bool {
         !self.complete && self.code.is_none()
     }
 
-    /// Whether a row may come next.
+    /// Whether a row may follow.
     fn expects_row(&self) -> bool {
         self.is_open() && self.column.is_some() && self.row.is_none()
     }
 
-    /// Takes in the next message; true at the end.
-    fn take(&mut self, message: Backend) -> Result<bool, &'static str> {
+    /// Adds the next message; returns true at the end of the answer.
+    fn add(&mut self, message: Backend) -> Result<bool, &'static str> {
         let open = self.is_open();
         match message {
             Backend::RowDescription(c) if open && self.column.is_none() => self.column = Some(c),
@@ -422,30 +433,30 @@
                 }
                 (self.fatal, self.code) = (fatal, Some(code));
             }
-            Backend::ParameterStatus(name, value) => self.parameter(name, &value),
+            Backend::ParameterStatus(name, value) => self.apply_parameter(name, &value),
             Backend::Other(b'N') => {}
-            Backend::Ready if !open => return Ok(true),
+            Backend::ReadyForQuery if !open => return Ok(true),
             _ => return Err("a message stands where it does not belong"),
         }
         Ok(false)
     }
 
-    /// What came of a statement, a write or a read, whose whole answer this is.
+    /// Returns the outcome of a statement whose complete answer this is; `write` tells whether it was a write.
     fn outcome(&self, write: bool) -> Outcome {
         let Some(code) = &self.code else { return Outcome::Completed };
-        // Rows come of a statement that has begun to run.
+        // A row description shows that the statement began to run.
         if self.column.is_some() {
             return Outcome::Errored;
         }
         match (code, write) {
             (b"53300", _) => Outcome::Saturated,
-            // Only writes need a primary, and only reads a position.
+            // 25006 (read-only) can only be the answer to a write, and 72000 (position not reached) only to a read.
             (b"25006", true) | (b"72000", false) => Outcome::Miss,
             _ => Outcome::Errored,
         }
     }
 
-    fn parameter(&mut self, name: Parameter, value: &[u8]) {
+    fn apply_parameter(&mut self, name: Parameter, value: &[u8]) {
         let note = self.note.unwrap_or(Note { position: None, role: None });
         let text = std::str::from_utf8(value).unwrap_or_default();
         match name {
@@ -462,15 +473,15 @@
                 let position = position.filter(|p| *p > 0);
                 self.note = Some(Note { position, ..note });
             }
-            Parameter::Stats => self.report = report(value),
+            Parameter::Stats => self.report = parse_report(value),
             Parameter::Other => {}
         }
     }
 }
 
-/// Reads `x0=1767225600.25,x1=1,q=3`. A report of which any part cannot be read, or cannot be true, tells nothing.
-fn report(text: &[u8]) -> Option<Report> {
-    let read = || {
+/// Parses a report such as `x0=1767225600.25,x1=1,q=3`. A single invalid or impossible value discards the whole report.
+fn parse_report(text: &[u8]) -> Option<Report> {
+    let parse = || {
         let mut report = Report::default();
         for part in std::str::from_utf8(text).ok()?.split(',') {
             let (name, value) = part.split_once('=')?;
@@ -485,7 +496,7 @@
         }
         Some(report)
     };
-    let report = read();
+    let report = parse();
     if report.is_none() {
         count(Count::member_bad_reports);
     }
--- a/src/pg/member_codec.rs
+++ b/src/pg/member_codec.rs
@@ -1,6 +1,6 @@
-//! The client's end of a connection to a member: what members say, decoded once, and statements, encoded once.
+//! Codec for member connections, where the proxy acts as the client: decodes member messages, encodes queries.
 
-use super::frames::{Body, Frames, WireError, LONGEST};
+use super::frames::{BodyReader, FrameReader, WireError, MAX_MESSAGE_LEN};
 use crate::core::flow;
 use crate::net::budget::{ByteBudget, ByteReservation};
 use crate::net::frames::BuffersPartial;
@@ -8,120 +8,127 @@
 use smallvec::SmallVec;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Messages up to this length are counted by no share.
-const FREE: usize = 512;
+/// Messages up to this length are not counted against the byte budget.
+const UNCOUNTED_LEN: usize = 512;
 
-/// A value longer than this comes in pieces; shorter ones are passed on only once they are whole.
+/// A longer value is streamed in chunks; a shorter one is passed on only once it is complete.
 pub const MAX_BUFFERED_VALUE_LEN: usize = 64 * 1024;
-/// The longest value: 4 MiB, in text form too.
-pub const LONGEST_VALUE: usize = 2 * 4 * 1024 * 1024 + 2;
-/// Room for one piece, and what of a flowing value may be in memory.
-const PIECE: usize = 16 * 1024;
-const IN_MEMORY: usize = PIECE * (flow::MAX_QUEUED_CHUNKS + 2);
+/// Maximum length of a value: 4 MiB, or its text form, which is `\x` and two hex digits a byte.
+pub const MAX_VALUE_LEN: usize = 2 * 4 * 1024 * 1024 + 2;
+/// Maximum length of a chunk of a streamed value.
+const CHUNK_LEN: usize = 16 * 1024;
+/// Bytes of a streamed value that can be in memory at a time: the queued chunks, the one being read and the one being
+/// written.
+const STREAM_SHARE_LEN: usize = CHUNK_LEN * (flow::MAX_QUEUED_CHUNKS + 2);
 
-/// The description of the one column that answers have.
+/// Description of the single column of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Column {
-    /// Type.
+    /// Type OID.
     pub type_id: u32,
-    /// Binary rather than text form.
+    /// Binary rather than text format.
     pub binary: bool,
 }
 
-/// A run-time parameter by its name, as far as it tells anything.
+/// Name of a run-time parameter, as far as the proxy uses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parameter {
-    /// Whether the member takes writes.
+    /// Whether the member accepts writes.
     Mode,
-    /// Its position.
+    /// The member's position.
     Position,
-    /// Its report on itself.
+    /// The member's report on its own state.
     Stats,
-    /// Any other.
+    /// Any other parameter.
     Other,
 }
 
-/// What a member says.
+/// A message from a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Backend {
-    /// Welcome.
+    /// Authentication succeeded.
     AuthenticationOk,
-    /// Some other word on authentication.
+    /// Any other authentication message.
     AuthenticationOther,
     /// A run-time parameter and its value.
     ParameterStatus(Parameter, SmallVec<[u8; 64]>),
-    /// The key for cancels.
-    KeyData,
-    /// The server waits for a command.
-    Ready,
-    /// Description of the rows to come.
+    /// The key for cancel requests.
+    BackendKeyData,
+    /// The member waits for a command.
+    ReadyForQuery,
+    /// Description of the rows that follow.
     RowDescription(Column),
     /// A row of one column.
     DataRow(Option<Bytes>),
-    /// The start of a row whose value has so many bytes; they follow in pieces.
-    RowBegins(usize),
-    /// The next of them.
+    /// The start of a row whose value has this many bytes; they follow as [`Backend::Chunk`]s.
+    LargeRowStart(usize),
+    /// The next bytes of a large value.
     Chunk(Bytes),
     /// The end of a command.
     CommandComplete,
-    /// The answer to an empty query.
+    /// The response to an empty query.
     EmptyQuery,
     /// An error.
     Error {
-        /// Ends the connection.
+        /// Whether the error ends the connection.
         fatal: bool,
         /// SQLSTATE.
         code: [u8; 5],
-        /// For people.
+        /// Human-readable message.
         message: Bytes,
     },
-    /// Anything that may be passed over.
+    /// Any message that may be ignored, by its tag.
     Other(u8),
 }
 
-/// What is said to a member, but for statements.
+/// A message to a member other than a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Frontend {
     /// Opens a session.
     Startup,
-    /// Asks for a report.
+    /// Queries the member's report.
     Stats,
-    /// The fence: an empty query.
-    Empty,
+    /// An empty query, used as a fence between answers.
+    EmptyQuery,
 }
 
-/// The client's end.
+/// The client side of the protocol.
 pub struct ClientCodec {
-    frames: Frames,
+    frames: FrameReader,
     budget: ByteBudget,
-    /// Bytes of a value that are still to come, and the share for what of them is in memory.
-    left: usize,
+    /// Bytes of a streamed value that have not arrived yet, and the budget share for those in memory.
+    remaining: usize,
     share: Option<ByteReservation>,
 }
 
 impl ClientCodec {
-    /// One for a new connection.
+    /// Creates the codec of a new connection.
     pub fn new(budget: ByteBudget) -> Self {
-        // A member's word for a length is taken as soon as there is a share for it: members send what they announce, or
-        // else the connection ends within the time that an answer may take.
-        ClientCodec { frames: Frames::new(budget.clone(), FREE, 0), budget, left: 0, share: None }
+        // The buffer is grown as soon as there is a share for the announced length: members send what they announce,
+        // or the connection is closed within the time limit of an answer.
+        ClientCodec {
+            frames: FrameReader::new(budget.clone(), UNCOUNTED_LEN, 0),
+            budget,
+            remaining: 0,
+            share: None,
+        }
     }
 }
 
 impl ClientCodec {
-    /// What has come of a value's bytes.
-    fn piece(&mut self, src: &mut BytesMut) -> Option<Backend> {
-        let some = src.len().min(self.left).min(PIECE);
-        if some == 0 {
-            // Cut off before, the buffer has no room left, and little would be read at a time.
-            src.reserve(PIECE);
+    /// Returns the received bytes of a streamed value, up to one chunk.
+    fn next_chunk(&mut self, src: &mut BytesMut) -> Option<Backend> {
+        let len = src.len().min(self.remaining).min(CHUNK_LEN);
+        if len == 0 {
+            // Splitting off chunks uses up the buffer's capacity; without more, each read would return few bytes.
+            src.reserve(CHUNK_LEN);
             return None;
         }
-        self.left -= some;
-        if self.left == 0 {
+        self.remaining -= len;
+        if self.remaining == 0 {
             self.share = None;
         }
-        Some(Backend::Chunk(src.split_to(some).freeze()))
+        Some(Backend::Chunk(src.split_to(len).freeze()))
     }
 }
 
@@ -132,11 +139,11 @@
     type Error = WireError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Backend>, WireError> {
-        if self.left > 0 {
-            return Ok(self.piece(src));
+        if self.remaining > 0 {
+            return Ok(self.next_chunk(src));
         }
-        let longest = |tag| match tag {
-            b'D' => Some(LONGEST),
+        let max_len = |tag| match tag {
+            b'D' => Some(MAX_MESSAGE_LEN),
             b'E' | b'N' | b'S' | b'R' => Some(8 * 1024),
             b'T' | b'C' => Some(512),
             b'K' => Some(264),
@@ -144,113 +151,114 @@
             b'I' => Some(4),
             _ => None,
         };
-        // The row's own length shows at once whether the message's can be true; waited for, one that is too long
-        // would take the rest of the answer for part of the value.
+        // Checks the message length against the row's own length before waiting for the whole message: with a message
+        // length that is too large, the rest of the answer would be read as part of the value.
         if src.len() >= 11 && src[0] == b'D' {
             let (message, row) = ((&src[1..]).get_u32(), (&src[7..]).get_i32());
             if i64::from(message) != 10 + i64::from(row.max(0)) {
                 return Err(WireError::Malformed("a row's length is off"));
             }
             let row = row.max(0) as usize;
-            if row > LONGEST_VALUE {
+            if row > MAX_VALUE_LEN {
                 return Err(WireError::TooLong(row));
             }
             if row > MAX_BUFFERED_VALUE_LEN {
                 if src[5..7] != [0, 1] {
                     return Err(WireError::Malformed("a row does not have one column"));
                 }
-                self.share = Some(self.budget.try_reserve(IN_MEMORY).ok_or(WireError::NoRoom)?);
-                self.left = row;
+                self.share =
+                    Some(self.budget.try_reserve(STREAM_SHARE_LEN).ok_or(WireError::BudgetExhausted)?);
+                self.remaining = row;
                 src.advance(11);
-                return Ok(Some(Backend::RowBegins(row)));
+                return Ok(Some(Backend::LargeRowStart(row)));
             }
         }
-        let Some(found) = self.frames.next(src, true, longest)? else { return Ok(None) };
-        let mut body = Body(found.body(src));
-        let message = match found.tag {
-            b'R' => match u32::from_be_bytes(body.take()?) {
+        let Some(frame) = self.frames.next(src, true, max_len)? else { return Ok(None) };
+        let mut body = BodyReader(frame.body(src));
+        let message = match frame.tag {
+            b'R' => match u32::from_be_bytes(body.read_bytes()?) {
                 0 => Backend::AuthenticationOk,
-                _ => return other(found, src, Backend::AuthenticationOther),
+                _ => return without_body(frame, src, Backend::AuthenticationOther),
             },
             b'S' => {
-                let name = match body.text()? {
+                let name = match body.read_string()? {
                     b"mode" => Parameter::Mode,
                     b"wal_time" => Parameter::Position,
                     b"stats" => Parameter::Stats,
                     _ => Parameter::Other,
                 };
-                Backend::ParameterStatus(name, SmallVec::from_slice(body.text()?))
+                Backend::ParameterStatus(name, SmallVec::from_slice(body.read_string()?))
             }
-            b'K' => return other(found, src, Backend::KeyData),
-            b'Z' => match body.take()? {
-                [b'I' | b'T' | b'E'] => Backend::Ready,
+            b'K' => return without_body(frame, src, Backend::BackendKeyData),
+            b'Z' => match body.read_bytes()? {
+                [b'I' | b'T' | b'E'] => Backend::ReadyForQuery,
                 _ => return Err(WireError::Malformed("a server is ready in no known state")),
             },
-            b'T' => Backend::RowDescription(column(&mut body)?),
+            b'T' => Backend::RowDescription(parse_column(&mut body)?),
             b'D' => {
-                if u16::from_be_bytes(body.take()?) != 1 {
+                if u16::from_be_bytes(body.read_bytes()?) != 1 {
                     return Err(WireError::Malformed("a row does not have one column"));
                 }
-                match i32::from_be_bytes(body.take()?) {
+                match i32::from_be_bytes(body.read_bytes()?) {
                     -1 => Backend::DataRow(None),
                     n if usize::try_from(n) == Ok(body.0.len()) => {
-                        return Ok(Some(Backend::DataRow(Some(found.keep(src, 6, 0)))))
+                        return Ok(Some(Backend::DataRow(Some(frame.into_body(src, 6, 0)))))
                     }
                     _ => return Err(WireError::Malformed("a row's length is off")),
                 }
             }
             b'C' => {
-                let tag = body.text()?;
+                let tag = body.read_string()?;
                 if tag.is_empty() || !tag.iter().all(|b| (b' '..=b'~').contains(b)) {
                     return Err(WireError::Malformed("a command's tag cannot be read"));
                 }
                 Backend::CommandComplete
             }
             b'I' => Backend::EmptyQuery,
-            b'E' => error(&mut body)?,
-            tag => return other(found, src, Backend::Other(tag)),
+            b'E' => parse_error(&mut body)?,
+            tag => return without_body(frame, src, Backend::Other(tag)),
         };
-        body.ended()?;
-        found.skip(src);
+        body.expect_end()?;
+        frame.discard(src);
         Ok(Some(message))
     }
 }
 
-/// A message whose body tells nothing.
-fn other(
-    found: super::frames::Found,
+/// Discards the body of a message that carries nothing the proxy uses.
+fn without_body(
+    frame: super::frames::Frame,
     src: &mut BytesMut,
     message: Backend,
 ) -> Result<Option<Backend>, WireError> {
-    found.skip(src);
+    frame.discard(src);
     Ok(Some(message))
 }
 
-fn column(body: &mut Body) -> Result<Column, WireError> {
-    if u16::from_be_bytes(body.take()?) != 1 {
+fn parse_column(body: &mut BodyReader) -> Result<Column, WireError> {
+    if u16::from_be_bytes(body.read_bytes()?) != 1 {
         return Err(WireError::Malformed("an answer does not have one column"));
     }
-    body.text()?;
-    body.take::<6>()?;
-    let type_id = u32::from_be_bytes(body.take()?);
-    body.take::<6>()?;
-    match u16::from_be_bytes(body.take()?) {
+    body.read_string()?;
+    body.read_bytes::<6>()?;
+    let type_id = u32::from_be_bytes(body.read_bytes()?);
+    body.read_bytes::<6>()?;
+    match u16::from_be_bytes(body.read_bytes()?) {
         form @ (0 | 1) => Ok(Column { type_id, binary: form == 1 }),
         _ => Err(WireError::Malformed("a column has no known form")),
     }
 }
 
-/// The severities of messages that end nothing; only notices have them.
+/// Severities of messages that do not end a command; only notices have them.
 const NOTICE_SEVERITIES: [&[u8]; 5] = [b"WARNING", b"NOTICE", b"DEBUG", b"INFO", b"LOG"];
 
-fn error(body: &mut Body) -> Result<Backend, WireError> {
+fn parse_error(body: &mut BodyReader) -> Result<Backend, WireError> {
     let (mut severity, mut plain_severity, mut code, mut message) = (None, None, None, None);
     loop {
-        let [field] = body.take()?;
+        let [field] = body.read_bytes()?;
         if field == 0 {
             break;
         }
-        let value = body.text()?;
+        let value = body.read_string()?;
         let known = match field {
             b'S' => &mut severity,
             b'V' => &mut plain_severity,
@@ -265,7 +273,7 @@
     if [severity, plain_severity].iter().flatten().any(|severity| NOTICE_SEVERITIES.contains(severity)) {
         return Err(WireError::Malformed("an error has the severity of a notice"));
     }
-    // Five digits or capital letters, or what it means cannot be known.
+    // Five digits or capital letters; the meaning of any other code is unknown.
     let code = code.filter(|code| code.iter().all(|b| b.is_ascii_digit() || b.is_ascii_uppercase()));
     let Some(code) = code.and_then(|code| code.try_into().ok()) else {
         return Err(WireError::Malformed("an error has no code"));
@@ -274,8 +282,8 @@
     Ok(Backend::Error { fatal, code, message: Bytes::copy_from_slice(message.unwrap_or_default()) })
 }
 
-/// A simple query, whole.
-fn query(dst: &mut BytesMut, text: &[u8]) {
+/// Encodes a simple query.
+fn encode_query(dst: &mut BytesMut, text: &[u8]) {
     dst.put_u8(b'Q');
     dst.put_u32(text.len() as u32 + 5);
     dst.put_slice(text);
@@ -292,16 +300,21 @@
                 dst.put_u32(BODY.len() as u32 + 4);
                 dst.put_slice(BODY);
             }
-            Frontend::Stats => query(dst, b"SHOW stats"),
-            Frontend::Empty => query(dst, b""),
+            Frontend::Stats => encode_query(dst, b"SHOW stats"),
+            Frontend::EmptyQuery => encode_query(dst, b""),
         }
         Ok(())
     }
 }
 
-/// A statement as a member gets it, told to wait so many ms, in the parts that it is made of: nothing of it is copied.
-/// `fence` puts an empty query before it, whose answer comes first and ends what may be left of an earlier one.
-pub fn statement<'a>((head, tail): (&'a [u8], &'a [u8]), wait: u64, fence: bool) -> impl Buf + use<'a> {
+/// Encodes a statement with the waiting time `wait`, in ms, inserted between its two parts, which are not copied.
+/// `fence` puts an empty query before the statement: its answer comes first and marks the end of anything left over
+/// from an earlier answer.
+pub fn encode_statement<'a>(
+    (head, tail): (&'a [u8], &'a [u8]),
+    wait: u64,
+    fence: bool,
+) -> impl Buf + use<'a> {
     let mut digits = itoa::Buffer::new();
     let wait: SmallVec<[u8; 20]> = SmallVec::from_slice(digits.format(wait).as_bytes());
     let length = (head.len() + wait.len() + tail.len()) as u32 + 5;
--- a/src/pg/member_tests.rs
+++ b/src/pg/member_tests.rs
@@ -1,10 +1,10 @@
-//! Answers of members, byte by byte, on real sockets: which of them prove that a statement never ran.
+//! Tests on real sockets of which answers of a member prove that a statement never ran.
 
 use super::*;
 use crate::net::budget::Budget;
 use crate::pg::member_codec::MAX_BUFFERED_VALUE_LEN;
 use crate::pg::scripted_member::{
-    self, data_row, data_row_start, error, error_of, read_query, row_description, READY_FOR_QUERY,
+    self, data_row, data_row_start, error, error_with_fields, read_query, row_description, READY_FOR_QUERY,
     STARTUP_RESPONSE,
 };
 use std::future::Future;
@@ -14,28 +14,28 @@
 const READ: &[u8] = b"SELECT v FROM records WHERE k = 'k1' /* id=01,d= */";
 const WRITE: &[u8] = b"INSERT INTO records (k, v) VALUES ('k1', '\\x01') RETURNING v /* id=01,d= */";
 
-/// What a member does behind its last answer.
+/// What a member does after its last answer.
 #[derive(Clone, Copy, PartialEq)]
-enum Then {
-    /// It waits for its client's end.
-    Waits,
-    /// It ends the connection.
-    Ends,
+enum AfterAnswers {
+    /// Keeps the connection open until the client closes it.
+    WaitForClose,
+    /// Closes the connection.
+    Close,
 }
 
-/// A member that welcomes so, and answers one query after the other so.
-fn member(welcome: Vec<u8>, answers: Vec<Vec<u8>>, then: Then) -> SocketAddr {
+/// Starts a member that sends the given startup response, then one of the answers to each query.
+fn member(startup_response: Vec<u8>, answers: Vec<Vec<u8>>, after: AfterAnswers) -> SocketAddr {
     let script = move |client: &mut TcpStream| {
         for answer in answers {
             read_query(client)?;
             client.write_all(&answer)?;
         }
-        match then {
-            Then::Waits => read_query(client).map(drop),
-            Then::Ends => Ok(()),
+        match after {
+            AfterAnswers::WaitForClose => read_query(client).map(drop),
+            AfterAnswers::Close => Ok(()),
         }
     };
-    scripted_member::start(welcome, script).0
+    scripted_member::start(startup_response, script).0
 }
 
 fn work(text: &'static [u8]) -> Work {
@@ -48,21 +48,21 @@
     runtime.block_on(future)
 }
 
-async fn opened(address: SocketAddr) -> Result<Connection, Outcome> {
+async fn connect(address: SocketAddr) -> Result<Connection, Outcome> {
     let budget = Budget::new(64, 1 << 28);
     let permit = budget.members.permit().await.expect("a permit");
     PgConnector::new(budget.bytes).open(address, permit).await
 }
 
-/// How a statement ends that a member answers so, on a new connection.
+/// Returns the outcome of a statement that a member answers in this way on a new connection.
 fn outcome(text: &'static [u8], answer: &[&[u8]]) -> Outcome {
-    outcome_where_member(Then::Waits, text, answer)
+    outcome_with(AfterAnswers::WaitForClose, text, answer)
 }
 
-fn outcome_where_member(then: Then, text: &'static [u8], answer: &[&[u8]]) -> Outcome {
-    let address = member(STARTUP_RESPONSE.to_vec(), vec![answer.concat()], then);
+fn outcome_with(after: AfterAnswers, text: &'static [u8], answer: &[&[u8]]) -> Outcome {
+    let address = member(STARTUP_RESPONSE.to_vec(), vec![answer.concat()], after);
     block_on(async {
-        let mut link = opened(address).await.expect("a welcome");
+        let mut link = connect(address).await.expect("the connection opens");
         let mut written = false;
         let exchange = link.run(&work(text), 1_000, StaleInput::Excluded, &mut written).await;
         assert!(written);
@@ -74,13 +74,13 @@
 fn a_whole_error_alone_proves_that_nothing_ran() {
     assert_eq!(outcome(READ, &[&error("ERROR", "53300"), READY_FOR_QUERY]), Outcome::Saturated);
     assert_eq!(outcome(WRITE, &[&error("ERROR", "53300"), READY_FOR_QUERY]), Outcome::Saturated);
-    assert_eq!(outcome_where_member(Then::Ends, WRITE, &[&error("FATAL", "53300")]), Outcome::Saturated);
+    assert_eq!(outcome_with(AfterAnswers::Close, WRITE, &[&error("FATAL", "53300")]), Outcome::Saturated);
     assert_eq!(outcome(WRITE, &[&error("ERROR", "25006"), READY_FOR_QUERY]), Outcome::Miss);
     assert_eq!(outcome(READ, &[&error("ERROR", "72000"), READY_FOR_QUERY]), Outcome::Miss);
 }
 
 #[test]
-fn an_error_behind_a_row_or_its_description_is_no_proof_that_nothing_ran() {
+fn an_error_after_a_row_or_its_description_is_no_proof_that_nothing_ran() {
     for code in ["53300", "25006"] {
         let error = error("ERROR", code);
         assert_eq!(
@@ -101,50 +101,59 @@
     for fields in
         ["SERROR\0CXX000\0C53300\0Mno", "SERROR\0C53300\0C53300\0Mno", "SERROR\0SFATAL\0C53300\0Mno"]
     {
-        assert_eq!(outcome(WRITE, &[&error_of(fields), READY_FOR_QUERY]), Outcome::Errored, "{fields:?}");
+        assert_eq!(
+            outcome(WRITE, &[&error_with_fields(fields), READY_FOR_QUERY]),
+            Outcome::Errored,
+            "{fields:?}"
+        );
     }
 }
 
 #[test]
 fn a_notice_in_the_form_of_an_error_is_no_proof_that_nothing_ran() {
     for fields in ["SNOTICE\0C53300\0Mno", "SWARNING\0VWARNING\0C53300\0Mno", "SERROR\0VLOG\0C53300\0Mno"] {
-        assert_eq!(outcome(WRITE, &[&error_of(fields), READY_FOR_QUERY]), Outcome::Errored, "{fields:?}");
+        assert_eq!(
+            outcome(WRITE, &[&error_with_fields(fields), READY_FOR_QUERY]),
+            Outcome::Errored,
+            "{fields:?}"
+        );
     }
 }
 
 #[test]
-fn a_fatal_error_with_noise_before_the_end_is_no_proof_that_nothing_ran() {
+fn a_fatal_error_followed_by_garbage_is_no_proof_that_nothing_ran() {
     let fatal = error("FATAL", "53300");
     let row = [row_description(), data_row(b"v")].concat();
-    // A message that is cut off, one whose length alone has come, and a byte that begins none.
-    for noise in [&row[..20], &row[..5], &row[..1], &[0xff][..]] {
-        let outcome = outcome_where_member(Then::Ends, WRITE, &[&fatal, noise]);
-        assert!(!outcome.never_ran(), "{outcome:?} with {noise:?} behind it");
+    // A truncated message, one with only its tag and length, a tag alone, and a byte that starts no message.
+    for garbage in [&row[..20], &row[..5], &row[..1], &[0xff][..]] {
+        let outcome = outcome_with(AfterAnswers::Close, WRITE, &[&fatal, garbage]);
+        assert!(!outcome.never_ran(), "{outcome:?} with {garbage:?} after it");
     }
 }
 
 #[test]
 fn a_code_that_does_not_fit_the_statement_is_no_proof_that_nothing_ran() {
-    // A read needs no primary; a write carries no position that it would have to see.
+    // A read does not need a primary, and a write carries no position that it must see.
     assert_eq!(outcome(READ, &[&error("ERROR", "25006"), READY_FOR_QUERY]), Outcome::Errored);
     assert_eq!(outcome(WRITE, &[&error("ERROR", "72000"), READY_FOR_QUERY]), Outcome::Errored);
 }
 
 #[test]
-fn what_stands_behind_the_welcome_is_no_answer_to_the_first_statement() {
-    let welcome = [STARTUP_RESPONSE, &error("ERROR", "53300"), READY_FOR_QUERY].concat();
-    // The member runs the statement and is still busy with it when the proxy has read what it takes for the answer.
-    let address = member(welcome, vec![Vec::new()], Then::Waits);
+fn bytes_after_the_startup_response_are_no_answer_to_the_first_statement() {
+    let startup_response = [STARTUP_RESPONSE, &error("ERROR", "53300"), READY_FOR_QUERY].concat();
+    // The error was sent before the statement. The proxy must not take it for the answer: the member would still be
+    // running the statement.
+    let address = member(startup_response, vec![Vec::new()], AfterAnswers::WaitForClose);
     let ran = block_on(async {
-        let mut link = opened(address).await?;
+        let mut link = connect(address).await?;
         Ok(link.run(&work(WRITE), 1_000, StaleInput::Excluded, &mut false).await.outcome)
     });
-    assert_eq!(ran, Err(Outcome::Refused), "a connection on which nothing may be written");
+    assert_eq!(ran, Err(Outcome::Refused), "no statement may be written on this connection");
 }
 
 #[test]
-fn a_large_row_behind_an_error_is_no_answer() {
-    // Its first bytes alone, as it stands before it has come whole.
+fn a_large_row_after_an_error_is_no_answer() {
+    // Only the first bytes of the row are sent: a large row is handled before it is complete.
     let large = data_row_start(MAX_BUFFERED_VALUE_LEN as u32 + 1);
     assert_eq!(outcome(READ, &[&row_description(), &large]), Outcome::Completed);
     assert_eq!(outcome(READ, &[&row_description(), &error("ERROR", "XX000"), &large]), Outcome::Errored);
--- a/src/pg/mod.rs
+++ b/src/pg/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: version 3 of PostgreSQL's wire protocol, as far as simple queries need it.
+//! The PostgreSQL front and the connections to members: version 3 of PostgreSQL's wire protocol, simple queries only.
 
 pub mod codec;
 mod frames;
--- a/src/pg/replies.rs
+++ b/src/pg/replies.rs
@@ -1,6 +1,6 @@
-//! The replies that are owed on a connection, and how they are written: in the order of their queries, all that are due in one go.
+//! Pending replies of a connection. They are written in the order of their queries, as many as are ready at a time.
 
-use super::codec::{row_head, row_tail, Reply, WireError};
+use super::codec::{write_row_prefix, write_row_suffix, Reply, WireError};
 use super::front::reply;
 use super::session::Conn;
 use crate::core::counters::{add, Count};
@@ -18,13 +18,16 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Sleep;
 
-/// How long a client may take to take in an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for a single write to a client.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A reply that is owed on a connection.
+/// A reply that has not been written yet.
 pub(super) enum PendingReply {
+    /// Known already.
     Ready(Reply),
+    /// Known already, to be sent after a delay.
     Paced(Pin<Box<Sleep>>, Reply),
+    /// Waits for the core's answer; the flag is true for a write.
     Waiting(Pending, bool),
 }
 
@@ -41,12 +44,12 @@
     }
 }
 
-/// The replies that are owed on a connection, in the order of their queries. A request whose answer has not come when this
-/// ends goes without one, and is counted.
+/// The pending replies of a connection, in the order of their queries. Requests that still wait for their answer when
+/// this is dropped stay unanswered and are counted.
 #[derive(Default)]
-pub(super) struct OwedReplies(pub VecDeque<PendingReply>);
+pub(super) struct PendingReplies(pub VecDeque<PendingReply>);
 
-impl Drop for OwedReplies {
+impl Drop for PendingReplies {
     fn drop(&mut self) {
         let waiting = self.0.iter().filter(|reply| matches!(reply, PendingReply::Waiting(..))).count();
         if waiting > 0 {
@@ -56,22 +59,22 @@
     }
 }
 
-/// The reply that is due first, once there is one. Replies go out in the order of their queries, so that only the
-/// first is asked for; nothing is lost where this is dropped.
-pub(super) async fn due(owed: &mut VecDeque<PendingReply>) -> Reply {
-    let reply = poll_fn(|cx| owed.front_mut().map_or(Poll::Pending, |first| first.poll(cx))).await;
-    owed.pop_front();
+/// Waits for the reply to the oldest query. Replies go out in the order of their queries, so only the first is polled.
+/// Cancel safe.
+pub(super) async fn next_reply(pending: &mut VecDeque<PendingReply>) -> Reply {
+    let reply = poll_fn(|cx| pending.front_mut().map_or(Poll::Pending, |first| first.poll(cx))).await;
+    pending.pop_front();
     reply
 }
 
-/// A value from this size on is written from where it lies, not copied into the connection's buffer first.
+/// A value of at least this size is written directly instead of being copied into the connection's write buffer.
 const MIN_UNBUFFERED_LEN: usize = 16 * 1024;
 
-/// Writes a reply and those behind it that are due already, in one go.
-pub(super) async fn put(
+/// Writes a reply and those after it that are ready, then flushes.
+pub(super) async fn write_replies(
     conn: &mut Conn,
     reply: Reply,
-    owed: &mut VecDeque<PendingReply>,
+    pending: &mut VecDeque<PendingReply>,
 ) -> Result<(), WireError> {
     let mut next = Some(reply);
     while let Some(reply) = next {
@@ -80,49 +83,51 @@
                 if value.bytes.as_ref().is_some_and(|b| b.len() >= MIN_UNBUFFERED_LEN) =>
             {
                 let (mut head, mut tail) = (std::mem::take(conn.write_buffer_mut()), BytesMut::new());
-                row_head(&value, &mut head);
-                row_tail(&value, write, &mut tail);
+                write_row_prefix(&value, &mut head);
+                write_row_suffix(&value, write, &mut tail);
                 let bytes = value.bytes.unwrap_or_default();
                 let mut all = (&head[..]).chain(bytes).chain(tail);
-                in_time(conn.get_mut().write_all_buf(&mut all)).await?;
+                with_timeout(conn.get_mut().write_all_buf(&mut all)).await?;
                 head.clear();
                 *conn.write_buffer_mut() = head;
             }
-            Reply::Row(value, write) if value.stream.is_some() => flow(conn, value, write).await?,
-            reply => in_time(conn.feed(reply)).await?,
+            Reply::Row(value, write) if value.stream.is_some() => stream_row(conn, value, write).await?,
+            reply => with_timeout(conn.feed(reply)).await?,
         }
-        next = if owed.is_empty() { None } else { due(owed).now_or_never() };
+        next = if pending.is_empty() { None } else { next_reply(pending).now_or_never() };
     }
-    in_time(SinkExt::<Reply>::flush(conn)).await
+    with_timeout(SinkExt::<Reply>::flush(conn)).await
 }
 
-/// A client that takes in nothing for so long must not hold its permit for ever.
-async fn in_time<E: Into<WireError>>(write: impl Future<Output = Result<(), E>>) -> Result<(), WireError> {
-    match tokio::time::timeout(ANSWER_TIMEOUT, write).await {
+/// Limits the time of a write: a client that reads nothing must not hold its permit forever.
+async fn with_timeout<E: Into<WireError>>(
+    write: impl Future<Output = Result<(), E>>,
+) -> Result<(), WireError> {
+    match tokio::time::timeout(WRITE_TIMEOUT, write).await {
         Ok(written) => written.map_err(Into::into),
         Err(_) => Err(WireError::Io(ErrorKind::TimedOut.into())),
     }
 }
 
-/// Passes on a large value as it comes. Its length stands before it, so that a client can tell when it breaks off:
-/// all that is left then is to end the connection.
-async fn flow(conn: &mut Conn, value: Value, write: bool) -> Result<(), WireError> {
+/// Streams a large value to the client as it arrives. The length precedes the value, so a client can tell that a value
+/// is truncated. If the stream breaks off, the connection can only be closed.
+async fn stream_row(conn: &mut Conn, value: Value, write: bool) -> Result<(), WireError> {
     let Some(flow) = &value.stream else { return Ok(()) };
-    let (mut head, mut left) = (std::mem::take(conn.write_buffer_mut()), flow.length());
-    row_head(&value, &mut head);
-    in_time(conn.get_mut().write_all(&head)).await?;
+    let (mut head, mut remaining) = (std::mem::take(conn.write_buffer_mut()), flow.length());
+    write_row_prefix(&value, &mut head);
+    with_timeout(conn.get_mut().write_all(&head)).await?;
     head.clear();
     *conn.write_buffer_mut() = head;
     loop {
         match flow.next().await {
-            Some(Chunk::Bytes(mut bytes)) if bytes.len() <= left => {
-                left -= bytes.len();
-                in_time(conn.get_mut().write_all_buf(&mut bytes)).await?;
+            Some(Chunk::Bytes(mut bytes)) if bytes.len() <= remaining => {
+                remaining -= bytes.len();
+                with_timeout(conn.get_mut().write_all_buf(&mut bytes)).await?;
             }
-            Some(Chunk::End) if left == 0 => break,
+            Some(Chunk::End) if remaining == 0 => break,
             _ => return Err(WireError::Io(ErrorKind::UnexpectedEof.into())),
         }
     }
-    row_tail(&value, write, conn.write_buffer_mut());
+    write_row_suffix(&value, write, conn.write_buffer_mut());
     Ok(())
 }
--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -1,18 +1,20 @@
-//! One client's connection by the platform's protocol, from its first byte to its end: queries in, answers out in their order.
+//! A client connection of the PostgreSQL front, from the startup to the close. Replies are sent in the order of their
+//! queries.
 //!
-//! | state | ends by |
+//! | state | what ends it |
 //! | --- | --- |
-//! | never asked | the client; `FIRST_MESSAGE_TIMEOUT`; others who lack a permit, once it was quiet; the end of the process, once it was quiet |
-//! | a message is begun | its rest; `UNFINISHED_MESSAGE_TIMEOUT` |
-//! | answers are owed | nothing but the client |
-//! | at rest | the client; `IDLE_TIMEOUT`; others who lack a permit; the end of the process |
+//! | no command received | the client; `FIRST_MESSAGE_TIMEOUT`; others in need of a permit, or the shutdown, both after `MIN_QUIET_TIME` |
+//! | message partially received | the rest of the message; `UNFINISHED_MESSAGE_TIMEOUT` |
+//! | replies pending | only the client |
+//! | idle | the client; `IDLE_TIMEOUT`; others in need of a permit; the shutdown |
 //!
-//! All but the client's own end go through [`client_close`], which ends nothing that has no answer.
+//! Except where the client itself closes, the connection is closed through [`client_close`], which never closes a
+//! connection that has unanswered input.
 
-use super::codec::{After, Frontend, Reply, ServerCodec, WireError};
+use super::codec::{AfterError, Frontend, Reply, ServerCodec, WireError};
 use super::front::{error, last_refusal, Front};
-use super::replies::{due, put, OwedReplies, PendingReply};
-use super::statement::{self, Fault};
+use super::replies::{next_reply, write_replies, PendingReplies, PendingReply};
+use super::statement::{self, StatementError};
 use crate::core::counters::{count, Count};
 use crate::interface::*;
 use crate::net::budget::MIN_QUIET_TIME;
@@ -28,130 +30,132 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// Queries taken from one connection before their answers have gone out, and while memory is short.
+/// Maximum number of unanswered queries read from a connection, normally and while memory is short.
 const MAX_PIPELINED: usize = 16;
 const MAX_PIPELINED_TIGHT: usize = 1;
-/// From a connection's start to the end of its first message after the startup: a client that says nothing, or
-/// begins and does not end, is owed a close within 3 s.
+/// Time from accepting a connection to the end of its first message after the startup. A client that sends nothing, or
+/// only part of a message, must see the connection closed within 3 s.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a message that was begun may take to end.
+/// Time that the rest of a partially received message may take.
 const UNFINISHED_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// How long a client may hold its connection without asking anything more: its permit costs memory and a descriptor,
-/// and some never come back.
+/// Time after which an idle connection is closed: its permit costs memory and a descriptor, and some clients never send
+/// anything again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Kept off a client's deadline, in us: the way there and back takes time.
+/// Subtracted from a client's deadline, in us, to allow for the network round trip.
 const DEADLINE_MARGIN: Time = 4_000;
 
-/// What a client has said so far.
+/// What has been received from a client so far.
 #[derive(Default)]
 struct SessionState {
-    /// Anything at all after its startup.
-    asked: bool,
-    /// Something that could be understood.
-    sound: bool,
-    /// What has come until the first answer may have been sent since then.
-    waits_since: Option<std::time::Instant>,
-    /// A round of the extended protocol was turned away; the rest of it is passed over.
-    skipping: bool,
+    /// Any message after the startup was received.
+    command_seen: bool,
+    /// A valid query was received.
+    understood: bool,
+    /// Input received before the first reply may have been sent as early as this.
+    waiting_since: Option<std::time::Instant>,
+    /// A message of the extended protocol was rejected; messages up to the next Sync are ignored.
+    skipping_until_sync: bool,
 }
 
 pub(super) type Conn = Framed<Socket, ServerCodec>;
 
-/// A connection while it is served.
+/// A client connection that is being served.
 pub(super) struct Session {
     front: Arc<Front>,
     conn: Conn,
-    owed: OwedReplies,
+    pending: PendingReplies,
     state: SessionState,
     opened: Instant,
-    /// Since when nothing was asked and nothing answered.
-    rests: Instant,
-    /// Since when a message is begun that has not ended.
-    part: Option<Instant>,
+    /// When the last message was received or the last reply was sent.
+    idle_since: Instant,
+    /// When the first bytes of the current, incomplete message were received.
+    partial_since: Option<Instant>,
     phase: ProcessPhase,
-    /// The connection ends as soon as it is at rest.
-    leaving: bool,
-    /// The client has said goodbye.
-    goodbye: bool,
+    /// The connection is closed as soon as it is idle.
+    closing_when_idle: bool,
+    /// The client has ended the session (Terminate or CancelRequest).
+    terminated: bool,
 }
 
 impl Session {
-    /// One on a new connection. What its client has sent already may have been sent at any time since `waits_since`.
-    pub(super) fn new(front: Arc<Front>, waits_since: Option<std::time::Instant>, stream: Socket) -> Self {
+    /// Creates the session of a new connection, whose input may have been sent as early as `waiting_since`.
+    pub(super) fn new(front: Arc<Front>, waiting_since: Option<std::time::Instant>, stream: Socket) -> Self {
         let conn = Framed::with_capacity(stream, ServerCodec::new(front.bytes.clone()), INITIAL_BUFFER_SIZE);
-        let (state, opened) = (SessionState { waits_since, ..SessionState::default() }, Instant::now());
+        let (state, opened) = (SessionState { waiting_since, ..SessionState::default() }, Instant::now());
         Session {
             front,
             conn,
-            owed: OwedReplies::default(),
+            pending: PendingReplies::default(),
             state,
             opened,
-            rests: opened,
-            part: None,
+            idle_since: opened,
+            partial_since: None,
             phase: ProcessPhase::Starting,
-            leaving: false,
-            goodbye: false,
+            closing_when_idle: false,
+            terminated: false,
         }
     }
 
-    /// Serves it to its end.
+    /// Serves the connection until it is closed.
     pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, WireError> {
         self.phase = *closing.borrow();
-        self.leaving = self.phase >= ProcessPhase::Closing;
-        // Set anew with each step of the end: first connections end with their next answer, then between requests.
-        let mut begun = closing.clone();
-        let mut begun = pin!(wait_for_phase(&mut begun, ProcessPhase::HandingOver));
-        let mut closed = pin!(wait_for_phase(&mut closing, ProcessPhase::Closing));
-        // Set anew only when it rings too early: nearly every wait ends long before its limit.
+        self.closing_when_idle = self.phase >= ProcessPhase::Closing;
+        // The steps of the shutdown: in `Leaving` connections close after their next reply, in `Closing` when idle.
+        let mut leaving_reached = closing.clone();
+        let mut leaving_reached = pin!(wait_for_phase(&mut leaving_reached, ProcessPhase::HandingOver));
+        let mut closing_reached = pin!(wait_for_phase(&mut closing, ProcessPhase::Closing));
+        // Reset only if it fires too early or the deadline moves closer: nearly every wait ends long before its limit.
         let mut timer = pin!(tokio::time::sleep_until(self.opened + FIRST_MESSAGE_TIMEOUT));
         loop {
-            if let Some(reason) = self.ends_now() {
-                if self.goodbye {
+            if let Some(reason) = self.end_reason() {
+                if self.terminated {
                     return Ok(Box::pin(client_close::close_after_last_message(self.conn, reason)).await);
                 }
-                if let Some(ended) = self.end_at_rest(reason).await {
+                if let Some(ended) = self.end_if_idle(reason).await {
                     return Ok(ended);
                 }
             }
-            let reads = self.reads();
-            // Only what is being read can be late.
-            self.part = self.part.filter(|_| reads);
-            let until = self.limit();
+            let may_read = self.may_read();
+            // The timeout for partial messages applies only while the connection is read.
+            self.partial_since = self.partial_since.filter(|_| may_read);
+            let until = self.read_deadline();
             if until.is_some_and(|until| until < timer.deadline()) {
                 timer.as_mut().reset(until.unwrap_or(self.opened + FIRST_MESSAGE_TIMEOUT));
             }
-            let at_rest = self.at_rest();
+            let is_idle = self.is_idle();
             tokio::select! {
                 biased;
-                reply = due(&mut self.owed.0), if !self.owed.0.is_empty() => self.answer(reply).await?,
-                read = read_next_or_close(&mut self.conn, reads, self.part.is_some()), if reads || !self.owed.0.is_empty() => {
+                reply = next_reply(&mut self.pending.0), if !self.pending.0.is_empty() => self.send_reply(reply).await?,
+                read = read_next_or_close(&mut self.conn, may_read, self.partial_since.is_some()),
+                    if may_read || !self.pending.0.is_empty() =>
+                {
                     match read {
-                        ReadEvent::Partial => self.part = Some(Instant::now()),
+                        ReadEvent::Partial => self.partial_since = Some(Instant::now()),
                         ReadEvent::Message(None) => return Ok(client_close::closed_by_client(self.conn)),
-                        ReadEvent::Message(Some(Ok(message))) => self.dispatch(message).await,
-                        ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with(fault)).await,
+                        ReadEvent::Message(Some(Ok(message))) => self.handle_message(message).await,
+                        ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with_error(fault)).await,
                     }
                 }
-                () = begun.as_mut(), if self.phase < ProcessPhase::HandingOver => self.phase = ProcessPhase::HandingOver,
-                () = closed.as_mut(), if self.phase == ProcessPhase::HandingOver => {
-                    (self.phase, self.leaving) = (ProcessPhase::Closing, true);
+                () = leaving_reached.as_mut(), if self.phase < ProcessPhase::HandingOver => self.phase = ProcessPhase::HandingOver,
+                () = closing_reached.as_mut(), if self.phase == ProcessPhase::HandingOver => {
+                    (self.phase, self.closing_when_idle) = (ProcessPhase::Closing, true);
                 }
-                // Others lack a permit, or too many rest: this one is between requests and has been for longest.
-                () = self.front.clients.client_eviction_requested(!self.state.sound, self.rests), if at_rest => {
-                    if let Some(ended) = self.end_at_rest(CloseReason::MadeRoom).await {
+                // Others need a permit, or too many connections are idle; this one has been idle for longest.
+                () = self.front.clients.client_eviction_requested(!self.state.understood, self.idle_since), if is_idle => {
+                    if let Some(ended) = self.end_if_idle(CloseReason::MadeRoom).await {
                         return Ok(ended);
                     }
                     self.front.clients.request_eviction();
                 }
-                () = timer.as_mut() => match self.part {
+                () = timer.as_mut() => match self.partial_since {
                     _ if until.is_none_or(|until| Instant::now() < until) => {
                         timer.as_mut().reset(until.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT));
                     }
-                    Some(_) => return Box::pin(self.end_with(WireError::Unfinished)).await,
-                    None if self.ends_now().is_some() => {}
+                    Some(_) => return Box::pin(self.end_with_error(WireError::Unfinished)).await,
+                    None if self.end_reason().is_some() => {}
                     None => {
-                        let reason = if self.state.asked { CloseReason::Idle } else { CloseReason::Silent };
-                        if let Some(ended) = self.end_at_rest(reason).await {
+                        let reason = if self.state.command_seen { CloseReason::Idle } else { CloseReason::Silent };
+                        if let Some(ended) = self.end_if_idle(reason).await {
                             return Ok(ended);
                         }
                     }
@@ -160,123 +164,132 @@
         }
     }
 
-    /// Nothing is owed, and no message is begun.
-    fn at_rest(&self) -> bool {
-        self.owed.0.is_empty() && self.part.is_none()
+    /// Whether no reply is pending and no message is partially received.
+    fn is_idle(&self) -> bool {
+        self.pending.0.is_empty() && self.partial_since.is_none()
     }
 
-    /// Whether more is read now.
-    fn reads(&self) -> bool {
+    /// Whether further queries may be read now.
+    fn may_read(&self) -> bool {
         let depth = if self.front.bytes.is_scarce() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
-        self.owed.0.len() < depth && !self.goodbye
+        self.pending.0.len() < depth && !self.terminated
     }
 
-    /// Why the connection is to end, if it is to end now.
-    fn ends_now(&self) -> Option<CloseReason> {
+    /// Returns why the connection is to be closed now, if it is.
+    fn end_reason(&self) -> Option<CloseReason> {
         match () {
-            () if !self.at_rest() => None,
-            () if self.goodbye => Some(CloseReason::ClientLeft),
-            // The first request of a new client may be on its way.
-            () if self.leaving && (self.state.asked || Instant::now() >= self.rests + MIN_QUIET_TIME) => {
+            () if !self.is_idle() => None,
+            () if self.terminated => Some(CloseReason::ClientLeft),
+            // The first request of a new client may be in transit.
+            () if self.closing_when_idle
+                && (self.state.command_seen || Instant::now() >= self.idle_since + MIN_QUIET_TIME) =>
+            {
                 Some(CloseReason::Shutdown)
             }
             () => None,
         }
     }
 
-    /// Until when the client has to say something more; none while it waits itself.
-    fn limit(&self) -> Option<Instant> {
+    /// Time by which the client has to send more; `None` while the client waits for a reply.
+    fn read_deadline(&self) -> Option<Instant> {
         let first = self.opened + FIRST_MESSAGE_TIMEOUT;
-        match self.part {
-            // The first message has no longer than a client that says nothing.
-            Some(since) if self.state.asked => Some(since + UNFINISHED_MESSAGE_TIMEOUT),
+        match self.partial_since {
+            // A partial first message gets no more time than a client that sends nothing.
+            Some(since) if self.state.command_seen => Some(since + UNFINISHED_MESSAGE_TIMEOUT),
             Some(_) => Some(first),
-            None if !self.owed.0.is_empty() => None,
-            None if self.state.asked => Some(self.rests + IDLE_TIMEOUT),
-            None if self.leaving => Some(first.min(self.rests + MIN_QUIET_TIME)),
+            None if !self.pending.0.is_empty() => None,
+            None if self.state.command_seen => Some(self.idle_since + IDLE_TIMEOUT),
+            None if self.closing_when_idle => Some(first.min(self.idle_since + MIN_QUIET_TIME)),
             None => Some(first),
         }
     }
 
-    /// Ends the connection if nothing stands on it. A client that was never answered gets a refusal, for what may cross it.
-    async fn end_at_rest(&mut self, reason: CloseReason) -> Option<ConnectionClosed> {
-        let last_word = (!self.state.asked).then(|| last_refusal(Refusal::for_close(reason)));
-        client_close::close_if_idle(&mut self.conn, reason, last_word).await
+    /// Closes the connection unless there is unanswered input. A client that has sent no command gets a refusal, which
+    /// answers a command that may be in transit.
+    async fn end_if_idle(&mut self, reason: CloseReason) -> Option<ConnectionClosed> {
+        let final_reply = (!self.state.command_seen).then(|| last_refusal(Refusal::for_close(reason)));
+        client_close::close_if_idle(&mut self.conn, reason, final_reply).await
     }
 
-    /// Sends an answer, and those behind it that are due already.
-    async fn answer(&mut self, reply: Reply) -> Result<(), WireError> {
-        // A client that takes in nothing must not hold its permit for ever.
-        put(&mut self.conn, reply, &mut self.owed.0).await?;
+    /// Sends a reply, and those after it that are ready.
+    async fn send_reply(&mut self, reply: Reply) -> Result<(), WireError> {
+        // The write has a timeout: a client that reads nothing must not hold its permit forever.
+        write_replies(&mut self.conn, reply, &mut self.pending.0).await?;
         release_large_buffers(&mut self.conn);
-        self.rests = Instant::now();
-        if self.state.asked {
-            self.state.waits_since = None;
-            self.leaving |= self.phase >= ProcessPhase::HandingOver;
+        self.idle_since = Instant::now();
+        if self.state.command_seen {
+            self.state.waiting_since = None;
+            self.closing_when_idle |= self.phase >= ProcessPhase::HandingOver;
         }
         Ok(())
     }
 
-    /// Takes in a message; what it is owed is owed from now on.
-    async fn dispatch(&mut self, message: Frontend) {
-        (self.part, self.rests) = (None, Instant::now());
+    /// Handles a message and queues its reply, if it has one.
+    async fn handle_message(&mut self, message: Frontend) {
+        (self.partial_since, self.idle_since) = (None, Instant::now());
         let reply = match message {
-            Frontend::Encrypt => Some(PendingReply::Ready(Reply::NoEncryption)),
+            Frontend::EncryptionRequest => Some(PendingReply::Ready(Reply::EncryptionDeclined)),
             Frontend::Startup { user } => {
                 log::trace!("client {user}");
-                Some(PendingReply::Ready(Reply::Welcome))
+                Some(PendingReply::Ready(Reply::StartupComplete))
             }
-            // What was asked before the goodbye is still answered.
-            Frontend::Terminate | Frontend::Cancel => {
-                (self.leaving, self.goodbye) = (true, true);
+            // Queries received before this are still answered.
+            Frontend::Terminate | Frontend::CancelRequest => {
+                (self.closing_when_idle, self.terminated) = (true, true);
                 None
             }
             message => {
-                self.state.asked = true;
+                self.state.command_seen = true;
                 self.command(message).await
             }
         };
-        self.owed.0.extend(reply);
+        self.pending.0.extend(reply);
     }
 
-    /// The answer to a command of a session that has begun, if it has one.
+    /// Returns the reply to a message after the startup, if it has one.
     async fn command(&mut self, message: Frontend) -> Option<PendingReply> {
-        let no = |after| error("0A000", "only simple queries are spoken here", after);
+        let unsupported = |after| error("0A000", "only simple queries are spoken here", after);
         let text = match message {
-            Frontend::Query(text) if !self.state.skipping => text,
-            Frontend::NoRoom if !self.state.skipping => {
+            Frontend::Query(text) if !self.state.skipping_until_sync => text,
+            Frontend::BudgetExhausted if !self.state.skipping_until_sync => {
                 count(Count::pg_no_room);
-                return Some(PendingReply::Ready(error("53300", NO_ROOM, After::Ready)));
+                return Some(PendingReply::Ready(error(
+                    "53300",
+                    NO_MEMORY_MESSAGE,
+                    AfterError::ReadyForQuery,
+                )));
             }
             Frontend::Sync => {
-                self.state.skipping = false;
-                return Some(PendingReply::Ready(Reply::Ready));
+                self.state.skipping_until_sync = false;
+                return Some(PendingReply::Ready(Reply::ReadyForQuery));
             }
-            Frontend::Other(b'F') if !self.state.skipping => return Some(self.paced(no(After::Ready))),
-            // Once for a round of the extended protocol; the rest of it, up to its Sync, gets no answer of its own.
-            Frontend::Other(b'P' | b'B' | b'D' | b'E' | b'C') if !self.state.skipping => {
-                self.state.skipping = true;
-                return Some(self.paced(no(After::Sync)));
+            Frontend::Other(b'F') if !self.state.skipping_until_sync => {
+                return Some(self.paced(unsupported(AfterError::ReadyForQuery)))
+            }
+            // Rejects a sequence of extended-protocol messages once; the rest, up to the Sync, gets no replies.
+            Frontend::Other(b'P' | b'B' | b'D' | b'E' | b'C') if !self.state.skipping_until_sync => {
+                self.state.skipping_until_sync = true;
+                return Some(self.paced(unsupported(AfterError::AwaitSync)));
             }
             _ => return None,
         };
         if text.trim_ascii().is_empty() {
             log::debug!(target: CONNECTION_LOG, client = self.conn.get_ref().port(); "empty query");
-            self.state.sound = true;
-            return Some(PendingReply::Ready(Reply::Empty));
+            self.state.understood = true;
+            return Some(PendingReply::Ready(Reply::EmptyQuery));
         }
         Some(self.query(text).await)
     }
 
-    /// The answer to a query.
+    /// Submits a query, and returns its pending reply.
     async fn query(&mut self, text: Bytes) -> PendingReply {
         count(Count::pg_requests);
         let front = &self.front;
         let class_table = front.class_table.borrow().clone();
-        let waited = stall::queued_time(self.state.waits_since);
-        match statement::read(text, &class_table, front.clock.now().saturating_sub(waited)) {
+        let waited = stall::queued_time(self.state.waiting_since);
+        match statement::parse(text, &class_table, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
-                self.state.sound = true;
+                self.state.understood = true;
                 let client = self.conn.get_ref();
                 request.deadline = front.answer_limit.cap(request.deadline.saturating_sub(DEADLINE_MARGIN));
                 request.client = Some(client.presence());
@@ -284,50 +297,50 @@
                 let write = request.class_table.classes[request.class].consistency == Consistency::Write;
                 PendingReply::Waiting(front.core.submit(request).await, write)
             }
-            Err(Fault { code, message }) => {
-                let (after, message) = (After::Ready, Bytes::from(message));
+            Err(StatementError { code, message }) => {
+                let (after, message) = (AfterError::ReadyForQuery, Bytes::from(message));
                 self.paced(Reply::Error { after, code, message, detail: None })
             }
         }
     }
 
-    /// The answer to what cannot be understood, in its turn.
+    /// Delays the reply to a malformed message, so that such clients do not take up the processor.
     fn paced(&self, reply: Reply) -> PendingReply {
         count(Count::pg_malformed);
-        PendingReply::Paced(Box::pin(tokio::time::sleep(self.turn())), reply)
+        PendingReply::Paced(Box::pin(tokio::time::sleep(self.reply_delay())), reply)
     }
 
-    fn turn(&self) -> Duration {
+    fn reply_delay(&self) -> Duration {
         self.front.pace.next_delay(self.front.clock.now())
     }
 
-    /// The next message cannot be found any more: what was asked before is answered, to a client that is still there, then comes
-    /// an error, and the end.
-    async fn end_with(mut self, fault: WireError) -> Result<ConnectionClosed, WireError> {
-        while !self.owed.0.is_empty() {
+    /// Handles a framing error, after which the next message cannot be found: answers the queries received before it,
+    /// unless the client has left, then sends an error and closes the connection.
+    async fn end_with_error(mut self, fault: WireError) -> Result<ConnectionClosed, WireError> {
+        while !self.pending.0.is_empty() {
             let reply = tokio::select! {
                 biased;
-                reply = due(&mut self.owed.0) => reply,
+                reply = next_reply(&mut self.pending.0) => reply,
                 () = self.conn.get_mut().wait_closed() => return Ok(client_close::closed_by_client(self.conn)),
             };
-            put(&mut self.conn, reply, &mut self.owed.0).await?;
+            write_replies(&mut self.conn, reply, &mut self.pending.0).await?;
         }
         let (code, counter) = match fault {
             WireError::Io(_) => return Err(fault),
             WireError::TooLong(_) => ("54000", Count::pg_oversized),
             WireError::Malformed(_) => ("08P01", Count::pg_malformed),
             WireError::Unfinished => ("08P01", Count::pg_unfinished),
-            WireError::NoRoom => ("53300", Count::pg_no_room),
+            WireError::BudgetExhausted => ("53300", Count::pg_no_room),
         };
         count(counter);
         log::debug!(target: CONNECTION_LOG, "closed with an error: {fault}");
         let message = Bytes::from(fault.to_string());
-        let last_word = Reply::Error { after: After::End, code, message, detail: None };
-        // A sound request that finds no room is refused at once.
-        let turn = (!matches!(fault, WireError::NoRoom)).then(|| self.turn());
-        Ok(client_close::close_with_error(self.conn, last_word, turn, &self.front.clients).await)
+        let final_reply = Reply::Error { after: AfterError::Close, code, message, detail: None };
+        // A well-formed message for which there is no memory is refused without delay.
+        let reply_delay = (!matches!(fault, WireError::BudgetExhausted)).then(|| self.reply_delay());
+        Ok(client_close::close_with_error(self.conn, final_reply, reply_delay, &self.front.clients).await)
     }
 }
 
-/// What a client is told whose message finds no memory.
-const NO_ROOM: &str = "no room for one more message; trying again is harmless";
+/// Error message for a client whose message exceeds the byte budget.
+const NO_MEMORY_MESSAGE: &str = "no room for one more message; trying again is harmless";
