--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -1,4 +1,4 @@
-//! The two statements that clients send, with the names in their comment.
+//! Parsing and rendering of the two statements that clients send, including the fields in their trailing comment.
 
 use crate::class_table::ClassTable;
 use crate::core::{is_valid_key, Operation, Request, Work};
@@ -7,59 +7,59 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// What is wrong with a statement, with its SQLSTATE.
+/// The reason for which a statement is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct StatementError {
     /// SQLSTATE.
     pub code: &'static str,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
 }
 
-fn fault<T>(code: &'static str, message: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { code, message: message.into() })
+fn err<T>(code: &'static str, message: impl Into<String>) -> Result<T, StatementError> {
+    Err(StatementError { code, message: message.into() })
 }
 
-/// What stands before the first such byte, and behind it.
-fn cut(text: &str, at: u8) -> Option<(&str, &str)> {
+/// Splits `text` at the first byte `at`, which neither part contains.
+fn split_at_byte(text: &str, at: u8) -> Option<(&str, &str)> {
     let n = memchr::memchr(at, text.as_bytes())?;
     Some((text.get(..n)?, text.get(n + 1..)?))
 }
 
-/// The longest id, and the longest value, in hex digits.
-const LONGEST_ID: usize = 64;
-const LONGEST_HEX: usize = 2 * 64 * 1024;
+/// Maximum length of an id, and of a value in hex digits.
+const MAX_ID_LEN: usize = 64;
+const MAX_HEX_LEN: usize = 2 * 64 * 1024;
 
 const READ: &str = "SELECT v FROM records WHERE k = '";
 const CREATE: &str = "INSERT INTO records (k, v) VALUES ('";
 
-/// Reads a client's statement, taken at `now`, as a request; `margin` is kept off its deadline.
+/// Parses a client's statement, received at `now`, into a request.
 ///
 /// # Errors
-/// With the SQLSTATE that the client gets.
-pub fn read(text: Bytes, class_table: &Arc<ClassTable>, now: Time) -> Result<Request, Fault> {
-    let Ok(sql) = std::str::from_utf8(&text) else { return fault("22021", "the statement is not UTF-8") };
+/// Returns the SQLSTATE and message for the client if the statement is invalid.
+pub fn parse(text: Bytes, class_table: &Arc<ClassTable>, now: Time) -> Result<Request, StatementError> {
+    let Ok(sql) = std::str::from_utf8(&text) else { return err("22021", "the statement is not UTF-8") };
     let (write, rest) = match (sql.strip_prefix(READ), sql.strip_prefix(CREATE)) {
         (Some(rest), _) => (false, rest),
         (_, Some(rest)) => (true, rest),
-        _ => return fault("42601", "only reads and creates on records are taken here"),
+        _ => return err("42601", "only reads and creates on records are taken here"),
     };
-    let Some((key, rest)) = cut(rest, b'\'') else { return fault("42601", "the key does not end") };
+    let Some((key, rest)) = split_at_byte(rest, b'\'') else { return err("42601", "the key does not end") };
     if !is_valid_key(key) {
-        return fault("22023", "a key has 1 to 128 visible ASCII characters, no quote and no backslash");
+        return err("22023", "a key has 1 to 128 visible ASCII characters, no quote and no backslash");
     }
     let comment = if write {
-        let value = rest.strip_prefix(", '\\x").and_then(|r| cut(r, b'\''));
+        let value = rest.strip_prefix(", '\\x").and_then(|r| split_at_byte(r, b'\''));
         let Some((hex, tail)) = value else {
-            return fault("42601", "the value must be given as bytea in hex");
+            return err("42601", "the value must be given as bytea in hex");
         };
-        // No way out in the middle: so it is done for many bytes at a time, and a value may have 128 Ki of them.
-        let odd = hex.bytes().fold(false, |odd, b| odd | !b.is_ascii_hexdigit());
-        if hex.len() % 2 != 0 || odd {
-            return fault("22P02", "the value is not hex");
+        // Has no early exit, so that many bytes are checked at a time: a value can have 128 Ki hex digits.
+        let not_hex = hex.bytes().fold(false, |not_hex, b| not_hex | !b.is_ascii_hexdigit());
+        if hex.len() % 2 != 0 || not_hex {
+            return err("22P02", "the value is not hex");
         }
-        if hex.len() > LONGEST_HEX {
-            return fault("54000", "a value has at most 65536 bytes");
+        if hex.len() > MAX_HEX_LEN {
+            return err("54000", "a value has at most 65536 bytes");
         }
         tail.strip_prefix(") RETURNING v")
     } else {
@@ -67,78 +67,79 @@
     };
     let comment = comment.and_then(|c| c.trim_end_matches([';', ' ']).strip_suffix("*/"));
     let Some(comment) = comment.and_then(|c| c.trim_ascii_start().strip_prefix("/*")) else {
-        return fault("42601", "the statement must end with a comment of names and values");
+        return err("42601", "the statement must end with a comment of names and values");
     };
     // A comment that ends early would let a second statement through to the members.
     let mut last = 0;
-    let clean = comment.bytes().all(|b| {
-        let mark = matches!((last, b), (b'*', b'/') | (b'/', b'*'));
+    let allowed = comment.bytes().all(|b| {
+        let delimiter = matches!((last, b), (b'*', b'/') | (b'/', b'*'));
         last = b;
-        !mark && (b' '..=b'~').contains(&b)
+        !delimiter && (b' '..=b'~').contains(&b)
     });
-    if !clean {
-        return fault("42601", "the comment holds more than names and values");
+    if !allowed {
+        return err("42601", "the comment holds more than names and values");
     }
     const NAMES: [&str; 7] = ["id", "c", "t", "d", "cluster", "after", "r"];
-    let mut given = [None; NAMES.len()];
-    let mut left = Some(comment.trim_ascii());
-    while let Some(text) = left {
-        let (pair, behind) = cut(text, b',').map_or((text, None), |(pair, behind)| (pair, Some(behind)));
-        left = behind;
-        let Some((name, value)) = cut(pair, b'=') else {
-            return fault("42601", format!("'{pair}' is not name=value"));
+    let mut values = [None; NAMES.len()];
+    let mut remaining = Some(comment.trim_ascii());
+    while let Some(text) = remaining {
+        let (pair, rest) = split_at_byte(text, b',').map_or((text, None), |(pair, rest)| (pair, Some(rest)));
+        remaining = rest;
+        let Some((name, value)) = split_at_byte(pair, b'=') else {
+            return err("42601", format!("'{pair}' is not name=value"));
         };
         let Some(known) = NAMES.iter().position(|n| *n == name.trim_ascii()) else { continue };
-        if given[known].replace(value).is_some() {
-            return fault("42601", format!("the field {} is given twice", NAMES[known]));
+        if values[known].replace(value).is_some() {
+            return err("42601", format!("the field {} is given twice", NAMES[known]));
         }
     }
-    let [id, class, tenant, wait, group, after, repeat] = given;
-    let missing = |name: &str| Fault { code: "22023", message: format!("the field {name} is missing") };
-    let number = |name: &str, value: &str| -> Result<u64, Fault> {
-        let bad = || Fault { code: "22023", message: format!("the field {name} is not a number") };
+    let [id, class, tenant, wait, group, after, repeat] = values;
+    let missing =
+        |name: &str| StatementError { code: "22023", message: format!("the field {name} is missing") };
+    let number = |name: &str, value: &str| -> Result<u64, StatementError> {
+        let bad = || StatementError { code: "22023", message: format!("the field {name} is not a number") };
         let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
         value.parse().ok().filter(|_| digits).ok_or_else(bad)
     };
     let id = id.ok_or_else(|| missing("id"))?;
-    if !(1..=LONGEST_ID).contains(&id.len()) || !id.bytes().all(|b| b.is_ascii_alphanumeric()) {
-        return fault("22023", "an id has 1 to 64 letters and digits");
+    if !(1..=MAX_ID_LEN).contains(&id.len()) || !id.bytes().all(|b| b.is_ascii_alphanumeric()) {
+        return err("22023", "an id has 1 to 64 letters and digits");
     }
     let (class, wait) = (class.ok_or_else(|| missing("c"))?, wait.ok_or_else(|| missing("d"))?);
     let (names, classes) = (&class_table.names, &class_table.classes);
     let Some(class) = class_table.class(class) else {
-        return fault("22023", format!("no class is named {class}"));
+        return err("22023", format!("no class is named {class}"));
     };
     let need = classes[class].consistency;
     if write != (need == Consistency::Write) {
-        return fault("22023", "the statement does not fit its class");
+        return err("22023", "the statement does not fit its class");
     }
     let tenant = match tenant {
         None if names.tenants.is_empty() => 0,
         None => return Err(missing("t")),
         Some(name) => match class_table.tenant(name) {
             Some(tenant) => tenant,
-            None => return fault("22023", format!("no tenant is named {name}")),
+            None => return err("22023", format!("no tenant is named {name}")),
         },
     };
-    // No client waits longer than its class's deadline over all of its tries.
+    // The deadline of the class limits how long a client waits over all of its tries.
     let wait_us = number("d", wait)?.saturating_mul(1000).min(classes[class].deadline);
     if wait_us == 0 {
-        return fault("22023", "the field d leaves no time");
+        return err("22023", "the field d leaves no time");
     }
     let group = number("cluster", group.ok_or_else(|| missing("cluster"))?)?;
     let after = after.map(|v| number("after", v)).transpose()?.map(|ms| ms.saturating_mul(1000));
     let repeat = match repeat {
         None | Some("0") => false,
         Some("1") => true,
-        Some(_) => return fault("22023", "the field r is neither 0 nor 1"),
+        Some(_) => return err("22023", "the field r is neither 0 nor 1"),
     };
-    let part = |part: &str| {
+    let range_of = |part: &str| {
         let at = part.as_ptr() as usize - sql.as_ptr() as usize;
         at..at + part.len()
     };
     let session = matches!(need, Consistency::Write | Consistency::Session).then(|| Arc::from(key));
-    let (name, wait) = (text.slice(part(id)), part(wait));
+    let (name, wait) = (text.slice(range_of(id)), range_of(wait));
     Ok(Request {
         class_table: class_table.clone(),
         name: Some(name),
@@ -155,7 +156,7 @@
     })
 }
 
-/// The statement of an operation, and where in it the waiting time stands.
+/// Renders an operation as a statement. Also returns the range of the waiting time in the text.
 pub fn render(operation: &Operation) -> (String, Range<usize>) {
     let Operation { class_table, id, class, tenant, group, after, repeat, key, value } = operation;
     let tenants = &class_table.names.tenants;
@@ -177,7 +178,7 @@
     (text, at..at + 1)
 }
 
-/// Whether a statement creates a record rather than reads one.
+/// Whether a statement creates a record rather than reading one.
 pub fn is_write(work: &Work) -> bool {
     match work {
         Work::Verbatim { text, .. } => text.starts_with(CREATE.as_bytes()),
@@ -185,7 +186,7 @@
     }
 }
 
-/// Two hex digits a byte.
+/// Encodes bytes as lowercase hex digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::with_capacity(bytes.len() * 2), |mut text, b| {
         for digit in [b >> 4, b & 15] {
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,11 +1,11 @@
-//! Both fronts of the real program, on loopback, between stand-ins.
+//! Both fronts of the real program, on loopback, with stand-in clients, members and discovery.
 #![allow(missing_docs)]
 
 mod scenario;
 use scenario::play;
 
 #[test]
-fn reads_and_writes_pass_in_the_order_of_their_queries() {
+fn replies_come_in_the_order_of_their_queries() {
     play(
         "member p primary
          start
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_was_asked_before_the_goodbye_is_answered() {
+fn queries_sent_before_terminate_are_answered() {
     play(
         "member p primary
          start
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_gets_its_sqlstate() {
+fn invalid_statements_and_messages_get_their_sqlstate() {
     play(
         "member p primary
          start
@@ -78,8 +78,9 @@
 }
 
 #[test]
-fn a_half_read_value_is_never_passed_on() {
-    // A read may be repeated: what another member gives whole is served. A booking fails visibly.
+fn a_partially_received_value_is_never_passed_on() {
+    // A read would be retried, and served from another member's complete answer. A booking may have run, so it fails with
+    // an error.
     play(
         "member p primary
          start
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_refusal_carries_a_retry_delay() {
     play(
         "member p primary
          start odata
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn clients_still_connect_after_sigterm_and_nothing_taken_is_lost() {
+fn clients_can_connect_after_sigterm_and_accepted_requests_are_answered() {
     play(
         "member p primary
          start
@@ -125,8 +126,8 @@
 }
 
 #[test]
-fn when_all_seats_are_taken_the_longest_idle_client_makes_room() {
-    // 40 descriptors leave four seats for clients.
+fn when_all_client_permits_are_taken_the_longest_idle_client_is_closed() {
+    // 40 descriptors leave four permits for clients.
     play(
         "member p primary
          start small
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn the_service_describes_itself_and_names_what_it_does_not_do() {
+fn odata_serves_its_metadata_and_rejects_unsupported_requests() {
     play(
         "member p primary
          start odata
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn deadlines_and_failures_have_their_own_status() {
+fn refusals_failures_and_missed_deadlines_have_distinct_status_codes() {
     play(
         "member p primary
          start odata
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn a_charging_booking_needs_an_id_that_can_prove_something() {
+fn a_booking_with_a_charge_needs_a_valid_repeat_id() {
     play(
         "member p primary
          start odata
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn a_booking_is_charged_once_whatever_client_and_member_reset() {
+fn a_booking_is_charged_once_even_if_clients_and_members_reset_connections() {
     play(
         "member p primary
          member r replica 1
@@ -259,8 +260,8 @@
 
 #[test]
 fn a_session_reads_its_last_write_through_either_front() {
-    // The replicas lag by a minute and the reads carry no position of their own: only what the proxy remembers of
-    // the session keeps them off.
+    // The replicas lag by a minute and the reads carry no position of their own: only the proxy's record of the
+    // session's writes keeps the reads away from the replicas.
     play(
         "member p primary
          member r replica 60000
@@ -297,7 +298,7 @@
 }
 
 #[test]
-fn members_are_browsed_for_and_leave_when_no_longer_named() {
+fn members_found_by_dns_sd_leave_when_their_record_is_removed() {
     play(
         "member p primary
          member r replica 1
@@ -323,7 +324,7 @@
 }
 
 #[test]
-fn members_whose_records_are_not_renewed_expire() {
+fn members_whose_dns_records_are_not_renewed_expire() {
     play(
         "member p primary
          dns does list p 4
@@ -340,7 +341,7 @@
 }
 
 #[test]
-fn the_odata_fronts_own_records_can_be_printed() {
+fn the_dns_sd_records_of_the_odata_front_can_be_printed() {
     let program = env!("CARGO_BIN_EXE_linentrail");
     let out = std::process::Command::new(program).arg("records").output().expect("it runs");
     let text = String::from_utf8(out.stdout).expect("text");
@@ -356,7 +357,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_member_that_is_told_to_leave() {
+fn a_leaving_member_gets_no_new_requests() {
     play(
         "member p primary
          member r replica 1
@@ -386,8 +387,9 @@
 }
 
 #[test]
-fn a_proxy_that_holds_a_list_never_asks_for_the_whole_one_and_learns_of_a_drain_all_the_same() {
-    // A whole list costs discovery many times a watch. One that fails is begun again from the version held.
+fn a_failed_watch_is_resumed_without_fetching_the_whole_list() {
+    // A whole list costs discovery many times as much as a watch, so a failed watch is restarted from the known version.
+    // The proxy must still learn that a member is leaving.
     for ill in ["overbooked", "reset"] {
         play(&format!(
             "member p primary
@@ -410,7 +412,7 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_used_is_dropped_and_what_is_held_serves_on() {
+fn an_unusable_list_is_dropped_and_known_members_keep_serving() {
     for ill in ["cut", "noise", "older", "many"] {
         let counter = if ill == "cut" { "list_failures" } else { "list_dropped" };
         play(&format!(
@@ -432,7 +434,7 @@
 }
 
 #[test]
-fn while_discovery_says_nothing_known_members_serve() {
+fn known_members_serve_while_discovery_does_not_answer() {
     play(
         "member p primary
          member r replica 1
@@ -448,7 +450,7 @@
 }
 
 #[test]
-fn a_service_that_answers_watches_at_once_with_nothing_is_not_asked_as_fast_as_it_answers() {
+fn watches_that_return_nothing_at_once_are_rate_limited() {
     play(
         "member p primary
          list does hasty
@@ -464,8 +466,8 @@
 
 #[test]
 fn replaced_members_leave_no_connection_behind() {
-    // Six of seven go within moments, each with a read out. What is kept of them goes with the first list after 5 s;
-    // a connection to the one that stays may rest.
+    // Six of seven members leave at almost the same time, each with a read in progress. Their state is dropped with the
+    // first list after 5 s; an idle connection to the remaining member may stay.
     let each = |line: &str| (0..6).map(|n| line.replace('#', &n.to_string()) + "\n").collect::<String>();
     play(&format!(
         "member p primary
@@ -488,21 +490,24 @@
 }
 
 #[test]
-fn an_older_whole_list_is_believed_only_when_discovery_insists() {
+fn an_older_whole_list_is_accepted_only_when_discovery_repeats_it() {
     let list = |generation: u64, reset: bool| serde_json::json!({"generation": generation, "reset": reset, "instances": []});
-    let mut lists = linentrail::net::discovery::ListReader::new(vec![]);
+    let mut lists = linentrail::net::discovery::Lists::new(vec![]);
     assert!(lists.read(&list(9, true), None).is_some());
     assert!(lists.read(&list(8, true), Some(9)).is_none());
-    assert!(lists.read(&list(8, false), Some(9)).is_none(), "changes to another past than ours");
+    assert!(lists.read(&list(8, false), Some(9)).is_none(), "changes relative to a different history");
     assert!(lists.read(&list(8, true), Some(9)).is_none() && lists.read(&list(8, true), Some(9)).is_none());
-    assert!(lists.read(&list(8, true), Some(9)).is_some(), "it has begun anew");
-    assert!(lists.read(&list(8, true), Some(9)).is_none(), "and that is told anew each time");
+    assert!(lists.read(&list(8, true), Some(9)).is_some(), "discovery has restarted its numbering");
+    assert!(
+        lists.read(&list(8, true), Some(9)).is_none(),
+        "the count starts again once an older list is accepted"
+    );
     assert!(lists.read(&list(10, true), Some(9)).is_some());
 }
 
 #[test]
 fn a_connection_near_its_idle_limit_is_closed_rather_than_written_to() {
-    // At the limit the member's machine would answer with a reset, and a booking lost so may not be sent again.
+    // At the limit the member's machine would answer with a reset, and a booking lost in this way may not be retried.
     play(
         "member p primary
          start brief
@@ -517,9 +522,9 @@
 }
 
 #[test]
-fn a_replica_that_seems_near_enough_is_no_proof_for_a_write_that_members_do_not_know() {
-    // By its last word the replica is 1 ms behind. The read carries no position, so that the replica itself
-    // would answer it from what it has.
+fn the_reported_lag_of_a_replica_is_not_trusted_for_a_read_of_a_new_write() {
+    // According to its last report the replica is 1 ms behind. The read carries no position, so the replica would
+    // answer it with the data it has.
     play(
         "member p primary
          member r replica 1
@@ -540,9 +545,9 @@
 }
 
 #[test]
-fn a_primary_that_has_lost_its_role_unseen_gives_no_stale_session_read() {
-    // The read goes to the member last known as primary; what its answer tells of it shows that it is behind. It must
-    // have time to hear from the replica first, should that be asked anew.
+fn an_unnoticed_loss_of_the_primary_role_causes_no_stale_session_read() {
+    // The read goes to the member last known as primary, whose answer shows that it is behind. The deadline leaves time
+    // for a probe of the replica first, should one be sent.
     play(
         "member p primary
          member r replica 60000
@@ -561,7 +566,7 @@
 }
 
 #[test]
-fn a_client_that_holds_its_body_back_is_told_to_go_on() {
+fn a_client_that_expects_100_continue_gets_it() {
     play(
         "member p primary
          start odata
@@ -573,7 +578,7 @@
 }
 
 #[test]
-fn http_that_cannot_be_read_is_answered_as_odata() {
+fn malformed_http_gets_an_odata_error() {
     play(
         "member p primary
          start odata
@@ -591,8 +596,8 @@
 }
 
 #[test]
-fn after_sighup_the_file_says_where_discovery_is_and_the_open_watch_ends() {
-    // The variable still names the old address, whose watch would never be answered.
+fn sighup_reloads_the_discovery_address_and_ends_the_open_watch() {
+    // The environment variable still names the old address, where a watch would never be answered.
     play(
         "member p primary
          member r replica 1
@@ -634,7 +639,7 @@
 
 #[test]
 fn a_request_with_a_long_deadline_outlasts_a_planned_restart() {
-    // Its class may take 15 s; new clients are taken for 3 s after SIGTERM.
+    // The deadline of its class is 15 s; new clients are accepted for 3 s after SIGTERM.
     play(
         "member p primary
          start
@@ -652,8 +657,8 @@
 
 #[test]
 fn a_silent_or_unfinished_client_is_closed_within_three_seconds() {
-    // a says nothing, b nothing after its startup; c begins its startup, d its first message, and e one after it has
-    // been served.
+    // a sends nothing, b nothing after its startup; c sends part of its startup, d part of its first message, and e part
+    // of a message after it has been served.
     play(
         "member p primary
          start
@@ -683,8 +688,9 @@
 }
 
 #[test]
-fn what_no_client_should_send_gets_an_error_and_then_a_close() {
-    // A message of no known sort, one with bytes behind its text, a negative length; the last two go on sending.
+fn invalid_messages_get_an_error_and_then_a_close() {
+    // An unknown message, one with bytes after its text, a negative length, and an extended-protocol message. The last
+    // two clients keep sending.
     play(
         "member p primary
          start
@@ -713,7 +719,7 @@
 }
 
 #[test]
-fn sound_queries_in_front_of_what_cannot_be_read_are_answered_first() {
+fn queries_before_an_invalid_message_are_answered_first() {
     play(
         "member p primary
          start
@@ -733,7 +739,7 @@
 }
 
 #[test]
-fn names_and_values_that_no_client_should_send_never_reach_a_member() {
+fn statements_with_invalid_fields_never_reach_a_member() {
     play(
         "member p primary
          start
@@ -774,8 +780,8 @@
 }
 
 #[test]
-fn silent_clients_make_room_before_any_that_was_served() {
-    // 40 descriptors leave four permits for clients. Silent is who has said nothing for 200 ms.
+fn silent_clients_are_closed_to_free_permits_before_served_ones() {
+    // 40 descriptors leave four permits for clients. A client is silent if it has sent nothing for 200 ms.
     play(
         "member p primary
          start small
@@ -800,7 +806,7 @@
 
 #[test]
 fn all_connections_together_hold_no_more_bytes_than_memory_allows() {
-    // 16 MiB leave 2 MiB for messages: 20 that each claim 120,000 bytes and bring few are more than that.
+    // 16 MiB leave 2 MiB for messages. 20 messages that each announce 120,000 bytes exceed that, though few bytes arrive.
     let mut script = "member p primary\nstart scant\n".to_string();
     for i in 0..20 {
         script.push_str(&format!("c{i} send hello\nc{i} send bytes 510001d4c0\n"));
@@ -812,8 +818,8 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_not_the_next_ones() {
-    // The value itself is good. In the second part the copy comes while the connection rests.
+fn bytes_after_an_answer_are_not_taken_for_the_next_answer() {
+    // The value itself is valid. In the second part the copy arrives while the connection is idle.
     play(
         "member p primary
          start
@@ -836,8 +842,8 @@
 }
 
 #[test]
-fn a_spoilt_refusal_proves_nothing() {
-    // Taken at its word it would be passed on as a refusal, and the booking tried again, though it may have run.
+fn a_corrupt_refusal_does_not_prove_that_nothing_ran() {
+    // If it were trusted, it would be passed on as a refusal and the booking be retried, though it may have run.
     play(
         "member p primary
          start
@@ -861,8 +867,8 @@
 }
 
 #[test]
-fn the_rest_of_an_answer_that_stalls_is_not_waited_for() {
-    // The booking itself would wait for 12 s.
+fn an_answer_that_stalls_fails_before_the_deadline() {
+    // The booking's own deadline is 12 s.
     play(
         "member p primary
          start
@@ -877,8 +883,8 @@
 }
 
 #[test]
-fn a_report_that_cannot_be_true_teaches_nothing() {
-    // It claims the role of the primary, at a position beyond all others.
+fn an_impossible_report_is_ignored() {
+    // The replica's report claims the primary role, at a position beyond all others.
     play(
         "member p primary
          member r replica 1
@@ -895,10 +901,10 @@
 
 #[test]
 fn ids_of_members_that_left_are_forgotten_after_a_while_and_not_before() {
-    use linentrail::net::discovery::ListReader;
+    use linentrail::net::discovery::Lists;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.unwrap().block_on(async {
-        let mut lists = ListReader::new(vec![]);
+        let mut lists = Lists::new(vec![]);
         let list = |ids: std::ops::Range<u32>, whole: bool, lifecycle: &str| {
             let entry = |i| {
                 serde_json::json!({"instanceId": format!("s-{i:08x}"), "hostPort": "127.0.0.1:1", "cell": 1,
@@ -910,16 +916,16 @@
         lists.read(&list(0..100, true, "active"), None).unwrap();
         lists.read(&list(0..50, false, "left"), Some(1)).unwrap();
         lists.read(&list(98..100, true, "active"), Some(1)).unwrap();
-        assert_eq!(lists.numbers.count(), 100, "their last attempts may still end");
+        assert_eq!(lists.numbers.known(), 100, "their last attempts may still end");
         tokio::time::advance(std::time::Duration::from_secs(61)).await;
         lists.read(&list(0..0, false, "active"), Some(1)).unwrap();
-        assert_eq!(lists.numbers.count(), 2);
+        assert_eq!(lists.numbers.known(), 2);
     });
 }
 
 #[test]
-fn odata_requests_share_the_bytes_and_end_in_time_too() {
-    // 16 MiB leave 2 MiB for messages of both fronts. Both kinds of client hold what they began for 2 s.
+fn odata_requests_share_the_byte_budget_and_time_out() {
+    // 16 MiB leave 2 MiB for messages of both fronts. Clients of both fronts hold their incomplete messages for 2 s.
     let mut script = "member p primary\nstart odata scant\n".to_string();
     for i in 0..20 {
         script.push_str(&format!("o{i} send wire POST /records HTTP/1.1\\nContent-Length: 120000\\n\\n\n"));
@@ -932,8 +938,8 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_leave_connections_to_the_others() {
-    // 60 descriptors leave 15 seats for clients, of which 10 may be at rest: no seat is ever lacking here.
+fn idle_clients_are_closed_to_leave_permits_for_others() {
+    // 60 descriptors leave 15 permits for clients, of which 10 may be idle: no client ever lacks a permit here.
     let mut script = "member p primary\nstart few\n".to_string();
     for i in 0..12 {
         script.push_str(&format!("c{i} send read k1 yard-board\nc{i} expect row -\n"));
