--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! A codec for the subset of HTTP/1.1 that discovery and OData need. Message heads are parsed by `httparse`.
 
-use crate::net::budget::{ByteBudget, Share};
-use crate::net::frames::Holds;
+use crate::net::budget::{ByteBudget, ByteReservation};
+use crate::net::frames::BuffersPartial;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io;
 use tokio_util::codec::{Decoder, Encoder};
@@ -141,7 +141,7 @@
     /// The client waits for `100 Continue`.
     expects_continue: bool,
     /// The body's share of the byte budget, taken once the body's maximum length is known.
-    share: Option<Share>,
+    share: Option<ByteReservation>,
 }
 
 fn body_framing(headers: &Headers, response: Option<u16>) -> Result<BodyFraming, HttpError> {
@@ -217,7 +217,7 @@
         let share = self
             .budget
             .as_ref()
-            .map(|r| r.take(body_len_limit).ok_or(HttpError::BudgetExhausted))
+            .map(|r| r.try_reserve(body_len_limit).ok_or(HttpError::BudgetExhausted))
             .transpose()?;
         self.partial =
             Some(PartialMessage { head, headers, framing, chunks: BytesMut::new(), expects_continue, share });
@@ -256,7 +256,7 @@
         let Some(PartialMessage { head, headers, framing: kind, share, .. }) = self.partial.take() else {
             return Ok(None);
         };
-        let body = share.map_or(body.clone(), |share| share.hold(&body));
+        let body = share.map_or(body.clone(), |share| share.attach_to_copy(&body));
         let minor = match &head {
             Head::Request { minor, .. } | Head::Response { minor, .. } => *minor,
         };
@@ -312,8 +312,8 @@
     }
 }
 
-impl Holds for HttpServer {
-    fn holds(&self) -> bool {
+impl BuffersPartial for HttpServer {
+    fn holds_partial(&self) -> bool {
         self.0.partial.is_some()
     }
 }
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -3,21 +3,21 @@
 use super::reply::{self, CallKind, ODataError};
 use super::request::{self, Call, CallParams, Repeatable, ResponseFormat};
 use super::session::{last_refusal, Conn, Session};
+use crate::class_table::ClassTable;
 use crate::clock::Clock;
-use crate::core::bookings::{Booked, Bookings, Try};
+use crate::core::bookings::{BookingOutcome, BookingTry, Bookings};
 use crate::core::counters::{count, Count};
-use crate::core::repeat_ledger::Candidate;
-use crate::core::{Answer, Handle, Operation, Presence, Request, Work};
+use crate::core::repeat_ledger::ClaimRequest;
+use crate::core::{Answer, ClientConnection, Handle, Operation, Request, Work};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer};
 use crate::interface::*;
 use crate::net::answer_limit::AnswerLimit;
-use crate::net::budget::{Budget, ByteBudget, Pace};
-use crate::net::client_end::{self, Ended};
-use crate::net::frames::{next, ROOM};
-use crate::net::listen::{Closing, Refusal};
+use crate::net::budget::{Budget, ByteBudget, ErrorPacer};
+use crate::net::client_close::{self, ConnectionClosed};
+use crate::net::frames::{read_next, INITIAL_BUFFER_SIZE};
+use crate::net::listen::{PhaseReceiver, Refusal};
 use crate::net::socket::Socket;
 use crate::net::startup::ClientFront;
-use crate::terms::Terms;
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use std::future::Future;
@@ -41,10 +41,10 @@
 pub struct Front {
     core: Handle,
     bookings: Bookings,
-    terms: watch::Receiver<Arc<Terms>>,
+    class_table: watch::Receiver<Arc<ClassTable>>,
     pub(super) clock: Clock,
     pub(super) budget: Budget,
-    pub(super) pace: Pace,
+    pub(super) pace: ErrorPacer,
     answer_limit: AnswerLimit,
     /// Hashes `next_id` into the ids of statements.
     random: RandomState,
@@ -58,8 +58,8 @@
         self: Arc<Self>,
         waits_since: Option<std::time::Instant>,
         stream: Socket,
-        closing: Closing,
-    ) -> Result<Ended, HttpError> {
+        closing: PhaseReceiver,
+    ) -> Result<ConnectionClosed, HttpError> {
         Session::new(self, waits_since, stream).run(closing).await
     }
 
@@ -68,17 +68,23 @@
         bytes: ByteBudget,
         why: Refusal,
         hurried: impl Future<Output = ()> + Send,
-    ) -> Result<Ended, HttpError> {
+    ) -> Result<ConnectionClosed, HttpError> {
         why.count();
-        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), ROOM);
-        Ok(client_end::refuse(conn, read_first_request, REFUSED_REQUEST_TIMEOUT, last_refusal(why), hurried)
-            .await)
+        let conn = Framed::with_capacity(stream, HttpServer::new(MAX_BODY_LEN, bytes), INITIAL_BUFFER_SIZE);
+        Ok(client_close::refuse(
+            conn,
+            read_first_request,
+            REFUSED_REQUEST_TIMEOUT,
+            last_refusal(why),
+            hurried,
+        )
+        .await)
     }
 }
 
 /// Reads the first request, to which a refusal is the response.
 async fn read_first_request(conn: &mut Conn) {
-    let _ = next(conn, true).await;
+    let _ = read_next(conn, true).await;
 }
 
 impl Front {
@@ -86,28 +92,28 @@
     pub fn new(
         core: Handle,
         bookings: Bookings,
-        terms: watch::Receiver<Arc<Terms>>,
+        class_table: watch::Receiver<Arc<ClassTable>>,
         clock: Clock,
-        (budget, pace): (Budget, Pace),
+        (budget, pace): (Budget, ErrorPacer),
         answer_limit: AnswerLimit,
     ) -> Self {
         let (random, next_id) = (RandomState::new(), AtomicU64::new(0));
-        Front { core, bookings, terms, clock, budget, pace, answer_limit, random, next_id }
+        Front { core, bookings, class_table, clock, budget, pace, answer_limit, random, next_id }
     }
 
     /// Returns the response to a request. `waited` is the time, in us, that the request waited before it was read.
     pub(super) async fn answer(
         &self,
         http: &HttpRequest,
-        client: Weak<dyn Presence>,
+        client: Weak<dyn ClientConnection>,
         waited: Time,
     ) -> HttpResponse {
         let format = match request::response_format(http) {
             Ok(format) => format,
             Err(error) => return error_response(error, ResponseFormat::default()),
         };
-        let terms = self.terms.borrow().clone();
-        let mut call = request::parse(http, &terms);
+        let class_table = self.class_table.borrow().clone();
+        let mut call = request::parse(http, &class_table);
         if let Ok(Call::Read(params, _) | Call::Create { params, .. }) = &mut call {
             params.wait = params.wait.saturating_sub(waited);
         }
@@ -115,45 +121,45 @@
             Ok(Call::Service) => reply::service(format),
             Ok(Call::Metadata) => reply::metadata(format),
             Ok(Call::Read(params, key)) => {
-                let mut request = self.build_request(&terms, params, &key, None);
+                let mut request = self.build_request(&class_table, params, &key, None);
                 request.client = Some(client);
                 let deadline = request.deadline;
-                let safe = terms.classes[request.class].repeat == Repeat::Safe;
+                let safe = class_table.classes[request.class].effect == Effect::Safe;
                 let answer = self.collect_value(self.core.submit(request).await.await, safe).await;
                 reply::answer(format, CallKind::Read(&key), answer, self.is_late(deadline))
             }
             Ok(Call::Create { params, key, value, repeatable, minimal }) => {
                 let call_kind = CallKind::Create { key: &key, minimal, repeatable: repeatable.is_some() };
-                let fingerprint = fingerprint(&terms, &params, &key, &value);
-                let weight = value.len() + 512;
-                let mut request = self.build_request(&terms, params, &key, Some(value));
+                let fingerprint = fingerprint(&class_table, &params, &key, &value);
+                let answer_bytes = value.len() + 512;
+                let mut request = self.build_request(&class_table, params, &key, Some(value));
                 let deadline = request.deadline;
                 let Some(Repeatable { id, first_sent }) = repeatable else {
                     request.client = Some(client);
                     let answer = self.core.submit(request).await.await;
                     return reply::answer(format, call_kind, answer, self.is_late(deadline));
                 };
-                let candidate = Candidate { fingerprint, weight, first_sent };
-                match self.bookings.book(Try { id, candidate }, request).await {
-                    Booked::Answer(answer) => {
+                let candidate = ClaimRequest { fingerprint, answer_bytes, first_sent };
+                match self.bookings.book(BookingTry { id, candidate }, request).await {
+                    BookingOutcome::Answer(answer) => {
                         reply::answer(format, call_kind, answer, self.is_late(deadline))
                     }
-                    Booked::Differs => {
+                    BookingOutcome::IdConflict => {
                         count(Count::odata_conflicts);
                         let text = "this Repeatability-Request-ID stands for another request";
                         error_response(ODataError::new(412, "RepeatabilityConflict", text).rejected(), format)
                     }
-                    Booked::Unprovable => {
+                    BookingOutcome::Unprovable => {
                         count(Count::odata_unprovable);
                         let text = "it cannot be proved that it has not run: first sent too long ago, or its id cannot be looked up";
                         error_response(ODataError::new(412, "RepeatabilityExpired", text).rejected(), format)
                     }
-                    Booked::Elsewhere => {
+                    BookingOutcome::ClaimedByPeer => {
                         count(Count::odata_elsewhere);
                         let text = "another process of this proxy has taken this id: it may have run there";
                         error_response(ODataError::new(412, "RepeatabilityExpired", text).rejected(), format)
                     }
-                    Booked::Full => {
+                    BookingOutcome::NoRoom => {
                         let text = "no room to remember one more booking; nothing has run";
                         error_response(ODataError::retry_later(None, text).rejected(), format)
                     }
@@ -167,12 +173,12 @@
     /// now: if there is no memory for the value, it is refused only if it may safely run again.
     async fn collect_value(&self, answer: Answer, safe: bool) -> Answer {
         let Answer::Served(mut value, position) = answer else { return answer };
-        let Some(flow) = value.flow.take() else { return Answer::Served(value, position) };
+        let Some(flow) = value.stream.take() else { return Answer::Served(value, position) };
         // Three times its length: the value itself, and its base64 form in the response.
-        let Some(_share) = self.budget.bytes.take(flow.length().saturating_mul(3)) else {
+        let Some(_share) = self.budget.bytes.try_reserve(flow.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
-        match tokio::time::timeout(COLLECT_TIMEOUT, flow.gather()).await {
+        match tokio::time::timeout(COLLECT_TIMEOUT, flow.collect()).await {
             Ok(Some(bytes)) => {
                 value.bytes = Some(bytes);
                 Answer::Served(value, position)
@@ -188,7 +194,7 @@
 
     fn build_request(
         &self,
-        terms: &Arc<Terms>,
+        class_table: &Arc<ClassTable>,
         params: CallParams,
         key: &str,
         value: Option<Bytes>,
@@ -196,14 +202,23 @@
         let CallParams { class, tenant, group, session, after, wait, repeat } = params;
         let id = self.random.hash_one(self.next_id.fetch_add(1, Ordering::Relaxed));
         let key_text = key.to_string();
-        let operation =
-            Operation { terms: terms.clone(), id, class, tenant, group, after, repeat, key: key_text, value };
+        let operation = Operation {
+            class_table: class_table.clone(),
+            id,
+            class,
+            tenant,
+            group,
+            after,
+            repeat,
+            key: key_text,
+            value,
+        };
         let work = Work::Operation(Arc::new(operation));
         let deadline = self.answer_limit.cap(self.clock.now().saturating_add(wait));
         let session: Option<Arc<str>> = session.map(Arc::from);
         let key_session = session.as_ref().filter(|s| &***s != key).map(|_| Arc::from(key));
         Request {
-            terms: terms.clone(),
+            class_table: class_table.clone(),
             name: None,
             class,
             tenant,
@@ -221,11 +236,11 @@
 
 /// Fingerprint of a booking's content; the waiting time is not part of it. Uses the names of class and tenant, since a
 /// reload can change their indexes, and a hash that is the same in every version of the program.
-fn fingerprint(terms: &Terms, params: &CallParams, key: &str, value: &[u8]) -> u64 {
+fn fingerprint(class_table: &ClassTable, params: &CallParams, key: &str, value: &[u8]) -> u64 {
     let group = params.group.to_be_bytes();
     let session = params.session.as_deref().unwrap_or_default();
-    let class = terms.class_name(params.class);
-    let tenant = terms.names.tenants.get(params.tenant).map_or("", |name| name);
+    let class = class_table.class_name(params.class);
+    let tenant = class_table.names.tenants.get(params.tenant).map_or("", |name| name);
     let mut hash = Sha256::new();
     for field in [class.as_bytes(), tenant.as_bytes(), &group, session.as_bytes(), key.as_bytes(), value] {
         hash.update((field.len() as u64).to_be_bytes());
--- a/src/odata/request.rs
+++ b/src/odata/request.rs
@@ -1,10 +1,10 @@
 //! Parses HTTP requests into typed calls.
 
 use super::reply::ODataError;
-use crate::core::plain_key;
+use crate::class_table::ClassTable;
+use crate::core::is_valid_key;
 use crate::http::{Headers, HttpRequest};
 use crate::interface::*;
-use crate::terms::Terms;
 use base64::engine::general_purpose::{GeneralPurpose, GeneralPurposeConfig, URL_SAFE_NO_PAD};
 use base64::engine::DecodePaddingMode;
 use base64::{alphabet, Engine};
@@ -241,7 +241,7 @@
 }
 
 fn check_key(key: &str) -> Result<String, ODataError> {
-    let valid = plain_key(key).then(|| key.to_string());
+    let valid = is_valid_key(key).then(|| key.to_string());
     valid.ok_or_else(|| {
         ODataError::new(
             400,
@@ -253,8 +253,8 @@
 }
 
 /// Parses a request into a call.
-pub fn parse(request: &HttpRequest, terms: &Terms) -> Result<Call, ODataError> {
-    let classes = &terms.classes;
+pub fn parse(request: &HttpRequest, class_table: &ClassTable) -> Result<Call, ODataError> {
+    let classes = &class_table.classes;
     parse_options(query(&request.target))?;
     let path = percent_decode(path(&request.target))?;
     let path = path.trim_matches('/');
@@ -263,7 +263,7 @@
         let text = format!("{} is not possible here", request.method);
         Err(ODataError::new(405, "MethodNotAllowed", text).with_header("Allow", allow))
     };
-    let read_class = |params: &CallParams| classes[params.class].need != Need::Write;
+    let read_class = |params: &CallParams| classes[params.class].consistency != Consistency::Write;
     let class_mismatch =
         || ODataError::new(400, "BadClass", "the class does not fit the call").with_target("Skip-Class");
     match path {
@@ -271,7 +271,7 @@
         "$metadata" if get => Ok(Call::Metadata),
         "" | "$metadata" => method_not_allowed("GET"),
         "records" if post => {
-            let params = parse_params(&request.headers, terms)?;
+            let params = parse_params(&request.headers, class_table)?;
             if read_class(&params) {
                 return Err(class_mismatch());
             }
@@ -289,7 +289,7 @@
         }
         _ => match parse_key_segment(path)? {
             Some(key) if get => {
-                let mut params = parse_params(&request.headers, terms)?;
+                let mut params = parse_params(&request.headers, class_table)?;
                 if !read_class(&params) {
                     return Err(class_mismatch());
                 }
@@ -308,11 +308,11 @@
 /// Uses the key as the session if none is given, as the PostgreSQL front does. Drops the session for classes without
 /// sessions.
 fn set_session(params: &mut CallParams, key: &str, classes: &[Class]) {
-    let named = matches!(classes[params.class].need, Need::Session | Need::Write);
+    let named = matches!(classes[params.class].consistency, Consistency::Session | Consistency::Write);
     params.session = if named { params.session.take().or_else(|| Some(key.to_string())) } else { None };
 }
 
-fn parse_params(headers: &Headers, terms: &Terms) -> Result<CallParams, ODataError> {
+fn parse_params(headers: &Headers, class_table: &ClassTable) -> Result<CallParams, ODataError> {
     let bad = |name: &'static str, text: String| ODataError::new(400, "BadHeader", text).with_target(name);
     let required = |name: &'static str| {
         headers.get(name).ok_or_else(|| {
@@ -326,12 +326,15 @@
         let given = required(name)?;
         find(given).ok_or_else(|| bad(name, format!("{name} names none that is known: {given}")))
     };
-    let class = lookup("Skip-Class", &|given| terms.class(given))?;
-    let tenant =
-        if terms.names.tenants.is_empty() { 0 } else { lookup("Skip-Tenant", &|given| terms.tenant(given))? };
+    let class = lookup("Skip-Class", &|given| class_table.class(given))?;
+    let tenant = if class_table.names.tenants.is_empty() {
+        0
+    } else {
+        lookup("Skip-Tenant", &|given| class_table.tenant(given))?
+    };
     let wait = match headers.get("Skip-Wait") {
         Some(text) => number("Skip-Wait", text)?.min(3_600_000) * 1000,
-        None => terms.classes[class].deadline,
+        None => class_table.classes[class].deadline,
     };
     if wait == 0 {
         return Err(bad("Skip-Wait", "Skip-Wait must be above 0".to_string()));
@@ -379,7 +382,7 @@
     if value.len() > MAX_VALUE_LEN {
         return Err(ODataError::new(413, "TooLarge", "a value has at most 65536 bytes").with_target("v"));
     }
-    let charged = classes[params.class].repeat == Repeat::Unsafe;
+    let charged = classes[params.class].effect == Effect::Unsafe;
     let repeatable = match (headers.get("Repeatability-Request-ID"), headers.get("Repeatability-First-Sent"))
     {
         (None, None) if !charged => None,
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -2,12 +2,12 @@
 //!
 //! | state | what ends it |
 //! | --- | --- |
-//! | no request received | the client; `IDLE_TIMEOUT`; others in need of a permit, or the shutdown, both after `QUIET_MIN` |
+//! | no request received | the client; `IDLE_TIMEOUT`; others in need of a permit, or the shutdown, both after `MIN_QUIET_TIME` |
 //! | idle between requests | the client; `IDLE_TIMEOUT`; others in need of a permit; the shutdown |
 //! | request partially received | the rest of the request; `UNFINISHED_REQUEST_TIMEOUT` |
 //! | response pending | only the client |
 //!
-//! Except where the client itself closes, the connection is closed through [`client_end`], which never closes a
+//! Except where the client itself closes, the connection is closed through [`client_close`], which never closes a
 //! connection that has unanswered input.
 
 use super::front::{error_response, Front, MAX_BODY_LEN};
@@ -15,12 +15,14 @@
 use super::request::ResponseFormat;
 use crate::core::counters::{count, Count};
 use crate::http::{HttpError, HttpRequest, HttpResponse, HttpServer, Incoming};
-use crate::net::budget::QUIET_MIN;
-use crate::net::client_end::{self, EndReason, Ended};
-use crate::net::frames::{next, next_or_end, shrink, Next, ROOM};
-use crate::net::held_up;
-use crate::net::listen::{closed, Closing, Phase, Refusal};
+use crate::net::budget::MIN_QUIET_TIME;
+use crate::net::client_close::{self, CloseReason, ConnectionClosed};
+use crate::net::frames::{
+    read_next, read_next_or_close, release_large_buffers, ReadEvent, INITIAL_BUFFER_SIZE,
+};
+use crate::net::listen::{wait_for_closing, PhaseReceiver, ProcessPhase, Refusal};
 use crate::net::socket::Socket;
+use crate::net::stall;
 use futures_util::SinkExt;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -51,7 +53,7 @@
     /// The client closed the connection.
     Closed,
     /// The connection is to be closed for this reason.
-    End(EndReason),
+    End(CloseReason),
 }
 
 /// The response to a request, with the state of the input read meanwhile.
@@ -83,7 +85,7 @@
     /// Creates the session of a new connection, whose input may have been sent as early as `waiting_since`.
     pub(super) fn new(front: Arc<Front>, waiting_since: Option<std::time::Instant>, stream: Socket) -> Self {
         let codec = HttpServer::new(MAX_BODY_LEN, front.budget.bytes.clone());
-        let conn = Framed::with_capacity(stream, codec, ROOM);
+        let conn = Framed::with_capacity(stream, codec, INITIAL_BUFFER_SIZE);
         let idle_since = Instant::now();
         let read_deadline = idle_since + IDLE_TIMEOUT;
         let read_ahead = VecDeque::new();
@@ -100,7 +102,7 @@
     }
 
     /// Serves the connection until it is closed.
-    pub(super) async fn run(mut self, mut closing: Closing) -> Result<Ended, HttpError> {
+    pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, HttpError> {
         loop {
             let request = match self.wait(&mut closing).await {
                 WaitResult::Input(Incoming::Request(request)) => request,
@@ -114,13 +116,13 @@
                     continue;
                 }
                 WaitResult::Error(error) => return Box::pin(self.end_with_error(error)).await,
-                WaitResult::Closed => return Ok(client_end::by_client(self.conn)),
+                WaitResult::Closed => return Ok(client_close::closed_by_client(self.conn)),
                 WaitResult::End(reason) => match end_if_idle(&mut self.conn, reason, self.request_seen).await
                 {
                     Some(ended) => return Ok(ended),
                     None => {
-                        if reason == EndReason::MadeRoom {
-                            self.front.budget.clients.ask_for_room();
+                        if reason == CloseReason::MadeRoom {
+                            self.front.budget.clients.request_eviction();
                         }
                         continue;
                     }
@@ -128,12 +130,12 @@
             };
             (self.partial, self.request_seen) = (false, true);
             let Some(ResponseReady { mut response, read_error }) = self.answer(&request).await? else {
-                return Ok(client_end::by_client(self.conn));
+                return Ok(client_close::closed_by_client(self.conn));
             };
-            let shutting_down = *closing.borrow() >= Phase::Leaving
+            let shutting_down = *closing.borrow() >= ProcessPhase::HandingOver
                 && self.read_ahead.is_empty()
                 && read_error.is_none()
-                && !client_end::holds_unanswered(&mut self.conn);
+                && !client_close::has_unanswered_input(&mut self.conn);
             response.connection_close = request.connection_close || shutting_down;
             let close = response.connection_close;
             match tokio::time::timeout(RESPONSE_TIMEOUT, self.conn.send(response)).await {
@@ -141,13 +143,13 @@
                 Err(_) => return Err(HttpError::Io(ErrorKind::TimedOut.into())),
             }
             if close {
-                let reason = if shutting_down { EndReason::Shutdown } else { EndReason::ClientLeft };
-                return Ok(Box::pin(client_end::announced(self.conn, reason)).await);
+                let reason = if shutting_down { CloseReason::Shutdown } else { CloseReason::ClientLeft };
+                return Ok(Box::pin(client_close::close_as_announced(self.conn, reason)).await);
             }
             if let Some(error) = read_error {
                 return Box::pin(self.end_with_error(error)).await;
             }
-            shrink(&mut self.conn);
+            release_large_buffers(&mut self.conn);
             self.idle_since = Instant::now();
             self.read_deadline = self.idle_since + IDLE_TIMEOUT;
         }
@@ -160,26 +162,26 @@
 
     /// Waits for the next request, or for a reason to close the connection. Once part of a request has been read, the
     /// connection is not closed before that request has a response.
-    async fn wait(&mut self, closing: &mut Closing) -> WaitResult {
+    async fn wait(&mut self, closing: &mut PhaseReceiver) -> WaitResult {
         if let Some(request) = self.read_ahead.pop_front() {
             return WaitResult::Input(request);
         }
         let (partial, request_seen, idle_since) = (self.partial, self.request_seen, self.idle_since);
         tokio::select! {
             biased;
-            read = next(&mut self.conn, partial) => match read {
-                Next::Message(Some(Ok(request))) => WaitResult::Input(request),
-                Next::Message(Some(Err(error))) => WaitResult::Error(error),
-                Next::Message(None) => WaitResult::Closed,
-                Next::Part => WaitResult::Partial,
+            read = read_next(&mut self.conn, partial) => match read {
+                ReadEvent::Message(Some(Ok(request))) => WaitResult::Input(request),
+                ReadEvent::Message(Some(Err(error))) => WaitResult::Error(error),
+                ReadEvent::Message(None) => WaitResult::Closed,
+                ReadEvent::Partial => WaitResult::Partial,
             },
             () = closing_and_quiet(closing, request_seen, idle_since),
-                if !partial => WaitResult::End(EndReason::Shutdown),
-            () = self.front.budget.clients.client_wanted(!request_seen, idle_since),
-                if !partial => WaitResult::End(EndReason::MadeRoom),
+                if !partial => WaitResult::End(CloseReason::Shutdown),
+            () = self.front.budget.clients.client_eviction_requested(!request_seen, idle_since),
+                if !partial => WaitResult::End(CloseReason::MadeRoom),
             () = tokio::time::sleep_until(self.read_deadline) => match partial {
                 true => WaitResult::Error(HttpError::Unfinished),
-                false => WaitResult::End(if request_seen { EndReason::Idle } else { EndReason::Silent }),
+                false => WaitResult::End(if request_seen { CloseReason::Idle } else { CloseReason::Silent }),
             },
         }
     }
@@ -189,7 +191,7 @@
     async fn answer(&mut self, request: &HttpRequest) -> Result<Option<ResponseReady>, HttpError> {
         count(Count::odata_requests);
         // Input sent before the front started to serve has been waiting since then.
-        let waited = held_up::waited(self.waiting_since.take());
+        let waited = stall::queued_time(self.waiting_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
         let mut read_error = None;
         loop {
@@ -197,12 +199,12 @@
             tokio::select! {
                 biased;
                 response = &mut answer => return Ok(Some(ResponseReady { response, read_error })),
-                read = next_or_end(&mut self.conn, may_read, true) => match read {
-                    Next::Message(Some(Ok(next))) => self.read_ahead.push_back(next),
-                    Next::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
-                    Next::Message(Some(Err(e))) => read_error = Some(e),
-                    Next::Message(None) => return Ok(None),
-                    Next::Part => {}
+                read = read_next_or_close(&mut self.conn, may_read, true) => match read {
+                    ReadEvent::Message(Some(Ok(next))) => self.read_ahead.push_back(next),
+                    ReadEvent::Message(Some(Err(e @ HttpError::Io(_)))) => return Err(e),
+                    ReadEvent::Message(Some(Err(e))) => read_error = Some(e),
+                    ReadEvent::Message(None) => return Ok(None),
+                    ReadEvent::Partial => {}
                 },
             }
         }
@@ -210,7 +212,7 @@
 
     /// Answers input that cannot be read, after a delay, and closes the connection, because the start of the next
     /// request is unknown.
-    async fn end_with_error(self, error: HttpError) -> Result<Ended, HttpError> {
+    async fn end_with_error(self, error: HttpError) -> Result<ConnectionClosed, HttpError> {
         let over_budget = matches!(error, HttpError::BudgetExhausted);
         let response_error = match error {
             HttpError::Io(_) => return Err(error),
@@ -223,25 +225,25 @@
         response.connection_close = true;
         let Front { budget, pace, clock, .. } = &*self.front;
         // A well-formed request for which there is no memory is refused without delay.
-        let delay = (!over_budget).then(|| pace.turn(clock.now()));
-        Ok(client_end::after_fault(self.conn, response, delay, &budget.clients).await)
+        let delay = (!over_budget).then(|| pace.next_delay(clock.now()));
+        Ok(client_close::close_with_error(self.conn, response, delay, &budget.clients).await)
     }
 }
 
 /// Waits until connections are to be closed. One that has received no request must also have been quiet for
-/// `QUIET_MIN`, as its first request may be in transit.
-async fn closing_and_quiet(closing: &mut Closing, request_seen: bool, idle_since: Instant) {
-    closed(closing).await;
+/// `MIN_QUIET_TIME`, as its first request may be in transit.
+async fn closing_and_quiet(closing: &mut PhaseReceiver, request_seen: bool, idle_since: Instant) {
+    wait_for_closing(closing).await;
     if !request_seen {
-        tokio::time::sleep_until(idle_since + QUIET_MIN).await;
+        tokio::time::sleep_until(idle_since + MIN_QUIET_TIME).await;
     }
 }
 
 /// Closes the connection unless there is unanswered input. A client that has sent no request gets a refusal, which
 /// answers a request that may be in transit.
-async fn end_if_idle(conn: &mut Conn, reason: EndReason, request_seen: bool) -> Option<Ended> {
-    let final_response = (!request_seen).then(|| last_refusal(Refusal::at_end(reason)));
-    client_end::at_rest(conn, reason, final_response).await
+async fn end_if_idle(conn: &mut Conn, reason: CloseReason, request_seen: bool) -> Option<ConnectionClosed> {
+    let final_response = (!request_seen).then(|| last_refusal(Refusal::for_close(reason)));
+    client_close::close_if_idle(conn, reason, final_response).await
 }
 
 /// The refusal that a client gets before its connection is closed.
