--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -492,7 +492,7 @@
 #[test]
 fn an_older_whole_list_is_accepted_only_when_discovery_repeats_it() {
     let list = |generation: u64, reset: bool| serde_json::json!({"generation": generation, "reset": reset, "instances": []});
-    let mut lists = linentrail::net::discovery::Lists::new(vec![]);
+    let mut lists = linentrail::net::discovery::ListReader::new(vec![]);
     assert!(lists.read(&list(9, true), None).is_some());
     assert!(lists.read(&list(8, true), Some(9)).is_none());
     assert!(lists.read(&list(8, false), Some(9)).is_none(), "changes relative to a different history");
@@ -901,10 +901,10 @@
 
 #[test]
 fn ids_of_members_that_left_are_forgotten_after_a_while_and_not_before() {
-    use linentrail::net::discovery::Lists;
+    use linentrail::net::discovery::ListReader;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.unwrap().block_on(async {
-        let mut lists = Lists::new(vec![]);
+        let mut lists = ListReader::new(vec![]);
         let list = |ids: std::ops::Range<u32>, whole: bool, lifecycle: &str| {
             let entry = |i| {
                 serde_json::json!({"instanceId": format!("s-{i:08x}"), "hostPort": "127.0.0.1:1", "cell": 1,
@@ -916,10 +916,10 @@
         lists.read(&list(0..100, true, "active"), None).unwrap();
         lists.read(&list(0..50, false, "left"), Some(1)).unwrap();
         lists.read(&list(98..100, true, "active"), Some(1)).unwrap();
-        assert_eq!(lists.numbers.known(), 100, "their last attempts may still end");
+        assert_eq!(lists.numbers.count(), 100, "their last attempts may still end");
         tokio::time::advance(std::time::Duration::from_secs(61)).await;
         lists.read(&list(0..0, false, "active"), Some(1)).unwrap();
-        assert_eq!(lists.numbers.known(), 2);
+        assert_eq!(lists.numbers.count(), 2);
     });
 }
 
