--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -194,7 +194,7 @@
         d.put_u16(u16::from(value.binary));
     });
     if value.rows > 0 {
-        let streamed = value.stream.as_ref().map(|flow| flow.length());
+        let streamed = value.stream.as_ref().map(|stream| stream.length());
         let length = streamed.or(value.bytes.as_ref().map(Bytes::len));
         dst.put_u8(b'D');
         dst.put_u32(length.unwrap_or(0) as u32 + 10);
--- a/src/pg/frames.rs
+++ b/src/pg/frames.rs
@@ -51,7 +51,7 @@
     /// Message tag, or 0 for untagged messages.
     pub tag: u8,
     body: Range<usize>,
-    share: Option<ByteReservation>,
+    reservation: Option<ByteReservation>,
 }
 
 impl Frame {
@@ -66,18 +66,18 @@
     }
 
     /// Removes the message from the read buffer and returns its body without the first `head` and the last `tail`
-    /// bytes. The message's share of the budget is held until the last clone of the returned `Bytes` is dropped.
+    /// bytes. Its reservation of the byte budget is held until the last clone of the returned `Bytes` is dropped.
     pub fn into_body(self, src: &mut BytesMut, head: usize, tail: usize) -> Bytes {
-        let Frame { body: Range { start, end }, share, .. } = self;
+        let Frame { body: Range { start, end }, reservation, .. } = self;
         let part = start + head..end - tail;
-        let Some(share) = share else {
+        let Some(reservation) = reservation else {
             let kept = Bytes::copy_from_slice(&src[part]);
             src.advance(end);
             return kept;
         };
-        // Copies if keeping the buffer would hold much more memory than the share accounts for.
+        // Copies if keeping the buffer would hold much more memory than is reserved.
         if part.len() < MIN_ZERO_COPY_LEN || src.capacity() > 2 * end + SPARE_CAPACITY {
-            let kept = share.attach_to_copy(&src[part]);
+            let kept = reservation.attach_to_copy(&src[part]);
             src.advance(end);
             return kept;
         }
@@ -86,16 +86,16 @@
         let mut whole = std::mem::replace(src, rest);
         whole.truncate(part.end);
         whole.advance(part.start);
-        share.attach_to_buffer(whole)
+        reservation.attach_to_buffer(whole)
     }
 }
 
-/// Finds message boundaries in the read buffer. A length field alone causes no allocation: the message's share of the
-/// byte budget is taken first, and the buffer is grown only once enough of the message has arrived.
+/// Finds message boundaries in the read buffer. A length field alone causes no allocation: the message's length is
+/// first reserved in the byte budget, and the buffer is grown only once enough of the message has arrived.
 pub(super) struct FrameReader {
     budget: ByteBudget,
-    share: Option<ByteReservation>,
-    /// Messages up to this length take no share: they fit in the buffer that every connection has anyway.
+    reservation: Option<ByteReservation>,
+    /// Messages up to this length are not reserved: they fit in the buffer that every connection has anyway.
     uncounted_len: usize,
     /// Number of bytes of a long message that must have arrived before the buffer is grown for the rest.
     grow_threshold: usize,
@@ -107,7 +107,7 @@
     /// Creates a reader that counts messages longer than `uncounted_len` against the budget, and grows the buffer to
     /// the full message length once `grow_threshold` bytes have arrived.
     pub fn new(budget: ByteBudget, uncounted_len: usize, grow_threshold: usize) -> Self {
-        FrameReader { budget, share: None, uncounted_len, grow_threshold, bytes_to_skip: 0 }
+        FrameReader { budget, reservation: None, uncounted_len, grow_threshold, bytes_to_skip: 0 }
     }
 
     /// Whether bytes of a rejected message are still to be skipped.
@@ -142,25 +142,25 @@
             return Err(WireError::TooLong(length));
         }
         let end = at + length;
-        let share = match self.share.take() {
+        let reservation = match self.reservation.take() {
             None if length <= self.uncounted_len => None,
             None => match self.budget.try_reserve(length) {
                 None => {
                     self.bytes_to_skip = end;
                     return Err(WireError::BudgetExhausted);
                 }
-                share => share,
+                reservation => reservation,
             },
             some => some,
         };
         if src.len() < end {
-            self.share = share;
+            self.reservation = reservation;
             if end > INITIAL_BUFFER_SIZE && src.len() >= self.grow_threshold && src.capacity() < end {
                 src.reserve(end + SPARE_CAPACITY - src.len());
             }
             return Ok(None);
         }
-        Ok(Some(Frame { tag, body: at + 4..end, share }))
+        Ok(Some(Frame { tag, body: at + 4..end, reservation }))
     }
 }
 
--- a/src/pg/front.rs
+++ b/src/pg/front.rs
@@ -30,7 +30,7 @@
 pub struct Front {
     /// Handle for submitting requests to the core.
     pub core: Handle,
-    /// The current terms, under which requests are parsed.
+    /// The current class table, by which requests are parsed.
     pub class_table: watch::Receiver<Arc<ClassTable>>,
     /// Clock of the process.
     pub clock: Clock,
--- a/src/pg/member.rs
+++ b/src/pg/member.rs
@@ -97,20 +97,20 @@
             ClientCodec::new(self.bytes.clone()),
             INITIAL_BUFFER_SIZE,
         );
-        let mut link = Connection { framed, partial_reply: None, _permit: permit };
-        link.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
+        let mut connection = Connection { framed, partial_reply: None, _permit: permit };
+        connection.framed.send(Frontend::Startup).await.map_err(|_| Outcome::Refused)?;
         // No statement has been written yet, so nothing can have run and every failure counts as a refusal.
         let mut authenticated = false;
         loop {
-            let ReadEvent::Message(Some(Ok(message))) = read_next(&mut link.framed, true).await else {
+            let ReadEvent::Message(Some(Ok(message))) = read_next(&mut connection.framed, true).await else {
                 return Err(Outcome::Refused);
             };
             match message {
                 Backend::AuthenticationOk if !authenticated => authenticated = true,
                 // Bytes that follow it already would be taken for the first statement's answer.
-                Backend::ReadyForQuery if authenticated && !link.has_unexpected_bytes() => {
-                    link.framed.get_ref().assume_drained();
-                    return Ok(link);
+                Backend::ReadyForQuery if authenticated && !connection.has_unexpected_bytes() => {
+                    connection.framed.get_ref().assume_drained();
+                    return Ok(connection);
                 }
                 Backend::ParameterStatus(..) | Backend::BackendKeyData if authenticated => {}
                 Backend::Other(b'N') => {}
@@ -201,10 +201,10 @@
         }
     }
 
-    /// Reads the answer to what was written under this guard. The flag tells whether messages that are not part of the
-    /// answer came before it.
-    async fn read_answer(&mut self, guard: StaleInput) -> (Reply, ReplyEnd, bool) {
-        let stray_messages = match guard {
+    /// Reads the next answer, after the fence's answer if stale input is possible. The flag tells whether messages of
+    /// an earlier answer came before it.
+    async fn read_answer(&mut self, stale_input: StaleInput) -> (Reply, ReplyEnd, bool) {
+        let stray_messages = match stale_input {
             StaleInput::Excluded => 0,
             StaleInput::Possible => match self.read_fence_answer().await {
                 Ok(stray_messages) => stray_messages,
@@ -272,13 +272,19 @@
         matches!(stray_messages, Ok(0)) && self.framed.read_buffer().is_empty()
     }
 
-    async fn run(&mut self, work: &Work, wait: Time, guard: StaleInput, written: &mut bool) -> Exchange {
-        if self.write(work, wait, guard == StaleInput::Possible).await.is_err() {
+    async fn run(
+        &mut self,
+        work: &Work,
+        wait: Time,
+        stale_input: StaleInput,
+        written: &mut bool,
+    ) -> Exchange {
+        if self.write(work, wait, stale_input == StaleInput::Possible).await.is_err() {
             // The connection failed before the last byte was written: the statement never ran.
             return Exchange::default();
         }
         *written = true;
-        let (mut reply, end, had_stray_messages) = self.read_answer(guard).await;
+        let (mut reply, end, had_stray_messages) = self.read_answer(stale_input).await;
         release_large_buffers(&mut self.framed);
         let outcome = match end {
             ReplyEnd::Complete { .. } => reply.outcome(is_write(work)),
@@ -301,18 +307,18 @@
         }
         if let ReplyEnd::Streaming(length) = end {
             count(Count::flows);
-            let (source, flow) = ValueStream::new(length);
+            let (sender, stream) = ValueStream::new(length);
             let value = reply.column.as_ref().map(|c| Value {
                 binary: c.binary,
                 type_id: c.type_id,
                 rows: 1,
                 bytes: None,
-                stream: Some(flow),
+                stream: Some(stream),
             });
             let (note, report) = (reply.note, reply.report);
             reply.row = Some(None);
             self.partial_reply = Some(Box::new(reply));
-            return Exchange { outcome, value, note, report, reusable: false, value_rest: Some(source) };
+            return Exchange { outcome, value, note, report, reusable: false, value_rest: Some(sender) };
         }
         let Reply { column, row, note, report, .. } = reply;
         let value = column.filter(|_| outcome == Outcome::Completed).map(|c| Value {
@@ -388,12 +394,12 @@
         whole && !self.has_unexpected_bytes()
     }
 
-    async fn probe(&mut self, guard: StaleInput) -> Option<(Report, bool)> {
-        if guard == StaleInput::Possible {
+    async fn probe(&mut self, stale_input: StaleInput) -> Option<(Report, bool)> {
+        if stale_input == StaleInput::Possible {
             self.framed.feed(Frontend::EmptyQuery).await.ok()?;
         }
         self.framed.send(Frontend::Stats).await.ok()?;
-        let (reply, end, had_stray_messages) = self.read_answer(guard).await;
+        let (reply, end, had_stray_messages) = self.read_answer(stale_input).await;
         match end {
             ReplyEnd::Complete { ready: true } if reply.code.is_none() => {
                 let report = reply.row.flatten().and_then(|row| parse_report(&row));
--- a/src/pg/member_codec.rs
+++ b/src/pg/member_codec.rs
@@ -19,7 +19,7 @@
 const CHUNK_LEN: usize = 16 * 1024;
 /// Bytes of a streamed value that can be in memory at a time: the queued chunks, the one being read and the one being
 /// written.
-const STREAM_SHARE_LEN: usize = CHUNK_LEN * (flow::MAX_QUEUED_CHUNKS + 2);
+const STREAM_RESERVATION_LEN: usize = CHUNK_LEN * (flow::MAX_QUEUED_CHUNKS + 2);
 
 /// Description of the single column of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -96,21 +96,21 @@
 pub struct ClientCodec {
     frames: FrameReader,
     budget: ByteBudget,
-    /// Bytes of a streamed value that have not arrived yet, and the budget share for those in memory.
+    /// Bytes of a streamed value that have not arrived yet, and the reservation for those in memory.
     remaining: usize,
-    share: Option<ByteReservation>,
+    reservation: Option<ByteReservation>,
 }
 
 impl ClientCodec {
     /// Creates the codec of a new connection.
     pub fn new(budget: ByteBudget) -> Self {
-        // The buffer is grown as soon as there is a share for the announced length: members send what they announce,
-        // or the connection is closed within the time limit of an answer.
+        // The buffer is grown as soon as the announced length is reserved: members send what they announce, or the
+        // connection is closed within the time limit of an answer.
         ClientCodec {
             frames: FrameReader::new(budget.clone(), UNCOUNTED_LEN, 0),
             budget,
             remaining: 0,
-            share: None,
+            reservation: None,
         }
     }
 }
@@ -126,7 +126,7 @@
         }
         self.remaining -= len;
         if self.remaining == 0 {
-            self.share = None;
+            self.reservation = None;
         }
         Some(Backend::Chunk(src.split_to(len).freeze()))
     }
@@ -166,8 +166,8 @@
                 if src[5..7] != [0, 1] {
                     return Err(WireError::Malformed("a row does not have one column"));
                 }
-                self.share =
-                    Some(self.budget.try_reserve(STREAM_SHARE_LEN).ok_or(WireError::BudgetExhausted)?);
+                self.reservation =
+                    Some(self.budget.try_reserve(STREAM_RESERVATION_LEN).ok_or(WireError::BudgetExhausted)?);
                 self.remaining = row;
                 src.advance(11);
                 return Ok(Some(Backend::LargeRowStart(row)));
--- a/src/pg/member_tests.rs
+++ b/src/pg/member_tests.rs
@@ -62,9 +62,9 @@
 fn outcome_with(after: AfterAnswers, text: &'static [u8], answer: &[&[u8]]) -> Outcome {
     let address = member(STARTUP_RESPONSE.to_vec(), vec![answer.concat()], after);
     block_on(async {
-        let mut link = connect(address).await.expect("the connection opens");
+        let mut connection = connect(address).await.expect("the connection opens");
         let mut written = false;
-        let exchange = link.run(&work(text), 1_000, StaleInput::Excluded, &mut written).await;
+        let exchange = connection.run(&work(text), 1_000, StaleInput::Excluded, &mut written).await;
         assert!(written);
         exchange.outcome
     })
@@ -145,8 +145,8 @@
     // running the statement.
     let address = member(startup_response, vec![Vec::new()], AfterAnswers::WaitForClose);
     let ran = block_on(async {
-        let mut link = connect(address).await?;
-        Ok(link.run(&work(WRITE), 1_000, StaleInput::Excluded, &mut false).await.outcome)
+        let mut connection = connect(address).await?;
+        Ok(connection.run(&work(WRITE), 1_000, StaleInput::Excluded, &mut false).await.outcome)
     });
     assert_eq!(ran, Err(Outcome::Refused), "no statement may be written on this connection");
 }
--- a/src/pg/replies.rs
+++ b/src/pg/replies.rs
@@ -112,14 +112,14 @@
 /// Streams a large value to the client as it arrives. The length precedes the value, so a client can tell that a value
 /// is truncated. If the stream breaks off, the connection can only be closed.
 async fn stream_row(conn: &mut Conn, value: Value, write: bool) -> Result<(), WireError> {
-    let Some(flow) = &value.stream else { return Ok(()) };
-    let (mut head, mut remaining) = (std::mem::take(conn.write_buffer_mut()), flow.length());
+    let Some(stream) = &value.stream else { return Ok(()) };
+    let (mut head, mut remaining) = (std::mem::take(conn.write_buffer_mut()), stream.length());
     write_row_prefix(&value, &mut head);
     with_timeout(conn.get_mut().write_all(&head)).await?;
     head.clear();
     *conn.write_buffer_mut() = head;
     loop {
-        match flow.next().await {
+        match stream.next().await {
             Some(Chunk::Bytes(mut bytes)) if bytes.len() <= remaining => {
                 remaining -= bytes.len();
                 with_timeout(conn.get_mut().write_all_buf(&mut bytes)).await?;
--- a/src/pg/statement.rs
+++ b/src/pg/statement.rs
@@ -110,8 +110,8 @@
     let Some(class) = class_table.class(class) else {
         return err("22023", format!("no class is named {class}"));
     };
-    let need = classes[class].consistency;
-    if write != (need == Consistency::Write) {
+    let consistency = classes[class].consistency;
+    if write != (consistency == Consistency::Write) {
         return err("22023", "the statement does not fit its class");
     }
     let tenant = match tenant {
@@ -138,7 +138,7 @@
         let at = part.as_ptr() as usize - sql.as_ptr() as usize;
         at..at + part.len()
     };
-    let session = matches!(need, Consistency::Write | Consistency::Session).then(|| Arc::from(key));
+    let session = matches!(consistency, Consistency::Write | Consistency::Session).then(|| Arc::from(key));
     let (name, wait) = (text.slice(range_of(id)), range_of(wait));
     Ok(Request {
         class_table: class_table.clone(),
