--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -140,8 +140,8 @@
     chunks: BytesMut,
     /// The client waits for `100 Continue`.
     expects_continue: bool,
-    /// The body's share of the byte budget, taken once the body's maximum length is known.
-    share: Option<ByteReservation>,
+    /// Reserves the body's maximum length in the byte budget.
+    reservation: Option<ByteReservation>,
 }
 
 fn body_framing(headers: &Headers, response: Option<u16>) -> Result<BodyFraming, HttpError> {
@@ -214,13 +214,19 @@
             BodyFraming::Length(n) => n,
             BodyFraming::Chunked | BodyFraming::UntilClose => self.max_body_len,
         };
-        let share = self
+        let reservation = self
             .budget
             .as_ref()
             .map(|r| r.try_reserve(body_len_limit).ok_or(HttpError::BudgetExhausted))
             .transpose()?;
-        self.partial =
-            Some(PartialMessage { head, headers, framing, chunks: BytesMut::new(), expects_continue, share });
+        self.partial = Some(PartialMessage {
+            head,
+            headers,
+            framing,
+            chunks: BytesMut::new(),
+            expects_continue,
+            reservation,
+        });
         Ok(true)
     }
 
@@ -253,10 +259,11 @@
                 false => return Ok(None),
             },
         };
-        let Some(PartialMessage { head, headers, framing: kind, share, .. }) = self.partial.take() else {
+        let Some(PartialMessage { head, headers, framing: kind, reservation, .. }) = self.partial.take()
+        else {
             return Ok(None);
         };
-        let body = share.map_or(body.clone(), |share| share.attach_to_copy(&body));
+        let body = reservation.map_or(body.clone(), |reservation| reservation.attach_to_copy(&body));
         let minor = match &head {
             Head::Request { minor, .. } | Head::Response { minor, .. } => *minor,
         };
--- a/src/odata/front.rs
+++ b/src/odata/front.rs
@@ -169,16 +169,16 @@
         }
     }
 
-    /// Collects a streamed value, as a JSON response cannot be sent before the value is complete. The request has run by
-    /// now: if there is no memory for the value, it is refused only if it may safely run again.
+    /// Collects a streamed value, as a JSON response cannot be sent before the value is complete. The request has run
+    /// by now: if there is no memory for the value, it is refused only if it may safely run again.
     async fn collect_value(&self, answer: Answer, safe: bool) -> Answer {
         let Answer::Served(mut value, position) = answer else { return answer };
-        let Some(flow) = value.stream.take() else { return Answer::Served(value, position) };
+        let Some(stream) = value.stream.take() else { return Answer::Served(value, position) };
         // Three times its length: the value itself, and its base64 form in the response.
-        let Some(_share) = self.budget.bytes.try_reserve(flow.length().saturating_mul(3)) else {
+        let Some(_reservation) = self.budget.bytes.try_reserve(stream.length().saturating_mul(3)) else {
             return if safe { Answer::Refused(None) } else { Answer::Failed };
         };
-        match tokio::time::timeout(COLLECT_TIMEOUT, flow.collect()).await {
+        match tokio::time::timeout(COLLECT_TIMEOUT, stream.collect()).await {
             Ok(Some(bytes)) => {
                 value.bytes = Some(bytes);
                 Answer::Served(value, position)
