--- a/benches/append.rs
+++ b/benches/append.rs
@@ -3,7 +3,7 @@
 
 use linentrail::effective_list::Suspension;
 use linentrail::knowledge::Knowledge;
-use linentrail::store::disk::Folder;
+use linentrail::store::disk::DiskFolder;
 use linentrail::store::state::Store;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use std::path::{Path, PathBuf};
@@ -30,21 +30,21 @@
 }
 
 fn log(folder: &Path, words: usize) -> Result<(), Box<dyn std::error::Error>> {
-    let disk = Folder::take(folder, true)?.ok_or("the folder is taken")?;
+    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is taken")?;
     let (mut store, _) = Store::open(disk, 64 << 20)?;
     store.snapshot(&Knowledge::default(), 1)?;
     let mut each = Vec::new();
     for (n, name) in names(words).iter().enumerate() {
         let began = Instant::now();
-        store.word(name, &Suspension { suspended_at: n as u64 + 1, restored_at: None })?;
+        store.append_suspension(name, &Suspension { suspended_at: n as u64 + 1, restored_at: None })?;
         each.push(began.elapsed());
     }
     told("log of this program", each, folder);
     drop(store);
     let began = Instant::now();
-    let disk = Folder::take(folder, true)?.ok_or("the folder is taken")?;
+    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is taken")?;
     let (_, found) = Store::open(disk, 64 << 20)?;
-    println!("  opened again in {:?}, {} members in it", began.elapsed(), found.all.hands.len());
+    println!("  opened again in {:?}, {} members in it", began.elapsed(), found.knowledge.hands.len());
     Ok(())
 }
 
--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -21,8 +21,8 @@
 use crate::net::discovery::{self, ListReader};
 use crate::net::transient;
 use crate::operators::agreement::{Agreement, OnLapse};
-use crate::store::actor::Scribe;
-use crate::store::state::Finding;
+use crate::store::actor::StoreHandle;
+use crate::store::state::RecoveryStatus;
 use bytes::Bytes;
 use fetch::{Question, Want};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -105,7 +105,7 @@
     /// Settings go there.
     pub settings_updates: mpsc::Sender<SettingsUpdate>,
     /// The way to the disk; none where this proxy does not vote.
-    pub store: Option<Scribe>,
+    pub store: Option<StoreHandle>,
     /// Version of the list that is held.
     pub list_version: Arc<AtomicU64>,
     /// Names of the zones.
@@ -121,7 +121,7 @@
 /// What a start has found of earlier votes.
 pub struct RecoveredVotes {
     /// How the store was found.
-    pub finding: Finding,
+    pub finding: RecoveryStatus,
     /// What was kept of votes and documents, by name.
     pub records: Vec<(String, Vec<u8>)>,
 }
@@ -135,8 +135,8 @@
         let kept = self.records.iter().find(|(name, _)| name == VOTES);
         let votes = kept.map(|(_, bytes)| read_votes(bytes));
         match (votes, self.finding) {
-            (None, Finding::Sound | Finding::Fresh) => Voter::new(Votes::default()),
-            (Some(Some(votes)), Finding::Sound) => Voter::new(votes),
+            (None, RecoveryStatus::Sound | RecoveryStatus::Fresh) => Voter::new(Votes::default()),
+            (Some(Some(votes)), RecoveryStatus::Sound) => Voter::new(votes),
             (votes, finding) => {
                 log::warn!(
                     "votes: {finding:?}; this voter may have forgotten what it promised, and learns first"
@@ -424,11 +424,11 @@
         bytes: Vec<u8>,
         then: impl FnOnce(Result<(), String>) -> Done + Send + 'static,
     ) {
-        let Some(scribe) = self.with.store.clone() else { return };
+        let Some(store_handle) = self.with.store.clone() else { return };
         let done = self.done.clone();
         tokio::spawn(async move {
             tokio::time::sleep(after).await;
-            let told = scribe.keep(name, bytes).await;
+            let told = store_handle.put_record(name, bytes).await;
             let _ = done.send(then(told)).await;
         });
     }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -17,7 +17,7 @@
 use crate::effective_list::{SuspensionError, Suspensions};
 use crate::knowledge::format;
 use crate::net::budget::Budget;
-use crate::store::actor::Scribe;
+use crate::store::actor::StoreHandle;
 use commits::{CommitLog, UnseenPeer};
 use files::{Folder, FollowedFile};
 use id_exchange::IdExchange;
@@ -80,18 +80,18 @@
     orders: mpsc::Sender<CoreCommand>,
     folder: SharedFolder,
     /// Where the operators' word is written down for later starts.
-    scribe: Option<Scribe>,
+    store_handle: Option<StoreHandle>,
 }
 
 impl ControlHandle {
     /// One that hands orders to the core, and records them where the proxy has a folder.
     pub fn new(orders: mpsc::Sender<CoreCommand>, folder: SharedFolder) -> Self {
-        ControlHandle { orders, folder, scribe: None }
+        ControlHandle { orders, folder, store_handle: None }
     }
 
     /// The same, which also writes down the operators' word for later starts.
-    pub fn writing(self, scribe: Option<Scribe>) -> Self {
-        ControlHandle { scribe, ..self }
+    pub fn writing(self, store_handle: Option<StoreHandle>) -> Self {
+        ControlHandle { store_handle, ..self }
     }
 
     /// Asks the core; none once it has ended.
@@ -116,13 +116,13 @@
         order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
     ) -> Result<(), String> {
         self.record(order).await?;
-        let Some(scribe) = &self.scribe else { return Ok(()) };
+        let Some(store_handle) = &self.store_handle else { return Ok(()) };
         let hands = self
             .request(CoreCommand::QuerySuspensions)
             .await
             .ok_or_else(|| "the process ends".to_string())?;
         let Some((name, hand)) = hands.get_key_value(member) else { return Ok(()) };
-        let written = scribe.word(name.clone(), *hand).await;
+        let written = store_handle.record_suspension(name.clone(), *hand).await;
         written.map_err(|e| format!("done, but not written down for later starts: {e}"))
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -205,15 +205,15 @@
         tokio::spawn(discovery.run(asked));
     }
 
-    let scribe = store.as_ref().map(|(scribe, ..)| scribe.clone());
-    let control = ControlHandle::new(orders, shared_folder.clone()).writing(scribe.clone());
+    let store_handle = store.as_ref().map(|(store_handle, ..)| store_handle.clone());
+    let control = ControlHandle::new(orders, shared_folder.clone()).writing(store_handle.clone());
     let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
-    if let Some((scribe, found, text)) = store {
+    if let Some((store_handle, found, text)) = store {
         recovery::recall(&file.store, found, &control, clock.now()).await;
         let (holds, settings) = watch::channel(Some(Held { at: clock.now(), text }));
         held = Some(holds);
         let (version, zones) = (version.clone(), zones.clone());
-        let gatherer = Gatherer { scribe, control: control.clone(), clock, settings, version, zones };
+        let gatherer = Gatherer { store_handle, control: control.clone(), clock, settings, version, zones };
         let gatherer = Arc::new(gatherer);
         last = Some(gatherer.clone());
         let every = file.store.every;
@@ -235,7 +235,7 @@
             control: control.clone(),
             core: mailbox.clone(),
             settings_updates: rules,
-            store: scribe,
+            store: store_handle,
             list_version: version.clone(),
             zones: zones.clone(),
             own_settings: proposed,
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -12,8 +12,8 @@
 use crate::net::discovery;
 use crate::operators::{self, Broken, Fsync};
 use crate::reload::own_settings;
-use crate::store::actor::Scribe;
-use crate::store::disk::Folder;
+use crate::store::actor::StoreHandle;
+use crate::store::disk::DiskFolder;
 use crate::store::state::{Recovered, Store};
 use crate::store::tell;
 use serde_json::Value;
@@ -32,7 +32,7 @@
     /// It is the stored one, as the file cannot be used.
     pub stored: bool,
     /// Where there is a store: that, what it had, and the configuration's text for it to keep.
-    pub store: Option<(Scribe, Recovered, Arc<str>)>,
+    pub store: Option<(StoreHandle, Recovered, Arc<str>)>,
     /// What the store had kept of what proxies agree on.
     pub memory: Option<RecoveredVotes>,
     /// The settings, as their JSON.
@@ -44,24 +44,27 @@
     config::lookup("BALANCER_NAME", "name").map_err(|e| format!("{e}: the store's folder cannot be found"))
 }
 
-fn open(file: &operators::Store) -> Result<(Scribe, Recovered, RecoveredVotes), String> {
+fn open(file: &operators::Store) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
     let place = crate::handover::place(&file.folder.to_string_lossy(), &name()?);
     let bad = |e: std::io::Error| format!("store {}: {e}", place.display());
-    let folder = Folder::take(&place, file.fsync == Fsync::Word).map_err(bad)?;
+    let folder = DiskFolder::lock(&place, file.fsync == Fsync::Word).map_err(bad)?;
     let folder = folder.ok_or_else(|| format!("store {}: another process has it", place.display()))?;
     let (store, found) = Store::open(folder, file.most).map_err(bad)?;
     tell(&found);
     let mut kept = Vec::new();
     for prefix in RecoveredVotes::NAME_PREFIXES {
-        kept.extend(store.kept(prefix).map_err(bad)?);
+        kept.extend(store.records_with_prefix(prefix).map_err(bad)?);
     }
-    let memory = RecoveredVotes { finding: found.finding, records: kept };
-    Ok((Scribe::start(store).map_err(bad)?, found, memory))
+    let memory = RecoveredVotes { finding: found.status, records: kept };
+    Ok((StoreHandle::start(store).map_err(bad)?, found, memory))
 }
 
 /// The store with the text that it is to keep; without one nobody keeps it.
-fn keeping(store: Option<(Scribe, Recovered)>, text: &[u8]) -> Option<(Scribe, Recovered, Arc<str>)> {
-    store.map(|(scribe, found)| (scribe, found, String::from_utf8_lossy(text).as_ref().into()))
+fn keeping(
+    store: Option<(StoreHandle, Recovered)>,
+    text: &[u8],
+) -> Option<(StoreHandle, Recovered, Arc<str>)> {
+    store.map(|(store_handle, found)| (store_handle, found, String::from_utf8_lossy(text).as_ref().into()))
 }
 
 /// What reading the configuration brought.
@@ -74,7 +77,7 @@
 /// With one plain message.
 pub fn start(file: &operators::Store, loaded: Loaded) -> Result<Start, String> {
     let store = if file.enabled { Some(open(file)?) } else { None };
-    let (store, memory) = store.map(|(scribe, found, memory)| ((scribe, found), memory)).unzip();
+    let (store, memory) = store.map(|(store_handle, found, memory)| ((store_handle, found), memory)).unzip();
     let fault = match loaded {
         Ok((told, sound, text)) => {
             let own = own_settings(&text);
@@ -83,8 +86,8 @@
         Err(fault) => fault,
     };
     let last = match &store {
-        Some((_, found)) if file.broken == Broken::TakeLast && found.finding.settings_hold() => {
-            found.all.settings.as_ref().map(|held| held.text.as_bytes().to_vec())
+        Some((_, found)) if file.broken == Broken::TakeLast && found.status.settings_hold() => {
+            found.knowledge.settings.as_ref().map(|held| held.text.as_bytes().to_vec())
         }
         _ => None,
     };
@@ -99,7 +102,7 @@
 /// The list to begin with: of the configuration's and the stored one the later. Either only says whom to ask.
 pub fn list<'a>(configured: &'a Value, found: Option<&Recovered>) -> Cow<'a, Value> {
     let version = |list: &Value| list.get("generation").and_then(Value::as_u64);
-    let stored = found.and_then(|f| serde_json::from_str::<Value>(&f.all.list.as_ref()?.text).ok());
+    let stored = found.and_then(|f| serde_json::from_str::<Value>(&f.knowledge.list.as_ref()?.text).ok());
     match stored {
         Some(stored) if version(&stored) > version(configured) => {
             count(Count::store_list_taken);
@@ -111,7 +114,7 @@
 
 /// Hands the core what was stored, before the first client comes.
 pub async fn recall(file: &operators::Store, found: Recovered, control: &ControlHandle, now: Time) {
-    let waits = found.finding.may_lack_words() && !file.confirm.is_zero();
+    let waits = found.status.may_lack_words() && !file.confirm.is_zero();
     let until = if waits { now + file.confirm.as_micros() as Time } else { 0 };
     if waits {
         log::warn!(
@@ -119,13 +122,13 @@
             file.confirm
         );
     }
-    control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.all), until, reply)).await;
+    control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.knowledge), until, reply)).await;
 }
 
 /// Gathers what is known, from where it is known.
 pub struct Gatherer {
     /// The way to the disk.
-    pub scribe: Scribe,
+    pub store_handle: StoreHandle,
     /// The way to the core.
     pub control: ControlHandle,
     /// The clock.
@@ -161,7 +164,7 @@
         });
         let settings = self.settings.borrow().clone();
         let all = Box::new(Knowledge { known, hands, settings, list });
-        if self.scribe.snapshot(all, now).await.is_ok() {
+        if self.store_handle.snapshot(all, now).await.is_ok() {
             count(Count::store_snapshots);
         }
         Some(())
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -1,7 +1,7 @@
 //! Writes down what is known: the operators' word when it is said, all else at a bounded rate. A thread of its own waits
 //! for the disk, so that no request ever does; its mailbox is bounded, and a word that finds no room is refused.
 
-use super::disk::Folder;
+use super::disk::DiskFolder;
 use super::state::Store;
 use crate::core::counters::{count, Count};
 use crate::effective_list::Suspension;
@@ -14,21 +14,21 @@
 const JOBS: usize = 32;
 
 enum Job {
-    Word(Arc<str>, Suspension, oneshot::Sender<Result<(), String>>),
+    Suspend(Arc<str>, Suspension, oneshot::Sender<Result<(), String>>),
     Snapshot(Box<Knowledge>, Time, oneshot::Sender<Result<(), String>>),
-    Keep(String, Vec<u8>, oneshot::Sender<Result<(), String>>),
+    PutRecord(String, Vec<u8>, oneshot::Sender<Result<(), String>>),
 }
 
 /// The way to the store. Copies lead to the same one.
 #[derive(Clone)]
-pub struct Scribe(mpsc::Sender<Job>);
+pub struct StoreHandle(mpsc::Sender<Job>);
 
-impl Scribe {
+impl StoreHandle {
     /// Hands a store to a thread of its own, which ends with the last copy of this.
     ///
     /// # Errors
     /// When there is no thread to be had.
-    pub fn start(mut store: Store<Folder>) -> std::io::Result<Self> {
+    pub fn start(mut store: Store<DiskFolder>) -> std::io::Result<Self> {
         let (jobs, mut mailbox) = mpsc::channel(JOBS);
         std::thread::Builder::new().name("store".into()).spawn(move || {
             let told = |done: &std::io::Result<()>| {
@@ -40,15 +40,15 @@
             told(&store.begin());
             while let Some(job) = mailbox.blocking_recv() {
                 let (done, reply) = match job {
-                    Job::Word(name, hand, reply) => (store.word(&name, &hand), reply),
+                    Job::Suspend(name, hand, reply) => (store.append_suspension(&name, &hand), reply),
                     Job::Snapshot(all, at, reply) => (store.snapshot(&all, at), reply),
-                    Job::Keep(name, bytes, reply) => (store.keep(&name, &bytes), reply),
+                    Job::PutRecord(name, bytes, reply) => (store.put_record(&name, &bytes), reply),
                 };
                 told(&done);
                 let _ = reply.send(done.map_err(|e| e.to_string()));
             }
         })?;
-        Ok(Scribe(jobs))
+        Ok(StoreHandle(jobs))
     }
 
     async fn ask(&self, job: impl FnOnce(oneshot::Sender<Result<(), String>>) -> Job) -> Result<(), String> {
@@ -69,15 +69,15 @@
     ///
     /// # Errors
     /// Why it cannot be proved to be written.
-    pub async fn keep(&self, name: String, bytes: Vec<u8>) -> Result<(), String> {
-        self.ask(|reply| Job::Keep(name, bytes, reply)).await
+    pub async fn put_record(&self, name: String, bytes: Vec<u8>) -> Result<(), String> {
+        self.ask(|reply| Job::PutRecord(name, bytes, reply)).await
     }
 
     /// Writes down what the operators said of a member; only then it may have its yes.
     ///
     /// # Errors
     /// Why it cannot be proved to be written.
-    pub async fn word(&self, name: Arc<str>, hand: Suspension) -> Result<(), String> {
-        self.ask(|reply| Job::Word(name, hand, reply)).await
+    pub async fn record_suspension(&self, name: Arc<str>, hand: Suspension) -> Result<(), String> {
+        self.ask(|reply| Job::Suspend(name, hand, reply)).await
     }
 }
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -172,21 +172,21 @@
 /// A life of the store: words, a snapshot, more words, a snapshot. What had its yes, and how far it came.
 fn live(disk: Memory) -> (Memory, Suspensions, Option<u64>, Option<u64>) {
     let disk: Shared = Rc::new(RefCell::new(disk));
-    let (mut yes, mut boot, mut snapshot) = (Suspensions::new(), None, None);
+    let (mut yes, mut start_number, mut snapshot) = (Suspensions::new(), None, None);
     if let Ok((mut store, found)) = Store::open(disk.clone(), MOST) {
         // A start that has not got so far has written nothing.
-        boot = store.begin().is_ok().then_some(found.boot);
-        let mut all = found.all;
+        start_number = store.begin().is_ok().then_some(found.start_number);
+        let mut all = found.knowledge;
         for n in 1..=6u64 {
-            let (name, hand) = (format!("m{}", n % 4), out(found.boot * 100 + n));
+            let (name, hand) = (format!("m{}", n % 4), out(found.start_number * 100 + n));
             all.hands.insert(name.as_str().into(), hand);
-            if store.word(&name, &hand).is_ok() {
+            if store.append_suspension(&name, &hand).is_ok() {
                 yes.insert(name.as_str().into(), hand);
             }
             if n % 3 == 0 {
-                all.settings = Some(Held { at: found.boot * 100 + n, text: "{}".into() });
-                if store.snapshot(&all, found.boot * 100 + n).is_ok() {
-                    snapshot = Some(found.boot * 100 + n);
+                all.settings = Some(Held { at: found.start_number * 100 + n, text: "{}".into() });
+                if store.snapshot(&all, found.start_number * 100 + n).is_ok() {
+                    snapshot = Some(found.start_number * 100 + n);
                     // A snapshot holds every word, also one that had no yes.
                     yes = all.hands.clone();
                 }
@@ -194,7 +194,7 @@
         }
     }
     let disk = disk.borrow().clone();
-    (disk, yes, boot, snapshot)
+    (disk, yes, start_number, snapshot)
 }
 
 #[test]
@@ -206,26 +206,33 @@
         let next = live(Memory { steps: 0, ..start.clone() }).0;
         let steps = next.steps;
         for left in 0..=steps {
-            let (disk, yes, boot, snapshot) = live(Memory { left: Some(left), ..start.clone() });
+            let (disk, yes, start_number, snapshot) = live(Memory { left: Some(left), ..start.clone() });
             for keep in 0..=6 {
                 stops += 1;
                 let (_, back) = Store::open(disk.after(keep), MOST).expect("a disk that works again");
                 for (name, hand) in &yes {
                     let known =
-                        back.all.hands.get(name).unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
+                        back.knowledge.hands.get(name).unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
                     assert!(
                         known.suspended_at >= hand.suspended_at,
                         "{left} {keep}: {name} {known:?} {hand:?}"
                     );
                 }
-                assert!(boot.is_none_or(|b| back.boot > b), "{left} {keep}");
-                assert!(snapshot.is_none_or(|at| back.at >= at), "{left} {keep}: {} {snapshot:?}", back.at);
+                assert!(start_number.is_none_or(|b| back.start_number > b), "{left} {keep}");
                 assert!(
-                    matches!(back.finding, Finding::Sound | Finding::Fresh | Finding::Lost),
+                    snapshot.is_none_or(|at| back.written_at >= at),
+                    "{left} {keep}: {} {snapshot:?}",
+                    back.written_at
+                );
+                assert!(
+                    matches!(
+                        back.status,
+                        RecoveryStatus::Sound | RecoveryStatus::Fresh | RecoveryStatus::Lost
+                    ),
                     "{left} {keep}: a stop leaves nothing damaged, found {:?}",
-                    back.finding
+                    back.status
                 );
-                *found.entry(format!("{:?}", back.finding)).or_insert(0) += 1;
+                *found.entry(format!("{:?}", back.status)).or_insert(0) += 1;
             }
         }
         start = next.after(6);
@@ -240,15 +247,15 @@
         store.disk().fails = Some(fails);
         let mut refused = 0;
         for n in 0..5 {
-            refused += u64::from(store.word("m1", &out(n)).is_err());
+            refused += u64::from(store.append_suspension("m1", &out(n)).is_err());
         }
         assert_eq!(refused, 7 - fails, "from the one that failed on");
-        let mut all = found.all;
+        let mut all = found.knowledge;
         all.hands.insert("m1".into(), out(9));
         store.snapshot(&all, 9).expect("a snapshot");
-        store.word("m1", &out(10)).expect("a new log");
+        store.append_suspension("m1", &out(10)).expect("a new log");
         let (_, back) = Store::open(store.disk().after(0), MOST).expect("it opens");
-        assert_eq!(back.all.hands["m1"], out(10));
+        assert_eq!(back.knowledge.hands["m1"], out(10));
     }
 }
 
@@ -262,58 +269,58 @@
         change(&mut changed);
         find(&changed)
     };
-    assert_eq!(find(&disk).finding, Finding::Sound);
-    assert_eq!(find(&Memory::default()).finding, Finding::Fresh);
+    assert_eq!(find(&disk).status, RecoveryStatus::Sound);
+    assert_eq!(find(&Memory::default()).status, RecoveryStatus::Fresh);
     let lost = with(&|d| d.files.clear());
-    assert_eq!((lost.finding, lost.boot), (Finding::Lost, 2));
+    assert_eq!((lost.status, lost.start_number), (RecoveryStatus::Lost, 2));
     let bytes = |d: &mut Memory, f: &dyn Fn(&mut Vec<u8>)| {
         f(&mut d.files.get_mut(SNAPSHOT).expect("it is there").now)
     };
-    assert_eq!(with(&|d| bytes(d, &|b| b.truncate(b.len() / 2))).finding, Finding::Torn);
+    assert_eq!(with(&|d| bytes(d, &|b| b.truncate(b.len() / 2))).status, RecoveryStatus::Torn);
     let flipped = with(&|d| {
         bytes(d, &|b| {
             let middle = b.len() / 2;
             b[middle] ^= 1;
         })
     });
-    assert_eq!(flipped.finding, Finding::Torn);
-    assert_eq!(with(&|d| bytes(d, &|b| *b = b"hello\n".to_vec())).finding, Finding::Foreign);
+    assert_eq!(flipped.status, RecoveryStatus::Torn);
+    assert_eq!(with(&|d| bytes(d, &|b| *b = b"hello\n".to_vec())).status, RecoveryStatus::Foreign);
     let newer = with(&|d| {
         bytes(d, &|b| *b = String::from_utf8(b.clone()).expect("text").replacen(" 1 ", " 9 ", 1).into())
     });
-    assert_eq!(newer.finding, Finding::Newer);
+    assert_eq!(newer.status, RecoveryStatus::Newer);
     // The folder comes back from a copy, and what lies beside it does not.
     let mut back = disk.after(6);
     back.witness = Some(7);
     let rolled = find(&back);
-    assert_eq!((rolled.finding, rolled.boot), (Finding::RolledBack, 8));
-    assert!(rolled.finding.may_lack_words() && !rolled.finding.settings_hold());
+    assert_eq!((rolled.status, rolled.start_number), (RecoveryStatus::RolledBack, 8));
+    assert!(rolled.status.may_lack_words() && !rolled.status.settings_hold());
 }
 
 #[test]
 fn a_log_that_is_damaged_within_gives_what_stands_before_it_and_says_so() {
     let (mut store, _) = Store::open(Memory::default(), MOST).expect("it opens");
-    store.word("m1", &out(1)).expect("room");
-    store.word("m2", &out(2)).expect("room");
+    store.append_suspension("m1", &out(1)).expect("room");
+    store.append_suspension("m2", &out(2)).expect("room");
     let mut disk = store.disk().after(6);
     let log = disk.files.iter_mut().find(|(n, _)| n.starts_with(LOG)).expect("a log").1;
     let last = log.now.len() - 2;
     log.now[last] ^= 4;
     let (_, back) = Store::open(disk, MOST).expect("it opens");
-    assert_eq!(back.finding, Finding::Torn);
-    assert!(back.all.hands.contains_key("m1") && !back.all.hands.contains_key("m2"));
+    assert_eq!(back.status, RecoveryStatus::Torn);
+    assert!(back.knowledge.hands.contains_key("m1") && !back.knowledge.hands.contains_key("m2"));
 }
 
 #[test]
 fn more_than_may_be_written_is_refused_and_leaves_what_was() {
     let (mut store, found) = Store::open(Memory::default(), 300).expect("it opens");
-    store.snapshot(&found.all, 1).expect("little");
-    let mut all = found.all;
+    store.snapshot(&found.knowledge, 1).expect("little");
+    let mut all = found.knowledge;
     all.settings = Some(Held { at: 1, text: "x".repeat(400).into() });
     assert!(store.snapshot(&all, 2).is_err());
-    let words = (0..99).take_while(|n| store.word("m1", &out(*n)).is_ok()).count();
+    let words = (0..99).take_while(|n| store.append_suspension("m1", &out(*n)).is_ok()).count();
     assert!((1..99).contains(&words), "{words}");
     let (_, back) = Store::open(store.disk().after(6), 300).expect("it opens");
-    assert_eq!((back.finding, back.at), (Finding::Sound, 1));
-    assert_eq!(back.all.hands["m1"].suspended_at, words as u64 - 1);
+    assert_eq!((back.status, back.written_at), (RecoveryStatus::Sound, 1));
+    assert_eq!(back.knowledge.hands["m1"].suspended_at, words as u64 - 1);
 }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -58,7 +58,7 @@
 
 /// A folder on the machine's disk. Its lock is free again when this is dropped, or its process ends in any way.
 #[derive(Debug)]
-pub struct Folder {
+pub struct DiskFolder {
     path: PathBuf,
     witness: PathBuf,
     /// Whether anything is forced.
@@ -66,12 +66,12 @@
     _lock: File,
 }
 
-impl Folder {
+impl DiskFolder {
     /// Takes the folder, which is made where it is not there; none while another process has it.
     ///
     /// # Errors
     /// When it cannot be used.
-    pub fn take(path: &Path, forces: bool) -> io::Result<Option<Self>> {
+    pub fn lock(path: &Path, forces: bool) -> io::Result<Option<Self>> {
         let parent = path.parent().ok_or_else(|| io::Error::other("a folder within another"))?;
         let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default().to_string();
         fs::create_dir_all(parent)?;
@@ -88,7 +88,7 @@
         }
         fs::create_dir_all(path)?;
         let witness = parent.join(format!("{name}.boot"));
-        Ok(Some(Folder { path: path.to_path_buf(), witness, forces, _lock: lock }))
+        Ok(Some(DiskFolder { path: path.to_path_buf(), witness, forces, _lock: lock }))
     }
 
     fn read_file(path: &Path) -> io::Result<Option<Vec<u8>>> {
@@ -108,7 +108,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for DiskFolder {
     fn names(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -9,28 +9,30 @@
 pub mod state;
 
 use crate::core::counters::{count, Count};
-use state::{Finding, Recovered};
+use state::{Recovered, RecoveryStatus};
 
 /// Tells the log and the counters what a start has found.
 pub fn tell(found: &Recovered) {
-    let Recovered { all, finding, boot, at } = found;
-    let (what, counter) = match finding {
-        Finding::Sound => ("all that was written is there", None),
-        Finding::Fresh => ("there is nothing yet", None),
-        Finding::Lost => ("what was written is LOST", Some(Count::store_lost)),
-        Finding::Torn => ("a part is torn or damaged; the rest is used", Some(Count::store_torn)),
-        Finding::Foreign => {
+    let Recovered { knowledge, status, start_number, written_at } = found;
+    let (what, counter) = match status {
+        RecoveryStatus::Sound => ("all that was written is there", None),
+        RecoveryStatus::Fresh => ("there is nothing yet", None),
+        RecoveryStatus::Lost => ("what was written is LOST", Some(Count::store_lost)),
+        RecoveryStatus::Torn => ("a part is torn or damaged; the rest is used", Some(Count::store_torn)),
+        RecoveryStatus::Foreign => {
             ("it is none of this program's; nothing of it is used", Some(Count::store_foreign))
         }
-        Finding::Newer => ("a later version has written it; nothing of it is used", Some(Count::store_newer)),
-        Finding::RolledBack => {
+        RecoveryStatus::Newer => {
+            ("a later version has written it; nothing of it is used", Some(Count::store_newer))
+        }
+        RecoveryStatus::RolledBack => {
             ("it is an OLDER COPY; its configuration is not used", Some(Count::store_rolled_back))
         }
     };
     let (members, out) =
-        (all.known.members.len(), all.hands.values().filter(|h| h.restored_at.is_none()).count());
+        (knowledge.known.members.len(), knowledge.hands.values().filter(|h| h.restored_at.is_none()).count());
     let line =
-        format!("store: start {boot}: {what}; {members} members known, {out} out by hand, written at {at}");
+        format!("store: start {start_number}: {what}; {members} members known, {out} out by hand, written at {written_at}");
     match counter {
         Some(counter) => {
             count(counter);
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -20,7 +20,7 @@
 
 /// What a start has found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
+pub enum RecoveryStatus {
     /// All that was written.
     Sound,
     /// Nothing, and nobody has seen an earlier start.
@@ -37,15 +37,15 @@
     RolledBack,
 }
 
-impl Finding {
+impl RecoveryStatus {
     /// Whether the operators may have said more than what was found.
     pub fn may_lack_words(self) -> bool {
-        self != Finding::Sound
+        self != RecoveryStatus::Sound
     }
 
     /// Whether the configuration found may be started from.
     pub fn settings_hold(self) -> bool {
-        matches!(self, Finding::Sound | Finding::Torn)
+        matches!(self, RecoveryStatus::Sound | RecoveryStatus::Torn)
     }
 }
 
@@ -53,19 +53,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Recovered {
     /// All that can be proved to have been written.
-    pub all: Knowledge,
+    pub knowledge: Knowledge,
     /// How that was found.
-    pub finding: Finding,
+    pub status: RecoveryStatus,
     /// The number of this start: higher than any before it.
-    pub boot: u64,
+    pub start_number: u64,
     /// When the snapshot was written; 0: there is none.
-    pub at: Time,
+    pub written_at: Time,
 }
 
 /// The store.
 pub struct Store<D> {
     disk: D,
-    boot: u64,
+    start_number: u64,
     /// The start's number is on the disk.
     begun: bool,
     /// Number of the log.
@@ -95,34 +95,34 @@
         logs.sort_unstable();
         let snapshot = disk.read(SNAPSHOT)?.map(|bytes| format::read_snapshot(&bytes));
         let empty = snapshot.is_none() && logs.is_empty() && counted.is_none();
-        let (mut all, at, written, mut finding) = match snapshot {
-            Some(Ok((all, at, written))) => (all, at, Some(written), Finding::Sound),
-            Some(Err(Unusable::Version(_))) => (Knowledge::default(), 0, None, Finding::Newer),
-            Some(Err(Unusable::Foreign)) => (Knowledge::default(), 0, None, Finding::Foreign),
-            Some(Err(_)) => (Knowledge::default(), 0, None, Finding::Torn),
-            None if empty && seen.is_none() => (Knowledge::default(), 0, None, Finding::Fresh),
-            None if empty => (Knowledge::default(), 0, None, Finding::Lost),
+        let (mut all, at, written, mut status) = match snapshot {
+            Some(Ok((all, at, written))) => (all, at, Some(written), RecoveryStatus::Sound),
+            Some(Err(Unusable::Version(_))) => (Knowledge::default(), 0, None, RecoveryStatus::Newer),
+            Some(Err(Unusable::Foreign)) => (Knowledge::default(), 0, None, RecoveryStatus::Foreign),
+            Some(Err(_)) => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
+            None if empty && seen.is_none() => (Knowledge::default(), 0, None, RecoveryStatus::Fresh),
+            None if empty => (Knowledge::default(), 0, None, RecoveryStatus::Lost),
             // A start that ended before its first snapshot.
-            None if logs.len() <= 1 => (Knowledge::default(), 0, None, Finding::Sound),
-            None => (Knowledge::default(), 0, None, Finding::Torn),
+            None if logs.len() <= 1 => (Knowledge::default(), 0, None, RecoveryStatus::Sound),
+            None => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
         };
         for number in &logs {
             let replay = record::replay(&disk.read(&log_name(*number))?.unwrap_or_default());
             merge_hands(&mut all.hands, &replay.hands);
             // A record that is cut off has never had its yes: nothing is missing.
-            if replay.end == End::Damaged && finding == Finding::Sound {
-                finding = Finding::Torn;
+            if replay.end == End::Damaged && status == RecoveryStatus::Sound {
+                status = RecoveryStatus::Torn;
             }
         }
         let known = counted.max(written).unwrap_or(0);
-        if seen.is_some_and(|seen| seen > known) && !matches!(finding, Finding::Lost) {
-            finding = Finding::RolledBack;
+        if seen.is_some_and(|seen| seen > known) && !matches!(status, RecoveryStatus::Lost) {
+            status = RecoveryStatus::RolledBack;
         }
-        let boot = known.max(seen.unwrap_or(0)) + 1;
+        let start_number = known.max(seen.unwrap_or(0)) + 1;
         // Behind all others, so that no word of this start is added to what another has left unfinished.
         let log = logs.last().copied().unwrap_or(0) + 1;
-        let store = Store { disk, boot, begun: false, log, broken: false, most, logged: 0 };
-        Ok((store, Recovered { all, finding, boot, at }))
+        let store = Store { disk, start_number, begun: false, log, broken: false, most, logged: 0 };
+        Ok((store, Recovered { knowledge: all, status, start_number, written_at: at }))
     }
 
     /// Puts the start's number on the disk, before anything else of this start: of two starts that have written anything
@@ -134,9 +134,9 @@
         if self.begun {
             return Ok(());
         }
-        self.disk.write(BOOT, format!("{}\n", self.boot).as_bytes())?;
+        self.disk.write(BOOT, format!("{}\n", self.start_number).as_bytes())?;
         self.disk.force(BOOT)?;
-        self.disk.note(self.boot)?;
+        self.disk.note(self.start_number)?;
         self.begun = true;
         Ok(())
     }
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// When it cannot be proved to be on the disk; nothing more is taken until a snapshot has been.
-    pub fn word(&mut self, name: &str, hand: &Suspension) -> io::Result<()> {
+    pub fn append_suspension(&mut self, name: &str, hand: &Suspension) -> io::Result<()> {
         self.begin()?;
         if self.broken {
             return Err(io::Error::other("the log broke, and no snapshot could be written since"));
@@ -167,7 +167,7 @@
     /// When it cannot be written; the former one stays.
     pub fn snapshot(&mut self, all: &Knowledge, at: Time) -> io::Result<()> {
         self.begin()?;
-        let bytes = format::write_snapshot(all, at, self.boot);
+        let bytes = format::write_snapshot(all, at, self.start_number);
         if bytes.len() as u64 > self.most {
             return Err(io::Error::other(format!(
                 "it takes {} bytes, {} are allowed",
@@ -188,7 +188,7 @@
     ///
     /// # Errors
     /// When it cannot be proved to be on the disk.
-    pub fn keep(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    pub fn put_record(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.begin()?;
         if bytes.is_empty() {
             return self.disk.remove(name);
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// When it cannot be read.
-    pub fn kept(&self, prefix: &str) -> io::Result<Vec<(String, Vec<u8>)>> {
+    pub fn records_with_prefix(&self, prefix: &str) -> io::Result<Vec<(String, Vec<u8>)>> {
         let mut all = Vec::new();
         for name in self.disk.names()? {
             if name.starts_with(prefix) && !name.ends_with(".new") {
