--- a/src/main.rs
+++ b/src/main.rs
@@ -34,8 +34,8 @@
 use linentrail::net::transient;
 use linentrail::operators::agreement::OnLapse;
 use linentrail::operators::{self, DnsSd, Odata};
-use linentrail::recovery::{self, Gatherer, Start};
-use linentrail::reload::{tell_classes, Reload};
+use linentrail::recovery::{self, SnapshotTask, StartupState};
+use linentrail::reload::{log_classes, Reload};
 use linentrail::shutdown::Shutdown;
 use linentrail::{config, console_client, fleet, logs, meter, odata, pg};
 use linentrail::{ListKind, Time};
@@ -158,13 +158,14 @@
         }
     }
     let store_file = file.store.clone();
-    let start = off_thread(file.store.enabled, move || recovery::start(&store_file, loaded));
-    let Start { told, sound, stored, store, memory: votes, own } = start.await?;
+    let start = off_thread(file.store.enabled, move || recovery::recover(&store_file, loaded));
+    let StartupState { config: told, checked: sound, from_store: stored, store, votes, own_settings: own } =
+        start.await?;
     let Sound { names, settings, times } = sound;
     let zones = names.zones.clone();
     let mut slots = ClassSlots::default();
     let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
-    tell_classes(&slots.current());
+    log_classes(&slots.current());
     let (memory, idle) = (told.memory >> 20, times.keepalive / 1000);
     log::info!(
         "limits: {} descriptors, {memory} MiB; members close what is idle for {idle} ms",
@@ -189,7 +190,7 @@
 
     let mut lists = ListReader::new(zones.clone());
     // Known before the first client comes, and perhaps old.
-    let known = lists.read(&recovery::list(&told.known, store.as_ref().map(|s| &s.1)), None);
+    let known = lists.read(&recovery::initial_list(&told.known, store.as_ref().map(|s| &s.1)), None);
     let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
@@ -209,15 +210,16 @@
     let control = ControlHandle::new(orders, shared_folder.clone()).writing(store_handle.clone());
     let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
     if let Some((store_handle, found, text)) = store {
-        recovery::recall(&file.store, found, &control, clock.now()).await;
+        recovery::restore_knowledge(&file.store, found, &control, clock.now()).await;
         let (holds, settings) = watch::channel(Some(Held { at: clock.now(), text }));
         held = Some(holds);
         let (version, zones) = (version.clone(), zones.clone());
-        let gatherer = Gatherer { store_handle, control: control.clone(), clock, settings, version, zones };
-        let gatherer = Arc::new(gatherer);
-        last = Some(gatherer.clone());
+        let snapshot_task =
+            SnapshotTask { store_handle, control: control.clone(), clock, settings, version, zones };
+        let snapshot_task = Arc::new(snapshot_task);
+        last = Some(snapshot_task.clone());
         let every = file.store.every;
-        tokio::spawn(async move { gatherer.run(every).await });
+        tokio::spawn(async move { snapshot_task.run(every).await });
     }
     let (mut agreed, mut fleet) = (None, None);
     if file.agreement.enabled {
@@ -248,15 +250,15 @@
         (agreed, fleet) = (Some((ruled, own)), Some(calls));
     }
     let reload = Reload {
-        running: told.clone(),
+        current: told.clone(),
         zone,
-        agreed,
+        fleet_settings: agreed,
         slots,
         class_table,
         discovery,
         control: control.clone(),
-        held,
-        stored: stored.clone(),
+        accepted_text: held,
+        config_from_store: stored.clone(),
         clock,
     };
     tokio::spawn(reload.run(hangup));
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -24,19 +24,19 @@
 use tokio::sync::watch;
 
 /// What a start has.
-pub struct Start {
+pub struct StartupState {
     /// The configuration that holds.
-    pub told: Config,
+    pub config: Config,
     /// The same, checked.
-    pub sound: Sound,
+    pub checked: Sound,
     /// It is the stored one, as the file cannot be used.
-    pub stored: bool,
+    pub from_store: bool,
     /// Where there is a store: that, what it had, and the configuration's text for it to keep.
     pub store: Option<(StoreHandle, Recovered, Arc<str>)>,
     /// What the store had kept of what proxies agree on.
-    pub memory: Option<RecoveredVotes>,
+    pub votes: Option<RecoveredVotes>,
     /// The settings, as their JSON.
-    pub own: Arc<str>,
+    pub own_settings: Arc<str>,
 }
 
 /// The name of the proxy, by which it finds its folder: it must be known even where the configuration cannot be read.
@@ -60,7 +60,7 @@
 }
 
 /// The store with the text that it is to keep; without one nobody keeps it.
-fn keeping(
+fn with_settings_text(
     store: Option<(StoreHandle, Recovered)>,
     text: &[u8],
 ) -> Option<(StoreHandle, Recovered, Arc<str>)> {
@@ -75,13 +75,20 @@
 ///
 /// # Errors
 /// With one plain message.
-pub fn start(file: &operators::Store, loaded: Loaded) -> Result<Start, String> {
+pub fn recover(file: &operators::Store, loaded: Loaded) -> Result<StartupState, String> {
     let store = if file.enabled { Some(open(file)?) } else { None };
-    let (store, memory) = store.map(|(store_handle, found, memory)| ((store_handle, found), memory)).unzip();
+    let (store, votes) = store.map(|(store_handle, found, votes)| ((store_handle, found), votes)).unzip();
     let fault = match loaded {
-        Ok((told, sound, text)) => {
-            let own = own_settings(&text);
-            return Ok(Start { told, sound, stored: false, store: keeping(store, &text), memory, own });
+        Ok((config, checked, text)) => {
+            let own_settings = own_settings(&text);
+            return Ok(StartupState {
+                config,
+                checked,
+                from_store: false,
+                store: with_settings_text(store, &text),
+                votes,
+                own_settings,
+            });
         }
         Err(fault) => fault,
     };
@@ -92,15 +99,23 @@
         _ => None,
     };
     let Some(text) = last else { return Err(fault) };
-    let (told, sound) = config::sound_text(&text).map_err(|e| format!("{fault}; the last that held: {e}"))?;
+    let (config, checked) =
+        config::sound_text(&text).map_err(|e| format!("{fault}; the last that held: {e}"))?;
     log::error!("the configuration cannot be used, and the last that held is taken: {fault}");
     count(Count::store_settings_taken);
-    let own = own_settings(&text);
-    Ok(Start { told, sound, stored: true, store: keeping(store, &text), memory, own })
+    let own_settings = own_settings(&text);
+    Ok(StartupState {
+        config,
+        checked,
+        from_store: true,
+        store: with_settings_text(store, &text),
+        votes,
+        own_settings,
+    })
 }
 
 /// The list to begin with: of the configuration's and the stored one the later. Either only says whom to ask.
-pub fn list<'a>(configured: &'a Value, found: Option<&Recovered>) -> Cow<'a, Value> {
+pub fn initial_list<'a>(configured: &'a Value, found: Option<&Recovered>) -> Cow<'a, Value> {
     let version = |list: &Value| list.get("generation").and_then(Value::as_u64);
     let stored = found.and_then(|f| serde_json::from_str::<Value>(&f.knowledge.list.as_ref()?.text).ok());
     match stored {
@@ -113,7 +128,12 @@
 }
 
 /// Hands the core what was stored, before the first client comes.
-pub async fn recall(file: &operators::Store, found: Recovered, control: &ControlHandle, now: Time) {
+pub async fn restore_knowledge(
+    file: &operators::Store,
+    found: Recovered,
+    control: &ControlHandle,
+    now: Time,
+) {
     let waits = found.status.may_lack_words() && !file.confirm.is_zero();
     let until = if waits { now + file.confirm.as_micros() as Time } else { 0 };
     if waits {
@@ -126,7 +146,7 @@
 }
 
 /// Gathers what is known, from where it is known.
-pub struct Gatherer {
+pub struct SnapshotTask {
     /// The way to the disk.
     pub store_handle: StoreHandle,
     /// The way to the core.
@@ -141,7 +161,7 @@
     pub zones: Vec<String>,
 }
 
-impl Gatherer {
+impl SnapshotTask {
     /// Writes all down at this rate, until the core has ended.
     pub async fn run(&self, every: Duration) {
         loop {
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -27,7 +27,7 @@
 /// What a reload changes, and who is told.
 pub struct Reload {
     /// The configuration that holds.
-    pub running: Config,
+    pub current: Config,
     /// The zone of this proxy.
     pub zone: u32,
     /// Its classes.
@@ -39,14 +39,14 @@
     /// The way to the core.
     pub control: ControlHandle,
     /// Where the text that holds is told to the store, if there is one.
-    pub held: Option<watch::Sender<Option<Held>>>,
+    pub accepted_text: Option<watch::Sender<Option<Held>>>,
     /// A stored configuration holds, as the file could not be read at the start.
-    pub stored: Arc<AtomicBool>,
+    pub config_from_store: Arc<AtomicBool>,
     /// The clock.
     pub clock: Clock,
     /// Where the settings are agreed on with other proxies: those in force, and where what this proxy's own file says is
     /// told. Its settings are then a proposal and no more.
-    pub agreed: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
+    pub fleet_settings: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
 }
 
 impl Reload {
@@ -55,7 +55,7 @@
     pub async fn run(mut self, mut hangup: Signal) {
         loop {
             let rules = async {
-                match &mut self.agreed {
+                match &mut self.fleet_settings {
                     Some((rules, _)) => rules.recv().await,
                     None => std::future::pending().await,
                 }
@@ -72,11 +72,11 @@
             }
             let (mut pause, mut until) = (READ_AGAIN, Instant::now() + READ_AGAIN_MOST);
             let fault = loop {
-                match config::load_again(&self.running) {
+                match config::load_again(&self.current) {
                     Ok((told, sound, text)) => {
                         self.take(told, sound, &text).await;
-                        self.stored.store(false, Ordering::Relaxed);
-                        if let Some(held) = &self.held {
+                        self.config_from_store.store(false, Ordering::Relaxed);
+                        if let Some(held) = &self.accepted_text {
                             let text = String::from_utf8_lossy(&text).as_ref().into();
                             held.send_replace(Some(Held { at: self.clock.now(), text }));
                         }
@@ -112,16 +112,16 @@
     /// What all proxies act on: with this one's own zone and random numbers.
     async fn rules(&mut self, shared: FleetSettings) {
         let FleetSettings { names, settings, times } = shared;
-        let (seed, zone) = (self.running.seed, self.zone);
+        let (seed, zone) = (self.current.seed, self.zone);
         self.hold(names, Settings { seed, zone, ..settings }, times).await;
         log::info!("settings that are agreed on hold from now on");
-        tell_classes(&self.slots.current());
+        log_classes(&self.slots.current());
     }
 
     async fn take(&mut self, told: Config, sound: Sound, text: &[u8]) {
         let Sound { names, settings, times } = sound;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
-        match &self.agreed {
+        match &self.fleet_settings {
             Some((_, own)) => {
                 own.send_replace(own_settings(text));
                 log::info!(
@@ -133,15 +133,15 @@
         // Also where it is the same: the list is then asked for anew.
         let _ = self.discovery.send(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
         count(Count::reloads);
-        let fixed = self.running.fixed(&told);
+        let fixed = self.current.fixed(&told);
         if !fixed.is_empty() {
             log::warn!("taken up only by a new start: {}", fixed.join(", "));
         }
         log::info!("the configuration was read again; discovery is asked at {} from now on", told.discovery);
-        if self.agreed.is_none() {
-            tell_classes(&self.slots.current());
+        if self.fleet_settings.is_none() {
+            log_classes(&self.slots.current());
         }
-        self.running = told;
+        self.current = told;
     }
 }
 
@@ -152,7 +152,7 @@
 }
 
 /// Tells the log what holds for new requests.
-pub fn tell_classes(class_table: &ClassTable) {
+pub fn log_classes(class_table: &ClassTable) {
     for (slot, class) in class_table.classes.iter().enumerate() {
         let name = class_table.class_name(slot);
         if class_table.class(name) == Some(slot) {
