--- a/benches/append.rs
+++ b/benches/append.rs
@@ -44,7 +44,7 @@
     let began = Instant::now();
     let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is taken")?;
     let (_, found) = Store::open(disk, 64 << 20)?;
-    println!("  opened again in {:?}, {} members in it", began.elapsed(), found.knowledge.hands.len());
+    println!("  opened again in {:?}, {} members in it", began.elapsed(), found.knowledge.suspensions.len());
     Ok(())
 }
 
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::effective_list::EffectiveList;
 use crate::interface::*;
-use crate::knowledge::evidence::Recalled;
+use crate::knowledge::evidence::StoredFacts;
 use crate::phases::Returning;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
@@ -78,7 +78,7 @@
     names: HashSet<Bytes>,
     pub(super) sessions: SessionLedger,
     /// What was stored of members, until a list tells what it may be used for.
-    pub(super) recalled: Recalled,
+    pub(super) recalled: StoredFacts,
     /// Sessions of clients that carry no mark may have written up to then, unknown to this process.
     pub(super) blind: Position,
     /// Until then the operators' word may be lacking.
@@ -122,7 +122,7 @@
             live: FxHashMap::default(),
             names: HashSet::new(),
             sessions: SessionLedger::new(SESSIONS),
-            recalled: Recalled::default(),
+            recalled: StoredFacts::default(),
             blind: 0,
             unconfirmed: 0,
             returning: Returning::new(clock.now()),
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::class_table::{ClassSlots, ClassTable};
-use crate::knowledge::{Knowledge, Known, MemberFacts};
+use crate::knowledge::{Knowledge, LearnedFacts, MemberFacts};
 use crate::net::member_state::SharedMemberState;
 use std::net::SocketAddr;
 
@@ -68,7 +68,10 @@
         let mut actor = actor(vec![listed(1, None), listed(2, None)]);
         let now = actor.clock.now();
         let facts = |position| MemberFacts { position, primary: Some(false), ..MemberFacts::default() };
-        let told = |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
+        let told = |position| LearnedFacts {
+            members: [("m1".into(), facts(position))].into(),
+            ..LearnedFacts::default()
+        };
         let first = actor.learn(&told(now - 5_000));
         assert!(matches!(&first[..], [Event::Probed { member: MemberId(1), ok: true, .. }]), "{first:?}");
         actor.step(now, &first);
@@ -77,14 +80,15 @@
         assert_eq!(actor.learn(&told(now - 6_000)), []);
         assert_eq!(actor.learn(&told(now - 1_000)).len(), 1);
         // Nobody here has heard of the third.
-        let stranger = Known { members: [("m3".into(), facts(now))].into(), ..Known::default() };
+        let stranger =
+            LearnedFacts { members: [("m3".into(), facts(now))].into(), ..LearnedFacts::default() };
         assert_eq!(actor.learn(&stranger), []);
     });
 }
 
 fn recalled(members: &[(&str, MemberFacts)]) -> Knowledge {
     let members = members.iter().map(|(name, facts)| ((*name).into(), facts.clone())).collect();
-    Knowledge { known: Known { members, ..Known::default() }, ..Knowledge::default() }
+    Knowledge { learned: LearnedFacts { members, ..LearnedFacts::default() }, ..Knowledge::default() }
 }
 
 #[test]
@@ -121,12 +125,15 @@
         let mut actor = actor(vec![]);
         let now = actor.clock.now();
         let began = Some(now - 1_000_000);
-        actor.recall(recalled(&[("m1", MemberFacts { cold_from: began, ..MemberFacts::default() })]));
+        actor.recall(recalled(&[("m1", MemberFacts { warm_up_start: began, ..MemberFacts::default() })]));
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
             let event = actor.take(Input::List(kind, vec![listed(1, None)]), now).expect("an event");
             actor.step(now, &[event]);
-            let cold =
-                actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
+            let cold = actor
+                .router
+                .learned_members()
+                .find(|m| m.id == MemberId(1))
+                .and_then(|m| m.facts.warm_up_start);
             assert_eq!(cold, began, "{kind:?}");
         }
     });
@@ -137,7 +144,7 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = recalled(&[]);
-        all.hands
+        all.suspensions
             .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.recall(all);
         let now = actor.clock.now();
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -5,7 +5,7 @@
 use super::counters::{count, Count};
 use super::{ListedMember, Members};
 use crate::interface::*;
-use crate::knowledge::Known;
+use crate::knowledge::LearnedFacts;
 
 impl<M: Members> Actor<M> {
     /// What an answer that came now says of its member; `spent` is the time since it was asked for.
@@ -62,15 +62,15 @@
 }
 
 /// What was learned, with each time of it changed.
-pub(super) fn with_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
+pub(super) fn with_times(mut known: LearnedFacts, change: impl Fn(Time) -> Time) -> LearnedFacts {
     // 0 stands for none.
     let change = |time: Time| if time == 0 { 0 } else { change(time) };
     for facts in known.members.values_mut() {
         facts.start = facts.start.map(change);
         facts.position = change(facts.position);
-        facts.heard = change(facts.heard);
+        facts.last_heard = change(facts.last_heard);
         facts.role_at = change(facts.role_at);
-        facts.cold_from = facts.cold_from.map(change);
+        facts.warm_up_start = facts.warm_up_start.map(change);
     }
     known.sessions.values_mut().for_each(|at| *at = change(*at));
     known.floor = change(known.floor);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,7 +19,7 @@
 pub use crate::effective_list::ListedMember;
 use crate::effective_list::{SuspensionError, Suspensions};
 use crate::interface::*;
-use crate::knowledge::{Knowledge, Known};
+use crate::knowledge::{Knowledge, LearnedFacts};
 use crate::phases::Progress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
@@ -285,11 +285,11 @@
     /// That, as it was said to any process of this proxy.
     ReplaceSuspensions(Suspensions, oneshot::Sender<()>),
     /// What was learned so far.
-    ExportLearned(oneshot::Sender<Known>),
+    ExportLearned(oneshot::Sender<LearnedFacts>),
     /// Another process of this proxy lives beside this one, or no longer does.
     SetPeer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
     /// What another process of this proxy has learned.
-    ImportLearned(Known, oneshot::Sender<()>),
+    ImportLearned(LearnedFacts, oneshot::Sender<()>),
     /// The rules in force hold until then; nothing is sent after that unless told so again.
     ExtendLease(Time),
     /// These members are out for the whole fleet.
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -6,8 +6,8 @@
 use super::member_times::with_times;
 use super::{CoreCommand, ListedMember, Members, PeerCommits, Readiness};
 use crate::interface::*;
-use crate::knowledge::evidence::{Listed as Life, Recalled, Usable};
-use crate::knowledge::{merge_hands, Knowledge, Known};
+use crate::knowledge::evidence::{ListedStart as Life, StoredFacts, UsableFacts};
+use crate::knowledge::{merge_suspensions, Knowledge, LearnedFacts};
 use crate::phases::News;
 use crate::policy::REPORT_ROUNDING;
 use rustc_hash::FxHashMap;
@@ -160,20 +160,21 @@
     }
 
     /// What was learned so far, for another process of this proxy.
-    fn export(&self, now: Time) -> Known {
+    fn export(&self, now: Time) -> LearnedFacts {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.overlay.listed().map(|e| (e.member.id, &e.name)).collect();
         let members =
             self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(RECENT));
-        let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
+        let known =
+            LearnedFacts { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
         with_times(known, |local| self.member_clock.to_member(local))
     }
 
     /// What another process has learned, as the events that would have told it here: a start that discovery does not
     /// know of, and a report on position and role. Only what is news here: what is not says nothing of a member that is
     /// in doubt here.
-    pub(super) fn learn(&mut self, known: &Known) -> Vec<Event> {
+    pub(super) fn learn(&mut self, known: &LearnedFacts) -> Vec<Event> {
         self.sessions.merge(known.sessions.iter(), known.floor);
         let mut events = Vec::new();
         for (name, m) in &known.members {
@@ -188,8 +189,8 @@
     }
 
     /// Warm-ups that discovery may not know of: none is warmer than its latest start allows.
-    fn warms(&mut self, known: &Known) -> Vec<Event> {
-        let begun = known.members.iter().filter_map(|(name, m)| Some((name, m.cold_from?)));
+    fn warms(&mut self, known: &LearnedFacts) -> Vec<Event> {
+        let begun = known.members.iter().filter_map(|(name, m)| Some((name, m.warm_up_start?)));
         let told = begun.filter_map(|(name, at)| self.overlay.warms(name, at)).collect();
         self.operator(told)
     }
@@ -198,14 +199,15 @@
     /// for a list that tells whether the member still lives it.
     pub(super) fn recall(&mut self, all: Knowledge) -> Vec<Event> {
         self.blind = self.clock.now();
-        let all = Knowledge { known: with_times(all.known, |told| self.member_clock.to_local(told)), ..all };
-        self.sessions.merge(all.known.sessions.iter(), all.known.floor);
+        let all =
+            Knowledge { learned: with_times(all.learned, |told| self.member_clock.to_local(told)), ..all };
+        self.sessions.merge(all.learned.sessions.iter(), all.learned.floor);
         let mut hands = self.overlay.hands().clone();
-        merge_hands(&mut hands, &all.hands);
+        merge_suspensions(&mut hands, &all.suspensions);
         let told = self.overlay.adopt(hands);
         let mut events = self.operator(told);
-        events.append(&mut self.warms(&all.known));
-        self.recalled = Recalled::new(all.known);
+        events.append(&mut self.warms(&all.learned));
+        self.recalled = StoredFacts::new(all.learned);
         events
     }
 
@@ -214,9 +216,9 @@
     pub(super) fn confirm(&mut self, own: bool) {
         let Actor { recalled, overlay, .. } = self;
         let life = |name: &str| overlay.again(name).map_or(Life::Absent, |e| Life::Named(e.member.up_since));
-        let Usable { bounds, primaries } = match own {
+        let UsableFacts { bounds, primaries } = match own {
             true => recalled.confirm(life),
-            false => Usable { primaries: recalled.hints(life), ..Usable::default() },
+            false => UsableFacts { primaries: recalled.hints(life), ..UsableFacts::default() },
         };
         let bounds =
             bounds.into_iter().filter_map(|(name, at)| Some((self.overlay.again(&name)?.member.id, at)));
--- a/src/knowledge/evidence.rs
+++ b/src/knowledge/evidence.rs
@@ -3,7 +3,7 @@
 //! The levels are ordered: whoever may use a fact as a proof may use it as a bound, and so on. A decision asks for the
 //! least level that it needs and gets a yes or a no.
 
-use super::{Known, MemberFacts};
+use super::{LearnedFacts, MemberFacts};
 use crate::interface::{Position, Time};
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
 
 /// What a list that this process has heard says of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedStart {
     /// No list has been heard yet.
     Unheard,
     /// It does not name the member.
@@ -44,17 +44,17 @@
 
 /// Whether the member lives the same life as when the fact was learned. Only a start that both name proves it: one that
 /// has been replaced under its address may be listed without.
-fn same_life(facts: &MemberFacts, listed: Listed) -> bool {
-    matches!(listed, Listed::Named(Some(start)) if facts.start == Some(start))
+fn same_life(facts: &MemberFacts, listed: ListedStart) -> bool {
+    matches!(listed, ListedStart::Named(Some(start)) if facts.start == Some(start))
 }
 
 /// Whether it surely lives another life.
-fn other_life(facts: &MemberFacts, listed: Listed) -> bool {
-    matches!(listed, Listed::Named(start) if start != facts.start) || listed == Listed::Absent
+fn other_life(facts: &MemberFacts, listed: ListedStart) -> bool {
+    matches!(listed, ListedStart::Named(start) if start != facts.start) || listed == ListedStart::Absent
 }
 
 /// A position: a lower bound for as long as the member's life is the same.
-pub fn position(facts: &MemberFacts, source: Source, listed: Listed) -> Use {
+pub fn position(facts: &MemberFacts, source: Source, listed: ListedStart) -> Use {
     match source {
         Source::Own => Use::Proof,
         Source::PeerProcess => Use::Bound,
@@ -64,7 +64,7 @@
 }
 
 /// A role: after a start only whom a write tries first, as roles change without a new start.
-pub fn role(facts: &MemberFacts, source: Source, listed: Listed) -> Use {
+pub fn role(facts: &MemberFacts, source: Source, listed: ListedStart) -> Use {
     match (source, facts.primary) {
         (_, None) => Use::Nothing,
         (Source::Own, _) => Use::Proof,
@@ -76,7 +76,7 @@
 
 /// When a member began to warm up: it cannot be warmer than that allows, whoever tells it.
 pub fn cold(facts: &MemberFacts, now: Time, warm_after: Time) -> Use {
-    match facts.cold_from {
+    match facts.warm_up_start {
         Some(from) if now < from.saturating_add(warm_after) => Use::Bound,
         _ => Use::Nothing,
     }
@@ -84,21 +84,21 @@
 
 /// What was stored of members, until a list of this process's own tells what it may be used for.
 #[derive(Debug, Default)]
-pub struct Recalled(Known);
+pub struct StoredFacts(LearnedFacts);
 
 /// What of the stored may be acted on, once a list was heard.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Usable {
+pub struct UsableFacts {
     /// Positions that are lower bounds.
     pub bounds: Vec<(Arc<str>, Position)>,
     /// Members that a write may try first.
     pub primaries: Vec<Arc<str>>,
 }
 
-impl Recalled {
+impl StoredFacts {
     /// Holds what was stored.
-    pub fn new(known: Known) -> Self {
-        Recalled(known)
+    pub fn new(known: LearnedFacts) -> Self {
+        StoredFacts(known)
     }
 
     /// Whether there is anything to tell yet.
@@ -107,7 +107,7 @@
     }
 
     /// A list that may be as old as what was stored names members: whom of them a write may try first.
-    pub fn hints(&self, listed: impl Fn(&str) -> Listed) -> Vec<Arc<str>> {
+    pub fn hints(&self, listed: impl Fn(&str) -> ListedStart) -> Vec<Arc<str>> {
         let hint = |facts: &MemberFacts, life| {
             facts.primary == Some(true) && role(facts, Source::Stored, life) >= Use::Hint
         };
@@ -116,8 +116,8 @@
     }
 
     /// A list was heard: what may be acted on. All else is forgotten, as no later list can make it truer.
-    pub fn confirm(&mut self, listed: impl Fn(&str) -> Listed) -> Usable {
-        let mut usable = Usable { primaries: self.hints(&listed), ..Usable::default() };
+    pub fn confirm(&mut self, listed: impl Fn(&str) -> ListedStart) -> UsableFacts {
+        let mut usable = UsableFacts { primaries: self.hints(&listed), ..UsableFacts::default() };
         for (name, facts) in std::mem::take(&mut self.0.members) {
             let life = listed(&name);
             if position(&facts, Source::Stored, life) >= Use::Bound {
@@ -139,42 +139,42 @@
     #[test]
     fn a_stored_position_is_a_bound_only_while_the_start_is_proved_the_same() {
         let of = |start, listed| position(&facts(start), Source::Stored, listed);
-        assert_eq!(of(Some(5), Listed::Named(Some(5))), Use::Bound);
+        assert_eq!(of(Some(5), ListedStart::Named(Some(5))), Use::Bound);
         for (start, listed) in [
-            (Some(5), Listed::Unheard),
-            (Some(5), Listed::Absent),
-            (Some(5), Listed::Named(Some(6))),
-            (Some(5), Listed::Named(None)),
-            (None, Listed::Named(None)),
-            (None, Listed::Named(Some(5))),
+            (Some(5), ListedStart::Unheard),
+            (Some(5), ListedStart::Absent),
+            (Some(5), ListedStart::Named(Some(6))),
+            (Some(5), ListedStart::Named(None)),
+            (None, ListedStart::Named(None)),
+            (None, ListedStart::Named(Some(5))),
         ] {
             assert_eq!(of(start, listed), Use::Nothing, "{start:?} {listed:?}");
         }
-        assert_eq!(position(&facts(None), Source::Own, Listed::Unheard), Use::Proof);
-        assert_eq!(position(&facts(None), Source::PeerProcess, Listed::Unheard), Use::Bound);
+        assert_eq!(position(&facts(None), Source::Own, ListedStart::Unheard), Use::Proof);
+        assert_eq!(position(&facts(None), Source::PeerProcess, ListedStart::Unheard), Use::Bound);
     }
 
     #[test]
     fn a_stored_role_is_never_more_than_a_hint() {
         for start in [None, Some(5)] {
             for listed in [
-                Listed::Unheard,
-                Listed::Absent,
-                Listed::Named(None),
-                Listed::Named(Some(5)),
-                Listed::Named(Some(6)),
+                ListedStart::Unheard,
+                ListedStart::Absent,
+                ListedStart::Named(None),
+                ListedStart::Named(Some(5)),
+                ListedStart::Named(Some(6)),
             ] {
                 assert!(role(&facts(start), Source::Stored, listed) <= Use::Hint);
             }
         }
-        assert_eq!(role(&facts(Some(5)), Source::Stored, Listed::Named(Some(5))), Use::Hint);
-        assert_eq!(role(&facts(Some(5)), Source::Stored, Listed::Named(Some(6))), Use::Nothing);
-        assert_eq!(role(&MemberFacts::default(), Source::Own, Listed::Unheard), Use::Nothing);
+        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(5))), Use::Hint);
+        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(6))), Use::Nothing);
+        assert_eq!(role(&MemberFacts::default(), Source::Own, ListedStart::Unheard), Use::Nothing);
     }
 
     #[test]
     fn a_warm_up_binds_until_it_is_over() {
-        let facts = MemberFacts { cold_from: Some(100), ..MemberFacts::default() };
+        let facts = MemberFacts { warm_up_start: Some(100), ..MemberFacts::default() };
         assert_eq!(cold(&facts, 149, 50), Use::Bound);
         assert_eq!(cold(&facts, 150, 50), Use::Nothing);
         assert_eq!(cold(&MemberFacts::default(), 0, 50), Use::Nothing);
@@ -182,21 +182,21 @@
 
     #[test]
     fn what_was_stored_is_told_once_and_only_of_members_that_a_list_names() {
-        let known = Known {
+        let known = LearnedFacts {
             members: [("a".into(), facts(Some(5))), ("b".into(), facts(Some(5))), ("c".into(), facts(None))]
                 .into(),
-            ..Known::default()
+            ..LearnedFacts::default()
         };
-        let mut recalled = Recalled::new(known);
+        let mut recalled = StoredFacts::new(known);
         assert!(!recalled.is_empty());
         let usable = recalled.confirm(|name| match name {
-            "a" => Listed::Named(Some(5)),
-            "c" => Listed::Named(None),
-            _ => Listed::Absent,
+            "a" => ListedStart::Named(Some(5)),
+            "c" => ListedStart::Named(None),
+            _ => ListedStart::Absent,
         });
         assert_eq!(usable.bounds, [("a".into(), 70)]);
         assert_eq!(usable.primaries, ["a".into(), "c".into()]);
         assert!(recalled.is_empty());
-        assert_eq!(recalled.confirm(|_| Listed::Named(Some(5))), Usable::default());
+        assert_eq!(recalled.confirm(|_| ListedStart::Named(Some(5))), UsableFacts::default());
     }
 }
--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -3,7 +3,7 @@
 //! A file is one line that names the format, its version, the length and the checksum of what follows, then JSON. What
 //! does not agree with that line is not used, not even in part: a torn file, another program's, or a newer version's.
 
-use super::{Held, Knowledge, Known, MemberFacts, MOST};
+use super::{Knowledge, LearnedFacts, MemberFacts, TimestampedText, MAX_ENTRIES};
 use crate::effective_list::{Suspension, Suspensions, MAX_SUSPENDED};
 use crate::interface::Time;
 use serde_json::{json, Map, Value};
@@ -83,7 +83,7 @@
 fn hands_of(body: &Value) -> Result<Suspensions, Unusable> {
     let bad = Unusable::Malformed("word on a member");
     let all = body.get("hands").and_then(Value::as_object).ok_or(Unusable::Malformed("list of members"))?;
-    if all.len() > MOST {
+    if all.len() > MAX_ENTRIES {
         return Err(Unusable::Malformed("number of members"));
     }
     let mut hands = BTreeMap::new();
@@ -107,21 +107,24 @@
 }
 
 /// Writes down what was learned, at this moment.
-pub fn write_known(known: &Known, at: Time) -> Vec<u8> {
+pub fn write_known(known: &LearnedFacts, at: Time) -> Vec<u8> {
     let mut body = known_body(known);
     body.insert("at".into(), at.into());
     seal(&body.into())
 }
 
-fn known_body(known: &Known) -> Map<String, Value> {
-    let members: Vec<Value> =
-        known.members.iter().map(|(name, m)| json!([&**name, m.position, m.primary, m.cold_from])).collect();
+fn known_body(known: &LearnedFacts) -> Map<String, Value> {
+    let members: Vec<Value> = known
+        .members
+        .iter()
+        .map(|(name, m)| json!([&**name, m.position, m.primary, m.warm_up_start]))
+        .collect();
     // In a table of its own: processes of the version before pass over what they do not know, but not over entries of
     // another length.
     let lives: Map<String, Value> = known
         .members
         .iter()
-        .map(|(name, m)| (name.to_string(), json!([m.start, m.heard, m.role_at])))
+        .map(|(name, m)| (name.to_string(), json!([m.start, m.last_heard, m.role_at])))
         .collect();
     let sessions: Map<String, Value> =
         known.sessions.iter().map(|(name, at)| (name.to_string(), json!(at))).collect();
@@ -138,7 +141,7 @@
 ///
 /// # Errors
 /// Why it cannot be used.
-pub fn read_known(bytes: &[u8]) -> Result<(Known, Time), Unusable> {
+pub fn read_known(bytes: &[u8]) -> Result<(LearnedFacts, Time), Unusable> {
     let body = open(bytes)?;
     Ok((known_of(&body)?, number(&body, "at")?))
 }
@@ -147,14 +150,14 @@
     body.get(name).and_then(Value::as_u64).ok_or(Unusable::Malformed(name))
 }
 
-fn known_of(body: &Value) -> Result<Known, Unusable> {
+fn known_of(body: &Value) -> Result<LearnedFacts, Unusable> {
     let floor = number(body, "floor")?;
     let listed = body.get("members").and_then(Value::as_array).ok_or(Unusable::Malformed("members"))?;
     let said = body.get("sessions").and_then(Value::as_object).ok_or(Unusable::Malformed("sessions"))?;
-    if listed.len() > MOST || said.len() > MOST {
+    if listed.len() > MAX_ENTRIES || said.len() > MAX_ENTRIES {
         return Err(Unusable::Malformed("number of entries"));
     }
-    let mut known = Known { floor, ..Known::default() };
+    let mut known = LearnedFacts { floor, ..LearnedFacts::default() };
     for entry in listed {
         let Some([Value::String(name), position, primary, cold]) = entry.as_array().map(Vec::as_slice) else {
             return Err(Unusable::Malformed("member"));
@@ -165,10 +168,10 @@
         let facts = MemberFacts {
             start: of(0),
             position: position.as_u64().ok_or(Unusable::Malformed("position"))?,
-            heard: of(1).unwrap_or(0),
+            last_heard: of(1).unwrap_or(0),
             primary: primary.as_bool(),
             role_at: of(2).unwrap_or(0),
-            cold_from: cold.as_u64(),
+            warm_up_start: cold.as_u64(),
         };
         known.members.insert(name.as_str().into(), facts);
     }
@@ -181,9 +184,9 @@
 
 /// Writes down all that is known, at this moment of this start of the proxy.
 pub fn write_snapshot(all: &Knowledge, at: Time, boot: u64) -> Vec<u8> {
-    let held = |held: &Option<Held>| held.as_ref().map(|h| json!([h.at, &*h.text]));
-    let mut body = known_body(&all.known);
-    body.insert("hands".into(), hands_body(&all.hands));
+    let held = |held: &Option<TimestampedText>| held.as_ref().map(|h| json!([h.at, &*h.text]));
+    let mut body = known_body(&all.learned);
+    body.insert("hands".into(), hands_body(&all.suspensions));
     for (name, value) in [
         ("settings", json!(held(&all.settings))),
         ("list", json!(held(&all.list))),
@@ -206,13 +209,13 @@
         Some(value) => match value.as_array().map(Vec::as_slice) {
             Some([at, Value::String(text)]) => {
                 let at = at.as_u64().ok_or(Unusable::Malformed(name))?;
-                Ok(Some(Held { at, text: text.as_str().into() }))
+                Ok(Some(TimestampedText { at, text: text.as_str().into() }))
             }
             _ => Err(Unusable::Malformed(name)),
         },
     };
     let (settings, list) = (held("settings")?, held("list")?);
-    let all = Knowledge { known: known_of(&body)?, hands: hands_of(&body)?, settings, list };
+    let all = Knowledge { learned: known_of(&body)?, suspensions: hands_of(&body)?, settings, list };
     Ok((all, number(&body, "at")?, number(&body, "boot")?))
 }
 
@@ -225,18 +228,18 @@
         [("s-1", out(5, None)), ("s \"2\"", out(5, Some(9)))].map(|(n, h)| (n.into(), h)).into()
     }
 
-    fn known() -> Known {
-        let member = |primary, cold_from| MemberFacts {
-            start: cold_from,
+    fn known() -> LearnedFacts {
+        let member = |primary, warm_up_start| MemberFacts {
+            start: warm_up_start,
             position: 77,
-            heard: 78,
+            last_heard: 78,
             primary,
             role_at: 76,
-            cold_from,
+            warm_up_start,
         };
         let members =
             [("a", member(Some(true), None)), ("b", member(Some(false), Some(4))), ("c", member(None, None))];
-        Known {
+        LearnedFacts {
             members: members.map(|(name, facts)| (name.into(), facts)).into(),
             sessions: [("k1".into(), 70)].into(),
             floor: 60,
--- a/src/knowledge/mod.rs
+++ b/src/knowledge/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Most members and sessions that are written down or taken from one writing.
-pub const MOST: usize = 16_384;
+pub const MAX_ENTRIES: usize = 16_384;
 
 /// What is known of a member, by its id in the list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -23,13 +23,13 @@
     /// Highest position heard since that start; 0: none.
     pub position: Position,
     /// When it was last heard.
-    pub heard: Time,
+    pub last_heard: Time,
     /// Whether it is the primary, where it has shown its role ...
     pub primary: Option<bool>,
     /// ... and as of when.
     pub role_at: Time,
     /// Start of its warm-up, while that lasts.
-    pub cold_from: Option<Time>,
+    pub warm_up_start: Option<Time>,
 }
 
 impl MemberFacts {
@@ -42,18 +42,18 @@
             return;
         }
         self.position = self.position.max(other.position);
-        self.heard = self.heard.max(other.heard);
+        self.last_heard = self.last_heard.max(other.last_heard);
         if (other.role_at, other.primary) > (self.role_at, self.primary) {
             (self.role_at, self.primary) = (other.role_at, other.primary);
         }
         // Warmth never counts as more than it was.
-        self.cold_from = self.cold_from.max(other.cold_from);
+        self.warm_up_start = self.warm_up_start.max(other.warm_up_start);
     }
 }
 
 /// What was learned of members and sessions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct LearnedFacts {
     /// The members, by id.
     pub members: BTreeMap<Arc<str>, MemberFacts>,
     /// The last commits of sessions that wrote lately ...
@@ -62,9 +62,9 @@
     pub floor: Position,
 }
 
-impl Known {
+impl LearnedFacts {
     /// Takes in what else is known.
-    pub fn merge(&mut self, other: &Known) {
+    pub fn merge(&mut self, other: &LearnedFacts) {
         for (name, facts) in &other.members {
             match self.members.get_mut(name) {
                 Some(known) => known.merge(facts),
@@ -80,7 +80,7 @@
 }
 
 /// Takes in what else the operators said: the later taking out wins, and of one taking out the latest putting back.
-pub fn merge_hands(hands: &mut Suspensions, other: &Suspensions) {
+pub fn merge_suspensions(hands: &mut Suspensions, other: &Suspensions) {
     let order = |hand: &Suspension| (hand.suspended_at, hand.restored_at);
     for (name, hand) in other {
         match hands.get_mut(name) {
@@ -93,7 +93,7 @@
 
 /// A text and when it held last.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Held {
+pub struct TimestampedText {
     /// When it last held.
     pub at: Time,
     /// The text.
@@ -104,20 +104,20 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Knowledge {
     /// Of members and sessions.
-    pub known: Known,
+    pub learned: LearnedFacts,
     /// What the operators said.
-    pub hands: Suspensions,
+    pub suspensions: Suspensions,
     /// The configuration that last held.
-    pub settings: Option<Held>,
+    pub settings: Option<TimestampedText>,
     /// The member list that was last held, as discovery words it.
-    pub list: Option<Held>,
+    pub list: Option<TimestampedText>,
 }
 
 impl Knowledge {
     /// Takes in what else is known.
     pub fn merge(&mut self, other: &Knowledge) {
-        self.known.merge(&other.known);
-        merge_hands(&mut self.hands, &other.hands);
+        self.learned.merge(&other.learned);
+        merge_suspensions(&mut self.suspensions, &other.suspensions);
         for (held, other) in [(&mut self.settings, &other.settings), (&mut self.list, &other.list)] {
             if *other > *held {
                 *held = other.clone();
--- a/src/knowledge/tests.rs
+++ b/src/knowledge/tests.rs
@@ -17,18 +17,18 @@
         0..3u64,
         prop::option::of(0..3u64),
     )
-        .prop_map(|(start, position, heard, primary, role_at, cold_from)| MemberFacts {
+        .prop_map(|(start, position, last_heard, primary, role_at, warm_up_start)| MemberFacts {
             start,
             position,
-            heard,
+            last_heard,
             primary,
             role_at,
-            cold_from,
+            warm_up_start,
         })
 }
 
-fn held() -> impl Strategy<Value = Option<Held>> {
-    prop::option::of((0..3u64, name()).prop_map(|(at, text)| Held { at, text }))
+fn held() -> impl Strategy<Value = Option<TimestampedText>> {
+    prop::option::of((0..3u64, name()).prop_map(|(at, text)| TimestampedText { at, text }))
 }
 
 fn knowledge() -> impl Strategy<Value = Knowledge> {
@@ -43,8 +43,8 @@
         held(),
     )
         .prop_map(|(members, sessions, floor, hands, settings, list)| Knowledge {
-            known: Known { members, sessions, floor },
-            hands,
+            learned: LearnedFacts { members, sessions, floor },
+            suspensions: hands,
             settings,
             list,
         })
@@ -70,19 +70,19 @@
     #[test]
     fn nothing_that_binds_is_lost_by_merging(a in knowledge(), b in knowledge()) {
         let all = join(&a, &b);
-        for (name, at) in a.known.sessions.iter().chain(&b.known.sessions) {
-            prop_assert!(all.known.sessions[name] >= *at);
+        for (name, at) in a.learned.sessions.iter().chain(&b.learned.sessions) {
+            prop_assert!(all.learned.sessions[name] >= *at);
         }
-        prop_assert!(all.known.floor >= a.known.floor.max(b.known.floor));
-        for (name, hand) in a.hands.iter().chain(&b.hands) {
-            prop_assert!(all.hands[name].suspended_at >= hand.suspended_at);
+        prop_assert!(all.learned.floor >= a.learned.floor.max(b.learned.floor));
+        for (name, hand) in a.suspensions.iter().chain(&b.suspensions) {
+            prop_assert!(all.suspensions[name].suspended_at >= hand.suspended_at);
         }
-        for (name, facts) in a.known.members.iter().chain(&b.known.members) {
-            let known = &all.known.members[name];
+        for (name, facts) in a.learned.members.iter().chain(&b.learned.members) {
+            let known = &all.learned.members[name];
             prop_assert!(known.start >= facts.start);
             // Nothing of an earlier life remains, and nothing of this one is forgotten.
             if known.start == facts.start {
-                prop_assert!(known.position >= facts.position && known.cold_from >= facts.cold_from);
+                prop_assert!(known.position >= facts.position && known.warm_up_start >= facts.warm_up_start);
             }
         }
     }
@@ -96,8 +96,8 @@
 
 #[test]
 fn a_later_life_of_a_member_leaves_nothing_of_the_former_one() {
-    let old = MemberFacts { start: Some(5), position: 90, heard: 91, ..MemberFacts::default() };
-    let new = MemberFacts { start: Some(50), position: 60, heard: 61, ..MemberFacts::default() };
+    let old = MemberFacts { start: Some(5), position: 90, last_heard: 91, ..MemberFacts::default() };
+    let new = MemberFacts { start: Some(50), position: 60, last_heard: 61, ..MemberFacts::default() };
     for (mut a, b) in [(old.clone(), new.clone()), (new.clone(), old.clone())] {
         a.merge(&b);
         assert_eq!(a, new);
@@ -115,7 +115,7 @@
         (hands(5, Some(8)), hands(5, Some(7)), hands(5, Some(8))),
     ] {
         for (mut one, other) in [(a.clone(), b.clone()), (b, a)] {
-            merge_hands(&mut one, &other);
+            merge_suspensions(&mut one, &other);
             assert_eq!(one, last);
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,7 +21,7 @@
 use linentrail::handover::files::Folder;
 use linentrail::handover::shared_folder::SharedFolder;
 use linentrail::handover::{self, ControlHandle, Handover};
-use linentrail::knowledge::Held;
+use linentrail::knowledge::TimestampedText;
 use linentrail::listing::{Delivery, Listing};
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, ErrorPacer};
@@ -211,7 +211,7 @@
     let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
     if let Some((store_handle, found, text)) = store {
         recovery::restore_knowledge(&file.store, found, &control, clock.now()).await;
-        let (holds, settings) = watch::channel(Some(Held { at: clock.now(), text }));
+        let (holds, settings) = watch::channel(Some(TimestampedText { at: clock.now(), text }));
         held = Some(holds);
         let (version, zones) = (version.clone(), zones.clone());
         let snapshot_task =
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -8,7 +8,7 @@
 use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
 use crate::interface::Time;
-use crate::knowledge::{Held, Knowledge};
+use crate::knowledge::{Knowledge, TimestampedText};
 use crate::net::discovery;
 use crate::operators::{self, Broken, Fsync};
 use crate::reload::own_settings;
@@ -154,7 +154,7 @@
     /// The clock.
     pub clock: Clock,
     /// The configuration that holds.
-    pub settings: watch::Receiver<Option<Held>>,
+    pub settings: watch::Receiver<Option<TimestampedText>>,
     /// Version of the list that is held; 0: none.
     pub version: Arc<AtomicU64>,
     /// Names of the zones.
@@ -180,10 +180,13 @@
         let now = self.clock.now();
         let list = (!listed.is_empty()).then(|| {
             let version = self.version.load(Ordering::Relaxed);
-            Held { at: now, text: discovery::list_to_json(&listed, version, &self.zones).to_string().into() }
+            TimestampedText {
+                at: now,
+                text: discovery::list_to_json(&listed, version, &self.zones).to_string().into(),
+            }
         });
         let settings = self.settings.borrow().clone();
-        let all = Box::new(Knowledge { known, hands, settings, list });
+        let all = Box::new(Knowledge { learned: known, suspensions: hands, settings, list });
         if self.store_handle.snapshot(all, now).await.is_ok() {
             count(Count::store_snapshots);
         }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -9,7 +9,7 @@
 use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
 use crate::interface::Settings;
-use crate::knowledge::Held;
+use crate::knowledge::TimestampedText;
 use crate::listing::Delivery;
 use crate::net::discovery::DiscoveryService;
 use crate::settings::{Names, SocketTimes};
@@ -39,7 +39,7 @@
     /// The way to the core.
     pub control: ControlHandle,
     /// Where the text that holds is told to the store, if there is one.
-    pub accepted_text: Option<watch::Sender<Option<Held>>>,
+    pub accepted_text: Option<watch::Sender<Option<TimestampedText>>>,
     /// A stored configuration holds, as the file could not be read at the start.
     pub config_from_store: Arc<AtomicBool>,
     /// The clock.
@@ -78,7 +78,7 @@
                         self.config_from_store.store(false, Ordering::Relaxed);
                         if let Some(held) = &self.accepted_text {
                             let text = String::from_utf8_lossy(&text).as_ref().into();
-                            held.send_replace(Some(Held { at: self.clock.now(), text }));
+                            held.send_replace(Some(TimestampedText { at: self.clock.now(), text }));
                         }
                         break None;
                     }
--- a/src/router_export.rs
+++ b/src/router_export.rs
@@ -39,10 +39,10 @@
             let facts = MemberFacts {
                 start: m.up_since,
                 position: m.position,
-                heard: m.position_at,
+                last_heard: m.position_at,
                 primary: (head.is_some() || replica).then_some(head.is_some()),
                 role_at: head.map_or(m.replica_at, |g| g.as_of),
-                cold_from: m.started.filter(|_| self.in_slow_start(m)),
+                warm_up_start: m.started.filter(|_| self.in_slow_start(m)),
             };
             LearnedMember { id: *id, facts }
         })
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::effective_list::Suspensions;
-use crate::knowledge::Held;
+use crate::knowledge::TimestampedText;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -179,16 +179,16 @@
         let mut all = found.knowledge;
         for n in 1..=6u64 {
             let (name, hand) = (format!("m{}", n % 4), out(found.start_number * 100 + n));
-            all.hands.insert(name.as_str().into(), hand);
+            all.suspensions.insert(name.as_str().into(), hand);
             if store.append_suspension(&name, &hand).is_ok() {
                 yes.insert(name.as_str().into(), hand);
             }
             if n % 3 == 0 {
-                all.settings = Some(Held { at: found.start_number * 100 + n, text: "{}".into() });
+                all.settings = Some(TimestampedText { at: found.start_number * 100 + n, text: "{}".into() });
                 if store.snapshot(&all, found.start_number * 100 + n).is_ok() {
                     snapshot = Some(found.start_number * 100 + n);
                     // A snapshot holds every word, also one that had no yes.
-                    yes = all.hands.clone();
+                    yes = all.suspensions.clone();
                 }
             }
         }
@@ -211,8 +211,11 @@
                 stops += 1;
                 let (_, back) = Store::open(disk.after(keep), MOST).expect("a disk that works again");
                 for (name, hand) in &yes {
-                    let known =
-                        back.knowledge.hands.get(name).unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
+                    let known = back
+                        .knowledge
+                        .suspensions
+                        .get(name)
+                        .unwrap_or_else(|| panic!("{left} {keep}: no {name}"));
                     assert!(
                         known.suspended_at >= hand.suspended_at,
                         "{left} {keep}: {name} {known:?} {hand:?}"
@@ -251,11 +254,11 @@
         }
         assert_eq!(refused, 7 - fails, "from the one that failed on");
         let mut all = found.knowledge;
-        all.hands.insert("m1".into(), out(9));
+        all.suspensions.insert("m1".into(), out(9));
         store.snapshot(&all, 9).expect("a snapshot");
         store.append_suspension("m1", &out(10)).expect("a new log");
         let (_, back) = Store::open(store.disk().after(0), MOST).expect("it opens");
-        assert_eq!(back.knowledge.hands["m1"], out(10));
+        assert_eq!(back.knowledge.suspensions["m1"], out(10));
     }
 }
 
@@ -308,7 +311,7 @@
     log.now[last] ^= 4;
     let (_, back) = Store::open(disk, MOST).expect("it opens");
     assert_eq!(back.status, RecoveryStatus::Torn);
-    assert!(back.knowledge.hands.contains_key("m1") && !back.knowledge.hands.contains_key("m2"));
+    assert!(back.knowledge.suspensions.contains_key("m1") && !back.knowledge.suspensions.contains_key("m2"));
 }
 
 #[test]
@@ -316,11 +319,11 @@
     let (mut store, found) = Store::open(Memory::default(), 300).expect("it opens");
     store.snapshot(&found.knowledge, 1).expect("little");
     let mut all = found.knowledge;
-    all.settings = Some(Held { at: 1, text: "x".repeat(400).into() });
+    all.settings = Some(TimestampedText { at: 1, text: "x".repeat(400).into() });
     assert!(store.snapshot(&all, 2).is_err());
     let words = (0..99).take_while(|n| store.append_suspension("m1", &out(*n)).is_ok()).count();
     assert!((1..99).contains(&words), "{words}");
     let (_, back) = Store::open(store.disk().after(6), 300).expect("it opens");
     assert_eq!((back.status, back.written_at), (RecoveryStatus::Sound, 1));
-    assert_eq!(back.knowledge.hands["m1"].suspended_at, words as u64 - 1);
+    assert_eq!(back.knowledge.suspensions["m1"].suspended_at, words as u64 - 1);
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -29,8 +29,10 @@
             ("it is an OLDER COPY; its configuration is not used", Some(Count::store_rolled_back))
         }
     };
-    let (members, out) =
-        (knowledge.known.members.len(), knowledge.hands.values().filter(|h| h.restored_at.is_none()).count());
+    let (members, out) = (
+        knowledge.learned.members.len(),
+        knowledge.suspensions.values().filter(|h| h.restored_at.is_none()).count(),
+    );
     let line =
         format!("store: start {start_number}: {what}; {members} members known, {out} out by hand, written at {written_at}");
     match counter {
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -10,7 +10,7 @@
 use crate::effective_list::Suspension;
 use crate::interface::Time;
 use crate::knowledge::format::{self, Unusable};
-use crate::knowledge::{merge_hands, Knowledge};
+use crate::knowledge::{merge_suspensions, Knowledge};
 use std::io;
 
 const SNAPSHOT: &str = "snapshot";
@@ -108,7 +108,7 @@
         };
         for number in &logs {
             let replay = record::replay(&disk.read(&log_name(*number))?.unwrap_or_default());
-            merge_hands(&mut all.hands, &replay.hands);
+            merge_suspensions(&mut all.suspensions, &replay.hands);
             // A record that is cut off has never had its yes: nothing is missing.
             if replay.end == End::Damaged && status == RecoveryStatus::Sound {
                 status = RecoveryStatus::Torn;
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -219,7 +219,7 @@
 /// wins where the two are joined, as it must be once the store is read again.
 #[test]
 fn what_the_operators_said_last_wins_over_a_clock_that_was_set_back() {
-    use linentrail::knowledge::merge_hands;
+    use linentrail::knowledge::merge_suspensions;
     let mut first = EffectiveList::default();
     first.list(ListKind::Full, vec![entry("m", ServiceState::Active, None)], 5_000);
     first.suspend("m", 5_000).expect("it is listed");
@@ -231,10 +231,10 @@
     let told = second.suspend("m", 1_500).expect("it is listed").expect("that is news");
     assert_eq!(told.member.service_state, ServiceState::Draining);
     let mut joined = stored.clone();
-    merge_hands(&mut joined, second.hands());
+    merge_suspensions(&mut joined, second.hands());
     assert_eq!(joined["m"].restored_at, None, "it is out: {joined:?}");
     second.restore("m", 1_600).expect("it is out");
     let mut back = joined.clone();
-    merge_hands(&mut back, second.hands());
+    merge_suspensions(&mut back, second.hands());
     assert!(back["m"].restored_at.is_some(), "it is back: {back:?}");
 }
