--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -149,11 +149,15 @@
                 return self.fleet(call).await.map_or_else(Reply::No, |yes| Reply::Yes(yes.into()))
             }
             Call::Suspend(id) => (
-                self.control.change(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply)).await,
+                self.control
+                    .change_suspension(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply))
+                    .await,
                 "out",
             ),
             Call::Restore(id) => (
-                self.control.change(id, |reply| CoreCommand::Restore(id.as_str().into(), reply)).await,
+                self.control
+                    .change_suspension(id, |reply| CoreCommand::Restore(id.as_str().into(), reply))
+                    .await,
                 "back",
             ),
         };
--- a/src/handover/files.rs
+++ b/src/handover/folder.rs
@@ -54,7 +54,7 @@
 
 /// The folder, with the slot held in it. The slot is free again when this is dropped, or its process ends in any way.
 #[derive(Debug)]
-pub struct Folder {
+pub struct HandoverFolder {
     path: PathBuf,
     /// Which slot it is.
     pub slot: usize,
@@ -80,7 +80,7 @@
     File::options().create(true).truncate(false).read(true).write(true).open(path)
 }
 
-impl Folder {
+impl HandoverFolder {
     /// Takes a slot in the folder, which is made where it is not there; none while others hold all slots. What cannot be done
     /// is tried so many times.
     ///
@@ -104,7 +104,7 @@
             let file = open_lock_file(&path.join(lock_of(slot)))?;
             if locked(&file)? {
                 let peer_alive = AtomicBool::new(true);
-                return Ok(Some(Folder { path: path.to_path_buf(), slot, _lock: file, peer_alive }));
+                return Ok(Some(HandoverFolder { path: path.to_path_buf(), slot, _lock: file, peer_alive }));
             }
         }
         Ok(None)
@@ -165,7 +165,7 @@
     }
 
     /// Where a file lies.
-    pub fn place(&self, name: &str) -> PathBuf {
+    pub fn path_of(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
@@ -195,30 +195,30 @@
     #[test]
     fn two_have_a_slot_each_and_a_third_none_until_one_goes() {
         let path = folder("slots");
-        let a = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         assert!(!a.peer_alive());
-        let b = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let b = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         assert!(a.slot != b.slot && a.peer_alive() && b.peer_alive());
-        assert!(Folder::join(path.clone(), 3).expect("fine").is_none());
+        assert!(HandoverFolder::join(path.clone(), 3).expect("fine").is_none());
         drop(a);
         assert!(!b.peer_alive());
-        assert!(Folder::join(path.clone(), 3).expect("fine").is_some());
+        assert!(HandoverFolder::join(path.clone(), 3).expect("fine").is_some());
         let _ = fs::remove_dir_all(path);
     }
 
     #[test]
     fn another_process_has_not_gone_where_its_slot_cannot_be_looked_at() {
         let path = folder("unseen");
-        let a = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
-        let b = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let b = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         assert!(a.peer_alive());
         // A folder in its place cannot be opened for the look.
-        let lock = a.place(&lock_of(b.slot));
-        fs::rename(&lock, a.place("aside")).expect("fine");
+        let lock = a.path_of(&lock_of(b.slot));
+        fs::rename(&lock, a.path_of("aside")).expect("fine");
         fs::create_dir(&lock).expect("fine");
         assert!(a.peer_alive(), "it lives as far as is known");
         fs::remove_dir(&lock).expect("fine");
-        fs::rename(a.place("aside"), &lock).expect("fine");
+        fs::rename(a.path_of("aside"), &lock).expect("fine");
         drop(b);
         assert!(!a.peer_alive());
         let _ = fs::remove_dir_all(path);
@@ -227,9 +227,9 @@
     #[test]
     fn another_process_that_could_not_be_looked_for_yet_may_live() {
         let path = folder("unlooked");
-        let a = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         // A folder in its place cannot be opened for the look.
-        let lock = a.place(&lock_of(a.other()));
+        let lock = a.path_of(&lock_of(a.other()));
         fs::create_dir(&lock).expect("fine");
         assert!(a.peer_alive());
         fs::remove_dir(&lock).expect("fine");
@@ -252,8 +252,8 @@
     #[test]
     fn one_at_a_time_has_the_lock_and_a_write_shows_in_the_mark() {
         let path = folder("lock");
-        let a = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
-        let b = Folder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
+        let b = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         let held = a.lock().expect("fine").expect("free");
         assert!(b.lock().expect("fine").is_none());
         drop(held);
--- a/src/handover/handover_tests.rs
+++ b/src/handover/handover_tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn folder(name: &str) -> Folder {
+fn folder(name: &str) -> HandoverFolder {
     let path = std::env::temp_dir().join(format!("linentrail-handover-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    Folder::join(path, 3).expect("fine").expect("a slot")
+    HandoverFolder::join(path, 3).expect("fine").expect("a slot")
 }
 
 /// A core that does whatever it is asked and knows of nobody out.
@@ -26,18 +26,18 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = Arc::new(folder("unread"));
-        let hands = folder.place(HANDS);
+        let hands = folder.path_of(HANDS);
         // A link to itself cannot be read, and another file can take its place.
         std::os::unix::fs::symlink(&hands, &hands).expect("a link");
         let (orders, ordered) = mpsc::channel(4);
         tokio::spawn(agrees(ordered));
         let control = ControlHandle::new(orders, SharedFolder::joined(folder.clone()));
-        let change = || control.change("a", |reply| CoreCommand::Suspend("a".into(), reply));
+        let change = || control.change_suspension("a", |reply| CoreCommand::Suspend("a".into(), reply));
         let refused = change().await.expect_err("it cannot be recorded");
         assert!(refused.starts_with("the call cannot be recorded"), "{refused}");
         assert!(std::fs::symlink_metadata(&hands).expect("there").is_symlink(), "it was written over");
         std::fs::remove_file(&hands).expect("it was there");
         change().await.expect("it can be recorded");
-        let _ = std::fs::remove_dir_all(folder.place(""));
+        let _ = std::fs::remove_dir_all(folder.path_of(""));
     });
 }
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -11,7 +11,7 @@
 //! | `repeat-ids` | a claim for each id | both |
 
 use super::claims::ClaimDirectory;
-use super::files::{Folder, FollowedFile};
+use super::folder::{FollowedFile, HandoverFolder};
 use super::{passed_over, usable};
 use crate::core::counters::{count, counter_value, Count};
 use crate::core::repeat_ids::{ClaimError, ClaimStore, LedgerSummary, RepeatIds};
@@ -53,7 +53,7 @@
 
 /// One process's side of the exchange.
 pub struct IdExchange {
-    folder: Arc<Folder>,
+    folder: Arc<HandoverFolder>,
     directory: ClaimDirectory,
     /// None where this process takes no bookings with ids; it still answers.
     ids: Option<RepeatIds>,
@@ -71,8 +71,8 @@
 
 impl IdExchange {
     /// One for a folder in which a slot is held.
-    pub fn new(folder: Arc<Folder>, ids: Option<RepeatIds>) -> Self {
-        let directory = ClaimDirectory::new(folder.place(DIRECTORY));
+    pub fn new(folder: Arc<HandoverFolder>, ids: Option<RepeatIds>) -> Self {
+        let directory = ClaimDirectory::new(folder.path_of(DIRECTORY));
         let (wanted, told) = (FollowedFile::default(), FollowedFile::default());
         let random = RandomState::new().hash_one(folder.slot);
         let token = format!("{}-{random:016x}", std::process::id());
@@ -235,7 +235,7 @@
 }
 
 /// What a file holds, if it has changed and can be understood.
-fn news<T: DeserializeOwned>(folder: &Folder, file: &mut FollowedFile, name: &str) -> Option<T> {
+fn news<T: DeserializeOwned>(folder: &HandoverFolder, file: &mut FollowedFile, name: &str) -> Option<T> {
     let news = file.news(folder.mark(name), || folder.read(name))?;
     usable(name, news, |bytes| serde_json::from_slice(bytes))
 }
--- a/src/handover/id_exchange_tests.rs
+++ b/src/handover/id_exchange_tests.rs
@@ -18,7 +18,7 @@
 }
 
 async fn begin(path: &std::path::Path, peer_lives: bool, span: Time) -> Side {
-    let folder = Arc::new(Folder::join(path.to_path_buf(), 3).expect("fine").expect("a slot"));
+    let folder = Arc::new(HandoverFolder::join(path.to_path_buf(), 3).expect("fine").expect("a slot"));
     let ids = RepeatIds::new(LedgerSize { ids: 100, bytes: 1_000 }, span, Clock::start());
     let mut exchange = IdExchange::new(folder, Some(ids.clone()));
     exchange.begin(peer_lives).await;
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod claims;
 pub mod commits;
-pub mod files;
+pub mod folder;
 pub mod id_exchange;
 pub mod shared_folder;
 
@@ -19,7 +19,7 @@
 use crate::net::budget::Budget;
 use crate::store::actor::StoreHandle;
 use commits::{CommitLog, UnseenPeer};
-use files::{Folder, FollowedFile};
+use folder::{FollowedFile, HandoverFolder};
 use id_exchange::IdExchange;
 use shared_folder::SharedFolder;
 use std::io::{self, ErrorKind};
@@ -41,7 +41,7 @@
 const HANDS: &str = "hands";
 
 /// Where the processes of this proxy meet, by its name: one of its own in the folder that they share.
-pub fn place(shared: &str, name: &str) -> PathBuf {
+pub fn proxy_folder(shared: &str, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
     PathBuf::from(shared).join(format!("linentrail-{}", name.chars().map(plain).collect::<String>()))
 }
@@ -90,7 +90,7 @@
     }
 
     /// The same, which also writes down the operators' word for later starts.
-    pub fn writing(self, store_handle: Option<StoreHandle>) -> Self {
+    pub fn with_store(self, store_handle: Option<StoreHandle>) -> Self {
         ControlHandle { store_handle, ..self }
     }
 
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Why not, in words.
-    pub async fn change(
+    pub async fn change_suspension(
         &self,
         member: &str,
         order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
@@ -154,7 +154,7 @@
         folder.write(HANDS, &format::write_hands(&hands)).map_err(fault)
     }
 
-    async fn lock(&self, folder: &Folder) -> io::Result<std::fs::File> {
+    async fn lock(&self, folder: &HandoverFolder) -> io::Result<std::fs::File> {
         let free = async {
             loop {
                 if let Some(file) = folder.lock()? {
@@ -178,7 +178,7 @@
 
 /// The actor of the folder.
 pub struct Handover {
-    folder: Arc<Folder>,
+    folder: Arc<HandoverFolder>,
     control: ControlHandle,
     budget: Budget,
     clock: Clock,
@@ -192,7 +192,7 @@
 impl Handover {
     /// One for a folder in which a slot is held; `ids` are those of the bookings that this process takes, if it does.
     pub fn new(
-        folder: Arc<Folder>,
+        folder: Arc<HandoverFolder>,
         control: ControlHandle,
         budget: Budget,
         clock: Clock,
@@ -217,14 +217,15 @@
         let folder = loop {
             tokio::time::sleep(JOIN_INTERVAL).await;
             let place = place.clone();
-            if let Ok(Ok(Some(folder))) = tokio::task::spawn_blocking(|| Folder::join(place, 1)).await {
+            if let Ok(Ok(Some(folder))) = tokio::task::spawn_blocking(|| HandoverFolder::join(place, 1)).await
+            {
                 break Arc::new(folder);
             }
         };
         log::info!("the folder of the handover can be used now");
         shared.join(folder.clone());
         let mut handover = Handover::new(folder, control.clone(), budget, clock, ids);
-        handover.begin().await;
+        handover.take_over().await;
         if handover.lent.is_none() {
             control.request(|reply| CoreCommand::SetPeer(None, reply)).await;
         }
@@ -232,7 +233,7 @@
     }
 
     /// Takes over what there is to take over, before the first client comes.
-    pub async fn begin(&mut self) {
+    pub async fn take_over(&mut self) {
         // What another process has left, or wrote before this one began, is not what the one that lives knows now. Told by
         // the file itself: the clocks of two processes may differ.
         self.known = FollowedFile::since(self.folder.mark(&known_of(self.folder.other())));
@@ -304,7 +305,7 @@
         // Before the first client comes all is free at once; later nobody waits for it.
         let _ = tokio::time::timeout(RETRY_INTERVAL, held).await;
         // From now on the other hears of each commit; what came before it learns next.
-        let place = |slot| self.folder.place(&commits_of(slot));
+        let place = |slot| self.folder.path_of(&commits_of(slot));
         match CommitLog::open(&place(self.folder.slot), place(self.folder.other())) {
             Ok(log) => {
                 let commits: Option<Box<dyn CommitExchange>> = Some(Box::new(log));
--- a/src/handover/shared_folder.rs
+++ b/src/handover/shared_folder.rs
@@ -1,13 +1,13 @@
 //! The folder of a proxy's processes as its users see it: there may be none, or it may not be usable yet.
 
-use super::files::Folder;
+use super::folder::HandoverFolder;
 use std::sync::{Arc, OnceLock};
 
 /// The folder, where this proxy is to have one. Copies see it joined at the same time.
 #[derive(Debug, Clone, Default)]
 pub struct SharedFolder {
     expected: bool,
-    folder: Arc<OnceLock<Arc<Folder>>>,
+    folder: Arc<OnceLock<Arc<HandoverFolder>>>,
 }
 
 impl SharedFolder {
@@ -17,19 +17,19 @@
     }
 
     /// One that is joined.
-    pub fn joined(folder: Arc<Folder>) -> Self {
+    pub fn joined(folder: Arc<HandoverFolder>) -> Self {
         let shared = SharedFolder::expected();
         shared.join(folder);
         shared
     }
 
     /// It has been joined; only the first one counts.
-    pub fn join(&self, folder: Arc<Folder>) {
+    pub fn join(&self, folder: Arc<HandoverFolder>) {
         let _ = self.folder.set(folder);
     }
 
     /// The folder, once it is joined.
-    pub fn get(&self) -> Option<&Arc<Folder>> {
+    pub fn get(&self) -> Option<&Arc<HandoverFolder>> {
         self.folder.get()
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 use linentrail::core::{CoreCommand, Handle, Input};
 use linentrail::dnssd::browse::Browser;
 use linentrail::dnssd::records;
-use linentrail::handover::files::Folder;
+use linentrail::handover::folder::HandoverFolder;
 use linentrail::handover::shared_folder::SharedFolder;
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::TimestampedText;
@@ -68,12 +68,12 @@
 /// Where the processes of this proxy meet, if the platform has what it takes for two of them to serve.
 fn meeting_place(name: &str, shares_listener: bool) -> Option<PathBuf> {
     let shared = std::env::var("TMPDIR").ok().filter(|v| shares_listener && !v.is_empty());
-    shared.map(|shared| handover::place(&shared, name))
+    shared.map(|shared| handover::proxy_folder(&shared, name))
 }
 
 /// The folder there; where it cannot be used yet it is joined later.
 fn join_folder(place: &Path) -> Result<SharedFolder, String> {
-    match Folder::join(place.to_path_buf(), SLOT_TRIES) {
+    match HandoverFolder::join(place.to_path_buf(), SLOT_TRIES) {
         Ok(Some(folder)) => Ok(SharedFolder::joined(Arc::new(folder))),
         Ok(None) => Err(format!("two processes of this proxy live already, by {}", place.display())),
         Err(e) => {
@@ -207,7 +207,7 @@
     }
 
     let store_handle = store.as_ref().map(|(store_handle, ..)| store_handle.clone());
-    let control = ControlHandle::new(orders, shared_folder.clone()).writing(store_handle.clone());
+    let control = ControlHandle::new(orders, shared_folder.clone()).with_store(store_handle.clone());
     let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
     if let Some((store_handle, found, text)) = store {
         recovery::restore_knowledge(&file.store, found, &control, clock.now()).await;
@@ -274,7 +274,7 @@
             let folder = folder.clone();
             let mut handover =
                 Handover::new(folder, control.clone(), budget.clone(), clock, repeat_ids.clone());
-            handover.begin().await;
+            handover.take_over().await;
             tokio::spawn(handover.run());
         }
         (None, Some(place)) => {
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -45,7 +45,7 @@
 }
 
 fn open(file: &operators::Store) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
-    let place = crate::handover::place(&file.folder.to_string_lossy(), &name()?);
+    let place = crate::handover::proxy_folder(&file.folder.to_string_lossy(), &name()?);
     let bad = |e: std::io::Error| format!("store {}: {e}", place.display());
     let folder = DiskFolder::lock(&place, file.fsync == Fsync::Word).map_err(bad)?;
     let folder = folder.ok_or_else(|| format!("store {}: another process has it", place.display()))?;
