--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -146,12 +146,12 @@
             Err(e) if e.kind() != ErrorKind::FileTooLarge => return Err(fault(e)),
             read => read,
         };
-        if let Some(hands) = usable(HANDS, read, format::read_hands) {
+        if let Some(hands) = usable(HANDS, read, format::read_suspensions) {
             self.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await.ok_or_else(ending)?;
         }
         self.request(order).await.ok_or_else(ending)?.map_err(said)?;
         let hands = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(ending)?;
-        folder.write(HANDS, &format::write_hands(&hands)).map_err(fault)
+        folder.write(HANDS, &format::write_suspensions(&hands)).map_err(fault)
     }
 
     async fn lock(&self, folder: &HandoverFolder) -> io::Result<std::fs::File> {
@@ -319,7 +319,7 @@
     async fn follow(&mut self) -> Option<()> {
         let mark = self.folder.mark(HANDS);
         let Some(news) = self.hands.news(mark, || self.folder.read(HANDS)) else { return Some(()) };
-        let hands: Suspensions = usable(HANDS, news, format::read_hands)?;
+        let hands: Suspensions = usable(HANDS, news, format::read_suspensions)?;
         self.control.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await
     }
 
@@ -327,7 +327,7 @@
     async fn tell(&mut self) -> Option<()> {
         let known = self.control.request(CoreCommand::ExportLearned).await?;
         let name = known_of(self.folder.slot);
-        if let Err(e) = self.folder.write(&name, &format::write_known(&known, self.clock.now())) {
+        if let Err(e) = self.folder.write(&name, &format::write_learned(&known, self.clock.now())) {
             log::warn!("what was learned cannot be written down: {e}");
         }
         Some(())
@@ -338,7 +338,7 @@
         let name = known_of(self.folder.other());
         let mark = self.folder.mark(&name);
         let news = self.known.news(mark, || self.folder.read(&name))?;
-        let (known, _) = usable(&name, news, format::read_known)?;
+        let (known, _) = usable(&name, news, format::read_learned)?;
         self.control.request(|reply| CoreCommand::ImportLearned(known, reply)).await
     }
 }
--- a/src/knowledge/evidence.rs
+++ b/src/knowledge/evidence.rs
@@ -1,126 +1,128 @@
-//! What a fact may be used for, by where it comes from and what a list of this process's own says meanwhile.
+//! Decides what a fact may be used for, from its source and from what the member lists that this process has received
+//! say about the member.
 //!
-//! The levels are ordered: whoever may use a fact as a proof may use it as a bound, and so on. A decision asks for the
-//! least level that it needs and gets a yes or a no.
+//! The levels are ordered: a fact that may serve as a proof may also serve as a bound, and so on. A decision compares
+//! the level of a fact with the least level that it needs.
 
 use super::{LearnedFacts, MemberFacts};
 use crate::interface::{Position, Time};
 use std::sync::Arc;
 
-/// What a fact may be used for.
+/// How far a fact may be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
-    /// Nothing: it may be of another member's life, or cannot be checked yet.
+pub enum Reliance {
+    /// Not at all: the fact may date from before the member's latest start, or cannot be checked yet.
     Nothing,
-    /// Whom to try first, where trying costs no more than a try.
+    /// To choose which member is tried first, where a wrong choice costs one attempt and no more.
     Hint,
-    /// It held once and cannot have become less.
+    /// As a lower bound: the value was true once and cannot have decreased.
     Bound,
-    /// It holds.
+    /// Fully: the fact is true.
     Proof,
 }
 
 /// Where a fact comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The member told it to this process.
+    /// The member reported it to this process.
     Own,
-    /// The member told it to another living process of this proxy.
+    /// The member reported it to the peer process of this proxy, which is running.
     PeerProcess,
-    /// It was written down before this process began.
+    /// It was stored before this process started.
     Stored,
 }
 
-/// What a list that this process has heard says of a member.
+/// What the member lists that this process has received say about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedStart {
-    /// No list has been heard yet.
-    Unheard,
-    /// It does not name the member.
+    /// No list has been received yet.
+    NoList,
+    /// The list does not name the member.
     Absent,
-    /// It names it, with this start.
+    /// The list names the member, with this start time if it has one.
     Named(Option<Time>),
 }
 
-/// Whether the member lives the same life as when the fact was learned. Only a start that both name proves it: one that
-/// has been replaced under its address may be listed without.
-fn same_life(facts: &MemberFacts, listed: ListedStart) -> bool {
+/// Whether the member has not restarted since the fact was learned. Only a start time that both name proves it: a member
+/// that was replaced at the same address may be listed without one.
+fn same_start(facts: &MemberFacts, listed: ListedStart) -> bool {
     matches!(listed, ListedStart::Named(Some(start)) if facts.start == Some(start))
 }
 
-/// Whether it surely lives another life.
-fn other_life(facts: &MemberFacts, listed: ListedStart) -> bool {
+/// Whether the fact cannot apply any more: the member has another start time, or is not listed.
+fn different_start(facts: &MemberFacts, listed: ListedStart) -> bool {
     matches!(listed, ListedStart::Named(start) if start != facts.start) || listed == ListedStart::Absent
 }
 
-/// A position: a lower bound for as long as the member's life is the same.
-pub fn position(facts: &MemberFacts, source: Source, listed: ListedStart) -> Use {
+/// How far a position may be relied on: it is a lower bound until the member restarts.
+pub fn position(facts: &MemberFacts, source: Source, listed: ListedStart) -> Reliance {
     match source {
-        Source::Own => Use::Proof,
-        Source::PeerProcess => Use::Bound,
-        Source::Stored if facts.position > 0 && same_life(facts, listed) => Use::Bound,
-        Source::Stored => Use::Nothing,
+        Source::Own => Reliance::Proof,
+        Source::PeerProcess => Reliance::Bound,
+        Source::Stored if facts.position > 0 && same_start(facts, listed) => Reliance::Bound,
+        Source::Stored => Reliance::Nothing,
     }
 }
 
-/// A role: after a start only whom a write tries first, as roles change without a new start.
-pub fn role(facts: &MemberFacts, source: Source, listed: ListedStart) -> Use {
+/// How far a role may be relied on. A stored one only says which member a write tries first, as a member's role can
+/// change without a restart.
+pub fn role(facts: &MemberFacts, source: Source, listed: ListedStart) -> Reliance {
     match (source, facts.primary) {
-        (_, None) => Use::Nothing,
-        (Source::Own, _) => Use::Proof,
-        (Source::PeerProcess, _) => Use::Bound,
-        (Source::Stored, _) if other_life(facts, listed) => Use::Nothing,
-        (Source::Stored, _) => Use::Hint,
+        (_, None) => Reliance::Nothing,
+        (Source::Own, _) => Reliance::Proof,
+        (Source::PeerProcess, _) => Reliance::Bound,
+        (Source::Stored, _) if different_start(facts, listed) => Reliance::Nothing,
+        (Source::Stored, _) => Reliance::Hint,
     }
 }
 
-/// When a member began to warm up: it cannot be warmer than that allows, whoever tells it.
-pub fn cold(facts: &MemberFacts, now: Time, warm_after: Time) -> Use {
+/// How far the begin of a slow start may be relied on: until the slow start is over it is a bound, whatever its source.
+pub fn slow_start(facts: &MemberFacts, now: Time, warm_after: Time) -> Reliance {
     match facts.warm_up_start {
-        Some(from) if now < from.saturating_add(warm_after) => Use::Bound,
-        _ => Use::Nothing,
+        Some(from) if now < from.saturating_add(warm_after) => Reliance::Bound,
+        _ => Reliance::Nothing,
     }
 }
 
-/// What was stored of members, until a list of this process's own tells what it may be used for.
+/// Stored facts about members, kept until a member list tells what they may be used for.
 #[derive(Debug, Default)]
 pub struct StoredFacts(LearnedFacts);
 
-/// What of the stored may be acted on, once a list was heard.
+/// The stored facts that may be used, once a member list was received.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct UsableFacts {
-    /// Positions that are lower bounds.
+    /// Lower bounds of members' positions.
     pub bounds: Vec<(Arc<str>, Position)>,
-    /// Members that a write may try first.
+    /// Members that a write may try first, as they were primary.
     pub primaries: Vec<Arc<str>>,
 }
 
 impl StoredFacts {
-    /// Holds what was stored.
-    pub fn new(known: LearnedFacts) -> Self {
-        StoredFacts(known)
+    /// Keeps these facts until a list confirms them.
+    pub fn new(learned: LearnedFacts) -> Self {
+        StoredFacts(learned)
     }
 
-    /// Whether there is anything to tell yet.
+    /// Whether no fact is left to be confirmed.
     pub fn is_empty(&self) -> bool {
         self.0.members.is_empty()
     }
 
-    /// A list that may be as old as what was stored names members: whom of them a write may try first.
+    /// The members that a write may try first, by a list that may be as old as the stored facts.
     pub fn hints(&self, listed: impl Fn(&str) -> ListedStart) -> Vec<Arc<str>> {
-        let hint = |facts: &MemberFacts, life| {
-            facts.primary == Some(true) && role(facts, Source::Stored, life) >= Use::Hint
+        let hint = |facts: &MemberFacts, listed| {
+            facts.primary == Some(true) && role(facts, Source::Stored, listed) >= Reliance::Hint
         };
         let members = self.0.members.iter().filter(|(name, facts)| hint(facts, listed(name)));
         members.map(|(name, _)| name.clone()).collect()
     }
 
-    /// A list was heard: what may be acted on. All else is forgotten, as no later list can make it truer.
+    /// Takes the facts that a list from discovery confirms. All others are dropped, as no later list could confirm them.
     pub fn confirm(&mut self, listed: impl Fn(&str) -> ListedStart) -> UsableFacts {
         let mut usable = UsableFacts { primaries: self.hints(&listed), ..UsableFacts::default() };
         for (name, facts) in std::mem::take(&mut self.0.members) {
-            let life = listed(&name);
-            if position(&facts, Source::Stored, life) >= Use::Bound {
+            let listed = listed(&name);
+            if position(&facts, Source::Stored, listed) >= Reliance::Bound {
                 usable.bounds.push((name, facts.position));
             }
         }
@@ -137,66 +139,66 @@
     }
 
     #[test]
-    fn a_stored_position_is_a_bound_only_while_the_start_is_proved_the_same() {
+    fn a_stored_position_is_a_bound_only_if_the_start_time_is_proved_equal() {
         let of = |start, listed| position(&facts(start), Source::Stored, listed);
-        assert_eq!(of(Some(5), ListedStart::Named(Some(5))), Use::Bound);
+        assert_eq!(of(Some(5), ListedStart::Named(Some(5))), Reliance::Bound);
         for (start, listed) in [
-            (Some(5), ListedStart::Unheard),
+            (Some(5), ListedStart::NoList),
             (Some(5), ListedStart::Absent),
             (Some(5), ListedStart::Named(Some(6))),
             (Some(5), ListedStart::Named(None)),
             (None, ListedStart::Named(None)),
             (None, ListedStart::Named(Some(5))),
         ] {
-            assert_eq!(of(start, listed), Use::Nothing, "{start:?} {listed:?}");
+            assert_eq!(of(start, listed), Reliance::Nothing, "{start:?} {listed:?}");
         }
-        assert_eq!(position(&facts(None), Source::Own, ListedStart::Unheard), Use::Proof);
-        assert_eq!(position(&facts(None), Source::PeerProcess, ListedStart::Unheard), Use::Bound);
+        assert_eq!(position(&facts(None), Source::Own, ListedStart::NoList), Reliance::Proof);
+        assert_eq!(position(&facts(None), Source::PeerProcess, ListedStart::NoList), Reliance::Bound);
     }
 
     #[test]
     fn a_stored_role_is_never_more_than_a_hint() {
         for start in [None, Some(5)] {
             for listed in [
-                ListedStart::Unheard,
+                ListedStart::NoList,
                 ListedStart::Absent,
                 ListedStart::Named(None),
                 ListedStart::Named(Some(5)),
                 ListedStart::Named(Some(6)),
             ] {
-                assert!(role(&facts(start), Source::Stored, listed) <= Use::Hint);
+                assert!(role(&facts(start), Source::Stored, listed) <= Reliance::Hint);
             }
         }
-        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(5))), Use::Hint);
-        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(6))), Use::Nothing);
-        assert_eq!(role(&MemberFacts::default(), Source::Own, ListedStart::Unheard), Use::Nothing);
+        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(5))), Reliance::Hint);
+        assert_eq!(role(&facts(Some(5)), Source::Stored, ListedStart::Named(Some(6))), Reliance::Nothing);
+        assert_eq!(role(&MemberFacts::default(), Source::Own, ListedStart::NoList), Reliance::Nothing);
     }
 
     #[test]
-    fn a_warm_up_binds_until_it_is_over() {
+    fn a_slow_start_is_a_bound_until_it_is_over() {
         let facts = MemberFacts { warm_up_start: Some(100), ..MemberFacts::default() };
-        assert_eq!(cold(&facts, 149, 50), Use::Bound);
-        assert_eq!(cold(&facts, 150, 50), Use::Nothing);
-        assert_eq!(cold(&MemberFacts::default(), 0, 50), Use::Nothing);
+        assert_eq!(slow_start(&facts, 149, 50), Reliance::Bound);
+        assert_eq!(slow_start(&facts, 150, 50), Reliance::Nothing);
+        assert_eq!(slow_start(&MemberFacts::default(), 0, 50), Reliance::Nothing);
     }
 
     #[test]
-    fn what_was_stored_is_told_once_and_only_of_members_that_a_list_names() {
-        let known = LearnedFacts {
+    fn stored_facts_are_returned_once_and_only_for_listed_members() {
+        let learned = LearnedFacts {
             members: [("a".into(), facts(Some(5))), ("b".into(), facts(Some(5))), ("c".into(), facts(None))]
                 .into(),
             ..LearnedFacts::default()
         };
-        let mut recalled = StoredFacts::new(known);
-        assert!(!recalled.is_empty());
-        let usable = recalled.confirm(|name| match name {
+        let mut stored = StoredFacts::new(learned);
+        assert!(!stored.is_empty());
+        let usable = stored.confirm(|name| match name {
             "a" => ListedStart::Named(Some(5)),
             "c" => ListedStart::Named(None),
             _ => ListedStart::Absent,
         });
         assert_eq!(usable.bounds, [("a".into(), 70)]);
         assert_eq!(usable.primaries, ["a".into(), "c".into()]);
-        assert!(recalled.is_empty());
-        assert_eq!(recalled.confirm(|_| ListedStart::Named(Some(5))), UsableFacts::default());
+        assert!(stored.is_empty());
+        assert_eq!(stored.confirm(|_| ListedStart::Named(Some(5))), UsableFacts::default());
     }
 }
--- a/src/knowledge/mod.rs
+++ b/src/knowledge/mod.rs
@@ -1,8 +1,8 @@
-//! What a proxy knows beyond what its module is told anew: facts, each with when it was learned, that other processes
-//! of the proxy and later starts of it take in. It does no I/O and holds no clock.
+//! Facts that a proxy has learned at run time, each with the time at which it was learned. Another process of the same
+//! proxy and later starts of the proxy import them. This module does no I/O and holds no clock.
 //!
-//! Merging is associative, commutative and idempotent: whatever comes twice, late or in another order leaves the same.
-//! What a fact may be used for is [`evidence`]'s to say; how facts are written down, [`mod@format`]'s.
+//! Merging is associative, commutative and idempotent: facts that arrive twice, late or out of order give the same
+//! result. [`evidence`] decides what a fact may be used for; [`mod@format`] defines how facts are serialized.
 
 pub mod evidence;
 pub mod format;
@@ -12,28 +12,28 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Most members and sessions that are written down or taken from one writing.
+/// Maximum number of members, and of sessions, in one file.
 pub const MAX_ENTRIES: usize = 16_384;
 
-/// What is known of a member, by its id in the list.
+/// What is known about a member, which its id in the member list identifies.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MemberFacts {
-    /// Its start, as the list had it when this was learned; none: the list did not say.
+    /// When the member started, according to the member list at that time; none if the list did not say.
     pub start: Option<Time>,
-    /// Highest position heard since that start; 0: none.
+    /// Highest position that the member has reported since that start; 0 if none.
     pub position: Position,
-    /// When it was last heard.
+    /// When the member last reported.
     pub last_heard: Time,
-    /// Whether it is the primary, where it has shown its role ...
+    /// Whether the member is the primary; none if its role is unknown.
     pub primary: Option<bool>,
-    /// ... and as of when.
+    /// When the role was observed.
     pub role_at: Time,
-    /// Start of its warm-up, while that lasts.
+    /// When the member's slow start began, while that lasts.
     pub warm_up_start: Option<Time>,
 }
 
 impl MemberFacts {
-    /// Takes in what else is known of the member. What was learned before its latest start is of another life.
+    /// Merges other facts about the same member. Facts from before its latest start no longer apply and are dropped.
     pub fn merge(&mut self, other: &MemberFacts) {
         if self.start != other.start {
             if other.start > self.start {
@@ -46,24 +46,24 @@
         if (other.role_at, other.primary) > (self.role_at, self.primary) {
             (self.role_at, self.primary) = (other.role_at, other.primary);
         }
-        // Warmth never counts as more than it was.
+        // The later begin of the slow start wins, so that the member is never taken to be further along than it is.
         self.warm_up_start = self.warm_up_start.max(other.warm_up_start);
     }
 }
 
-/// What was learned of members and sessions.
+/// What a proxy has learned about members and sessions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LearnedFacts {
     /// The members, by id.
     pub members: BTreeMap<Arc<str>, MemberFacts>,
-    /// The last commits of sessions that wrote lately ...
+    /// Last commit of each session that wrote recently.
     pub sessions: BTreeMap<Arc<str>, Position>,
-    /// ... and the latest of all others.
+    /// Latest commit of all other sessions.
     pub floor: Position,
 }
 
 impl LearnedFacts {
-    /// Takes in what else is known.
+    /// Merges other facts into these.
     pub fn merge(&mut self, other: &LearnedFacts) {
         for (name, facts) in &other.members {
             match self.members.get_mut(name) {
@@ -79,48 +79,49 @@
     }
 }
 
-/// Takes in what else the operators said: the later taking out wins, and of one taking out the latest putting back.
-pub fn merge_suspensions(hands: &mut Suspensions, other: &Suspensions) {
-    let order = |hand: &Suspension| (hand.suspended_at, hand.restored_at);
-    for (name, hand) in other {
-        match hands.get_mut(name) {
-            Some(known) if order(known) >= order(hand) => {}
-            Some(known) => *known = *hand,
-            None => drop(hands.insert(name.clone(), *hand)),
+/// Merges other suspensions into these. For each member the later suspension wins; of the same suspension, the latest
+/// restore.
+pub fn merge_suspensions(suspensions: &mut Suspensions, other: &Suspensions) {
+    let order = |suspension: &Suspension| (suspension.suspended_at, suspension.restored_at);
+    for (name, suspension) in other {
+        match suspensions.get_mut(name) {
+            Some(known) if order(known) >= order(suspension) => {}
+            Some(known) => *known = *suspension,
+            None => drop(suspensions.insert(name.clone(), *suspension)),
         }
     }
 }
 
-/// A text and when it held last.
+/// A text, with the last time at which it was in force.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimestampedText {
-    /// When it last held.
+    /// When the text was last in force.
     pub at: Time,
-    /// The text.
+    /// The text itself.
     pub text: Arc<str>,
 }
 
-/// All that a proxy knows.
+/// All that a proxy knows and passes on to its later starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Knowledge {
-    /// Of members and sessions.
+    /// Facts about members and sessions.
     pub learned: LearnedFacts,
-    /// What the operators said.
+    /// Members that the operators have suspended or restored.
     pub suspensions: Suspensions,
-    /// The configuration that last held.
+    /// The configuration that was last in force.
     pub settings: Option<TimestampedText>,
-    /// The member list that was last held, as discovery words it.
+    /// The last member list, in discovery's JSON format.
     pub list: Option<TimestampedText>,
 }
 
 impl Knowledge {
-    /// Takes in what else is known.
+    /// Merges other knowledge into this.
     pub fn merge(&mut self, other: &Knowledge) {
         self.learned.merge(&other.learned);
         merge_suspensions(&mut self.suspensions, &other.suspensions);
-        for (held, other) in [(&mut self.settings, &other.settings), (&mut self.list, &other.list)] {
-            if *other > *held {
-                *held = other.clone();
+        for (mine, other) in [(&mut self.settings, &other.settings), (&mut self.list, &other.list)] {
+            if *other > *mine {
+                *mine = other.clone();
             }
         }
     }
