--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,5 +1,5 @@
-//! A start that goes on from what was stored, and the gathering of what the next one goes on from: the wiring between the
-//! operators' file, the store, the configuration, the list and the core.
+//! Restores stored knowledge at startup, and writes the periodic snapshots that the next start restores. This module
+//! connects the operators' file, the store, the configuration, the member list and the core.
 
 use crate::agreement_io::RecoveredVotes;
 use crate::clock::Clock;
@@ -14,8 +14,8 @@
 use crate::reload::own_settings;
 use crate::store::actor::StoreHandle;
 use crate::store::disk::DiskFolder;
+use crate::store::log_recovery;
 use crate::store::state::{Recovered, Store};
-use crate::store::tell;
 use serde_json::Value;
 use std::borrow::Cow;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,43 +23,44 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What a start has.
+/// The configuration and the stored state that the proxy starts with.
 pub struct StartupState {
-    /// The configuration that holds.
+    /// The configuration in force.
     pub config: Config,
-    /// The same, checked.
+    /// The checked and converted form of `config`.
     pub checked: Sound,
-    /// It is the stored one, as the file cannot be used.
+    /// Whether the configuration comes from the store, as the file cannot be used.
     pub from_store: bool,
-    /// Where there is a store: that, what it had, and the configuration's text for it to keep.
+    /// If a store is enabled: its handle, the recovered state, and the text of the configuration in force.
     pub store: Option<(StoreHandle, Recovered, Arc<str>)>,
-    /// What the store had kept of what proxies agree on.
+    /// The stored votes and documents of the agreement between proxies.
     pub votes: Option<RecoveredVotes>,
-    /// The settings, as their JSON.
+    /// The `settings` object of the configuration, as JSON.
     pub own_settings: Arc<str>,
 }
 
-/// The name of the proxy, by which it finds its folder: it must be known even where the configuration cannot be read.
-fn name() -> Result<String, String> {
+/// The name of the proxy, which gives the name of its folder. It has to be known even if the configuration is unusable.
+fn proxy_name() -> Result<String, String> {
     config::lookup("BALANCER_NAME", "name").map_err(|e| format!("{e}: the store's folder cannot be found"))
 }
 
-fn open(file: &operators::Store) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
-    let place = crate::handover::proxy_folder(&file.folder.to_string_lossy(), &name()?);
-    let bad = |e: std::io::Error| format!("store {}: {e}", place.display());
-    let folder = DiskFolder::lock(&place, file.fsync == Fsync::Word).map_err(bad)?;
-    let folder = folder.ok_or_else(|| format!("store {}: another process has it", place.display()))?;
+/// Opens the store and reads all that it holds. Blocks on the disk.
+fn open_store(file: &operators::Store) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
+    let path = crate::handover::proxy_folder(&file.folder.to_string_lossy(), &proxy_name()?);
+    let bad = |e: std::io::Error| format!("store {}: {e}", path.display());
+    let folder = DiskFolder::lock(&path, file.fsync == Fsync::Word).map_err(bad)?;
+    let folder = folder.ok_or_else(|| format!("store {}: another process has it", path.display()))?;
     let (store, found) = Store::open(folder, file.most).map_err(bad)?;
-    tell(&found);
-    let mut kept = Vec::new();
+    log_recovery(&found);
+    let mut records = Vec::new();
     for prefix in RecoveredVotes::NAME_PREFIXES {
-        kept.extend(store.records_with_prefix(prefix).map_err(bad)?);
+        records.extend(store.records_with_prefix(prefix).map_err(bad)?);
     }
-    let memory = RecoveredVotes { finding: found.status, records: kept };
-    Ok((StoreHandle::start(store).map_err(bad)?, found, memory))
+    let votes = RecoveredVotes { finding: found.status, records };
+    Ok((StoreHandle::start(store).map_err(bad)?, found, votes))
 }
 
-/// The store with the text that it is to keep; without one nobody keeps it.
+/// Adds the configuration's text, which the next snapshot stores.
 fn with_settings_text(
     store: Option<(StoreHandle, Recovered)>,
     text: &[u8],
@@ -67,16 +68,16 @@
     store.map(|(store_handle, found)| (store_handle, found, String::from_utf8_lossy(text).as_ref().into()))
 }
 
-/// What reading the configuration brought.
+/// The configuration, its checked form and its text, or why it cannot be used.
 pub type Loaded = Result<(Config, Sound, Vec<u8>), String>;
 
-/// Goes by the configuration that was read, or where it cannot be used and the operators' file says so, by the last that
-/// held. It waits for the disk.
+/// Opens the store and chooses the configuration: the loaded one, or if that cannot be used and the operators' file
+/// allows it, the stored one that was last in force. Blocks on the disk.
 ///
 /// # Errors
-/// With one plain message.
+/// When neither can be used, or the store cannot be opened.
 pub fn recover(file: &operators::Store, loaded: Loaded) -> Result<StartupState, String> {
-    let store = if file.enabled { Some(open(file)?) } else { None };
+    let store = if file.enabled { Some(open_store(file)?) } else { None };
     let (store, votes) = store.map(|(store_handle, found, votes)| ((store_handle, found), votes)).unzip();
     let fault = match loaded {
         Ok((config, checked, text)) => {
@@ -93,15 +94,15 @@
         Err(fault) => fault,
     };
     let last = match &store {
-        Some((_, found)) if file.broken == Broken::TakeLast && found.status.settings_hold() => {
-            found.knowledge.settings.as_ref().map(|held| held.text.as_bytes().to_vec())
+        Some((_, found)) if file.broken == Broken::TakeLast && found.status.settings_usable() => {
+            found.knowledge.settings.as_ref().map(|settings| settings.text.as_bytes().to_vec())
         }
         _ => None,
     };
     let Some(text) = last else { return Err(fault) };
     let (config, checked) =
-        config::sound_text(&text).map_err(|e| format!("{fault}; the last that held: {e}"))?;
-    log::error!("the configuration cannot be used, and the last that held is taken: {fault}");
+        config::sound_text(&text).map_err(|e| format!("{fault}; the stored configuration: {e}"))?;
+    log::error!("the configuration cannot be used; starting with the stored configuration that was last in force: {fault}");
     count(Count::store_settings_taken);
     let own_settings = own_settings(&text);
     Ok(StartupState {
@@ -114,7 +115,8 @@
     })
 }
 
-/// The list to begin with: of the configuration's and the stored one the later. Either only says whom to ask.
+/// The member list to start with: the configured or the stored one, whichever is newer. It only says which members may
+/// be asked until discovery answers.
 pub fn initial_list<'a>(configured: &'a Value, found: Option<&Recovered>) -> Cow<'a, Value> {
     let version = |list: &Value| list.get("generation").and_then(Value::as_u64);
     let stored = found.and_then(|f| serde_json::from_str::<Value>(&f.knowledge.list.as_ref()?.text).ok());
@@ -127,55 +129,55 @@
     }
 }
 
-/// Hands the core what was stored, before the first client comes.
+/// Passes the stored knowledge to the core, before the first client is accepted.
 pub async fn restore_knowledge(
     file: &operators::Store,
     found: Recovered,
     control: &ControlHandle,
     now: Time,
 ) {
-    let waits = found.status.may_lack_words() && !file.confirm.is_zero();
-    let until = if waits { now + file.confirm.as_micros() as Time } else { 0 };
-    if waits {
+    let must_confirm = found.status.may_lack_suspensions() && !file.confirm.is_zero();
+    let until = if must_confirm { now + file.confirm.as_micros() as Time } else { 0 };
+    if must_confirm {
         log::warn!(
-            "what was said by hand may be lost: STATUS is no until CONFIRM, or for {:?}",
+            "suspensions by the operators may be lost: STATUS stays negative until CONFIRM, or for {:?}",
             file.confirm
         );
     }
     control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.knowledge), until, reply)).await;
 }
 
-/// Gathers what is known, from where it is known.
+/// Collects what the proxy knows and writes snapshots of it to the store.
 pub struct SnapshotTask {
-    /// The way to the disk.
+    /// Handle of the store that the snapshots go to.
     pub store_handle: StoreHandle,
-    /// The way to the core.
+    /// Queries the core.
     pub control: ControlHandle,
-    /// The clock.
+    /// The clock that timestamps snapshots.
     pub clock: Clock,
-    /// The configuration that holds.
+    /// The text of the configuration in force.
     pub settings: watch::Receiver<Option<TimestampedText>>,
-    /// Version of the list that is held; 0: none.
+    /// Version of the member list in use; 0 if there is none.
     pub version: Arc<AtomicU64>,
     /// Names of the zones.
     pub zones: Vec<String>,
 }
 
 impl SnapshotTask {
-    /// Writes all down at this rate, until the core has ended.
-    pub async fn run(&self, every: Duration) {
+    /// Writes a snapshot at this interval until the core has ended.
+    pub async fn run(&self, interval: Duration) {
         loop {
             if self.write().await.is_none() {
                 return;
             }
-            tokio::time::sleep(every).await;
+            tokio::time::sleep(interval).await;
         }
     }
 
-    /// Writes all down now; none once the core has ended.
+    /// Writes a snapshot now. Returns none once the core has ended.
     pub async fn write(&self) -> Option<()> {
-        let known = self.control.request(CoreCommand::ExportLearned).await?;
-        let hands = self.control.request(CoreCommand::QuerySuspensions).await?;
+        let learned = self.control.request(CoreCommand::ExportLearned).await?;
+        let suspensions = self.control.request(CoreCommand::QuerySuspensions).await?;
         let listed = self.control.request(CoreCommand::QueryMembers).await?;
         let now = self.clock.now();
         let list = (!listed.is_empty()).then(|| {
@@ -186,8 +188,8 @@
             }
         });
         let settings = self.settings.borrow().clone();
-        let all = Box::new(Knowledge { learned: known, suspensions: hands, settings, list });
-        if self.store_handle.snapshot(all, now).await.is_ok() {
+        let knowledge = Box::new(Knowledge { learned, suspensions, settings, list });
+        if self.store_handle.snapshot(knowledge, now).await.is_ok() {
             count(Count::store_snapshots);
         }
         Some(())
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings at SIGHUP: the file is read and checked whole, then taken up whole or not at all.
+//! Reloads the configuration at SIGHUP: the file is read and checked as a whole, then applied as a whole or not at all.
 
 use crate::agreement::rules::FleetSettings;
 use crate::agreement_io::SettingsUpdate;
@@ -20,65 +20,66 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// First pause before a file that could not be used is read again, as it may be half written, and for how long it is.
-const READ_AGAIN: Duration = Duration::from_millis(50);
-const READ_AGAIN_MOST: Duration = Duration::from_secs(1);
+/// First delay before a file that could not be used is read again, as it may be half written.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// For how long after SIGHUP such a file is read again.
+const RETRY_PERIOD: Duration = Duration::from_secs(1);
 
-/// What a reload changes, and who is told.
+/// The actor that applies new settings, with the channels to all who use them.
 pub struct Reload {
-    /// The configuration that holds.
+    /// The configuration in force.
     pub current: Config,
     /// The zone of this proxy.
     pub zone: u32,
-    /// Its classes.
+    /// The slots that classes keep across reloads.
     pub slots: ClassSlots,
-    /// Where the fronts learn the terms of new requests.
+    /// Passes the class table for new requests to the fronts.
     pub class_table: watch::Sender<Arc<ClassTable>>,
-    /// Where discovery's reader learns its address.
+    /// Passes the address of the discovery service to its client.
     pub discovery: watch::Sender<DiscoveryService>,
-    /// The way to the core.
+    /// Sends commands to the core.
     pub control: ControlHandle,
-    /// Where the text that holds is told to the store, if there is one.
+    /// Passes the text of the configuration in force to the store, if there is one.
     pub accepted_text: Option<watch::Sender<Option<TimestampedText>>>,
-    /// A stored configuration holds, as the file could not be read at the start.
+    /// Whether a stored configuration is in force, as the file could not be used at startup.
     pub config_from_store: Arc<AtomicBool>,
-    /// The clock.
+    /// The clock that timestamps the text for the store.
     pub clock: Clock,
-    /// Where the settings are agreed on with other proxies: those in force, and where what this proxy's own file says is
-    /// told. Its settings are then a proposal and no more.
+    /// Set if the settings are agreed on with the other proxies: receives the settings in force, and passes on those of
+    /// this proxy's own file, which are then only a proposal.
     pub fleet_settings: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
 }
 
 impl Reload {
-    /// Reads the file again at each SIGHUP. A file that cannot be used may be half written: it is read again for a
-    /// while, and then left until the next SIGHUP.
+    /// Reads the file again at each SIGHUP. A file that cannot be used may be half written: it is read again with
+    /// increasing delays for a short time, and then ignored until the next SIGHUP.
     pub async fn run(mut self, mut hangup: Signal) {
         loop {
-            let rules = async {
+            let update = async {
                 match &mut self.fleet_settings {
-                    Some((rules, _)) => rules.recv().await,
+                    Some((updates, _)) => updates.recv().await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                heard = hangup.recv() => if heard.is_none() {
+                signal = hangup.recv() => if signal.is_none() {
                     return;
                 },
-                Some((shared, done)) = rules => {
-                    self.rules(*shared).await;
+                Some((settings, done)) = update => {
+                    self.apply_fleet_settings(*settings).await;
                     let _ = done.send(());
                     continue;
                 }
             }
-            let (mut pause, mut until) = (READ_AGAIN, Instant::now() + READ_AGAIN_MOST);
+            let (mut delay, mut until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD);
             let fault = loop {
                 match config::load_again(&self.current) {
-                    Ok((told, sound, text)) => {
-                        self.take(told, sound, &text).await;
+                    Ok((config, checked, text)) => {
+                        self.apply_file(config, checked, &text).await;
                         self.config_from_store.store(false, Ordering::Relaxed);
-                        if let Some(held) = &self.accepted_text {
+                        if let Some(accepted) = &self.accepted_text {
                             let text = String::from_utf8_lossy(&text).as_ref().into();
-                            held.send_replace(Some(TimestampedText { at: self.clock.now(), text }));
+                            accepted.send_replace(Some(TimestampedText { at: self.clock.now(), text }));
                         }
                         break None;
                     }
@@ -87,10 +88,10 @@
                 }
                 tokio::select! {
                     again = hangup.recv() => match again {
-                        Some(()) => (pause, until) = (READ_AGAIN, Instant::now() + READ_AGAIN_MOST),
+                        Some(()) => (delay, until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD),
                         None => return,
                     },
-                    () = tokio::time::sleep(pause) => pause *= 2,
+                    () = tokio::time::sleep(delay) => delay *= 2,
                 }
             };
             if let Some(fault) = fault {
@@ -100,65 +101,70 @@
         }
     }
 
-    /// The settings that hold from now on.
-    async fn hold(&mut self, names: Names, mut settings: Settings, times: SocketTimes) {
+    /// Applies settings to the core and to new requests.
+    async fn apply(&mut self, names: Names, mut settings: Settings, times: SocketTimes) {
         let class_table = self.slots.replace(names, std::mem::take(&mut settings.classes));
         settings.classes = class_table.classes.clone();
-        // The module first: no request may come under terms that it does not know.
+        // The core goes first: no request may arrive with a class that the core does not know.
         self.control.request(|reply| CoreCommand::ApplySettings(Box::new(settings), times, reply)).await;
         let _ = self.class_table.send(class_table);
     }
 
-    /// What all proxies act on: with this one's own zone and random numbers.
-    async fn rules(&mut self, shared: FleetSettings) {
-        let FleetSettings { names, settings, times } = shared;
+    /// Applies settings that all proxies agree on, with this proxy's own zone and random seed.
+    async fn apply_fleet_settings(&mut self, agreed: FleetSettings) {
+        let FleetSettings { names, settings, times } = agreed;
         let (seed, zone) = (self.current.seed, self.zone);
-        self.hold(names, Settings { seed, zone, ..settings }, times).await;
-        log::info!("settings that are agreed on hold from now on");
+        self.apply(names, Settings { seed, zone, ..settings }, times).await;
+        log::info!("settings agreed on with the other proxies are in force");
         log_classes(&self.slots.current());
     }
 
-    async fn take(&mut self, told: Config, sound: Sound, text: &[u8]) {
-        let Sound { names, settings, times } = sound;
+    /// Applies the file, which was read and checked. Settings that are agreed on with other proxies are only proposed.
+    async fn apply_file(&mut self, config: Config, checked: Sound, text: &[u8]) {
+        let Sound { names, settings, times } = checked;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
         match &self.fleet_settings {
-            Some((_, own)) => {
-                own.send_replace(own_settings(text));
+            Some((_, proposed)) => {
+                proposed.send_replace(own_settings(text));
                 log::info!(
-                    "settings are agreed on with the other proxies: this file's count once they are proposed"
+                    "settings are agreed on with the other proxies: those of this file take effect once they are proposed"
                 );
             }
-            None => self.hold(names, settings, times).await,
+            None => self.apply(names, settings, times).await,
         }
-        // Also where it is the same: the list is then asked for anew.
-        let _ = self.discovery.send(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
+        // Sent even if the address is the same, so that the member list is requested again.
+        let _ =
+            self.discovery.send(DiscoveryService { address: config.discovery.clone(), proxies, delivery });
         count(Count::reloads);
-        let fixed = self.current.fixed(&told);
+        let fixed = self.current.fixed(&config);
         if !fixed.is_empty() {
             log::warn!("taken up only by a new start: {}", fixed.join(", "));
         }
-        log::info!("the configuration was read again; discovery is asked at {} from now on", told.discovery);
+        log::info!(
+            "the configuration was read again; discovery is asked at {} from now on",
+            config.discovery
+        );
         if self.fleet_settings.is_none() {
             log_classes(&self.slots.current());
         }
-        self.current = told;
+        self.current = config;
     }
 }
 
-/// The settings of a configuration, as their JSON.
+/// The `settings` object of a configuration, as JSON.
 pub fn own_settings(text: &[u8]) -> Arc<str> {
     let json: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
     json.get("settings").map(ToString::to_string).unwrap_or_default().into()
 }
 
-/// Tells the log what holds for new requests.
+/// Logs what applies to new requests of each class.
 pub fn log_classes(class_table: &ClassTable) {
     for (slot, class) in class_table.classes.iter().enumerate() {
         let name = class_table.class_name(slot);
         if class_table.class(name) == Some(slot) {
             let (aim, deadline) = (class.aim / 1000, class.deadline / 1000);
             let (need, repeat) = (&class.consistency, &class.effect);
-            log::info!(need:?, repeat:?; "class {name}: wanted in {aim} ms, given up after {deadline} ms");
+            log::info!(need:?, repeat:?; "class {name}: aim {aim} ms, deadline {deadline} ms");
         }
     }
 }
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -1,5 +1,5 @@
-//! Writes down what is known: the operators' word when it is said, all else at a bounded rate. A thread of its own waits
-//! for the disk, so that no request ever does; its mailbox is bounded, and a word that finds no room is refused.
+//! Runs the store on a thread of its own, so that no request waits for the disk. Suspensions by the operators are written
+//! at once, everything else at a bounded rate. The thread's queue is bounded; a job that finds it full is refused.
 
 use super::disk::DiskFolder;
 use super::state::Store;
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Jobs that may wait for the disk.
-const JOBS: usize = 32;
+/// Capacity of the queue of jobs that wait for the disk.
+const QUEUE_LEN: usize = 32;
 
 enum Job {
     Suspend(Arc<str>, Suspension, oneshot::Sender<Result<(), String>>),
@@ -19,65 +19,70 @@
     PutRecord(String, Vec<u8>, oneshot::Sender<Result<(), String>>),
 }
 
-/// The way to the store. Copies lead to the same one.
+/// Handle of the store's thread. Clones use the same thread.
 #[derive(Clone)]
 pub struct StoreHandle(mpsc::Sender<Job>);
 
 impl StoreHandle {
-    /// Hands a store to a thread of its own, which ends with the last copy of this.
+    /// Moves a store to a new thread, which ends once the last clone of this handle is dropped.
     ///
     /// # Errors
-    /// When there is no thread to be had.
+    /// When the thread cannot be created.
     pub fn start(mut store: Store<DiskFolder>) -> std::io::Result<Self> {
-        let (jobs, mut mailbox) = mpsc::channel(JOBS);
+        let (jobs, mut queue) = mpsc::channel(QUEUE_LEN);
         std::thread::Builder::new().name("store".into()).spawn(move || {
-            let told = |done: &std::io::Result<()>| {
+            let report = |done: &std::io::Result<()>| {
                 if let Err(e) = done {
                     count(Count::store_failures);
-                    log::warn!("store: it cannot be written: {e}");
+                    log::warn!("store: write failed: {e}");
                 }
             };
-            told(&store.begin());
-            while let Some(job) = mailbox.blocking_recv() {
+            report(&store.begin());
+            while let Some(job) = queue.blocking_recv() {
                 let (done, reply) = match job {
-                    Job::Suspend(name, hand, reply) => (store.append_suspension(&name, &hand), reply),
-                    Job::Snapshot(all, at, reply) => (store.snapshot(&all, at), reply),
+                    Job::Suspend(name, suspension, reply) => {
+                        (store.append_suspension(&name, &suspension), reply)
+                    }
+                    Job::Snapshot(knowledge, at, reply) => (store.snapshot(&knowledge, at), reply),
                     Job::PutRecord(name, bytes, reply) => (store.put_record(&name, &bytes), reply),
                 };
-                told(&done);
+                report(&done);
                 let _ = reply.send(done.map_err(|e| e.to_string()));
             }
         })?;
         Ok(StoreHandle(jobs))
     }
 
-    async fn ask(&self, job: impl FnOnce(oneshot::Sender<Result<(), String>>) -> Job) -> Result<(), String> {
+    async fn submit(
+        &self,
+        job: impl FnOnce(oneshot::Sender<Result<(), String>>) -> Job,
+    ) -> Result<(), String> {
         let (reply, done) = oneshot::channel();
         self.0.try_send(job(reply)).map_err(|_| "the disk does not keep up".to_string())?;
         done.await.unwrap_or_else(|_| Err("the store has ended".to_string()))
     }
 
-    /// Writes down all that is known.
+    /// Writes a snapshot of what the proxy knows.
     ///
     /// # Errors
-    /// Why it could not be.
-    pub async fn snapshot(&self, all: Box<Knowledge>, at: Time) -> Result<(), String> {
-        self.ask(|reply| Job::Snapshot(all, at, reply)).await
+    /// Why it could not be written.
+    pub async fn snapshot(&self, knowledge: Box<Knowledge>, at: Time) -> Result<(), String> {
+        self.submit(|reply| Job::Snapshot(knowledge, at, reply)).await
     }
 
-    /// Writes down something else by its name; an empty one takes it away.
+    /// Writes a record under a name, next to the snapshot; an empty record removes it.
     ///
     /// # Errors
-    /// Why it cannot be proved to be written.
+    /// Why the write could not be confirmed; the record may have been written.
     pub async fn put_record(&self, name: String, bytes: Vec<u8>) -> Result<(), String> {
-        self.ask(|reply| Job::PutRecord(name, bytes, reply)).await
+        self.submit(|reply| Job::PutRecord(name, bytes, reply)).await
     }
 
-    /// Writes down what the operators said of a member; only then it may have its yes.
+    /// Writes the suspension or restore of a member. The operators' call may be confirmed only after this succeeds.
     ///
     /// # Errors
-    /// Why it cannot be proved to be written.
-    pub async fn record_suspension(&self, name: Arc<str>, hand: Suspension) -> Result<(), String> {
-        self.ask(|reply| Job::Suspend(name, hand, reply)).await
+    /// Why the write could not be confirmed; it may have been written.
+    pub async fn record_suspension(&self, name: Arc<str>, suspension: Suspension) -> Result<(), String> {
+        self.submit(|reply| Job::Suspend(name, suspension, reply)).await
     }
 }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,81 +1,82 @@
-//! What the store asks of a disk, and the real one: a folder with one writer, by lock.
+//! The disk operations that the store needs, and their implementation: a folder that a lock reserves for one process.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The longest file that is read.
-const LONGEST: u64 = 64 << 20;
+/// Size in bytes up to which a file is read.
+const MAX_FILE_LEN: u64 = 64 << 20;
 
-/// Files by name. What was not forced may be lost, or cut off anywhere, when the machine stops.
+/// Files by name. Data that was not synced may be lost or truncated at any byte when the machine stops.
 pub trait Disk {
-    /// All names.
+    /// The names of all files.
     ///
     /// # Errors
     /// When the folder cannot be read.
     fn names(&self) -> io::Result<Vec<String>>;
-    /// A file's bytes; none where there is no such file.
+    /// The contents of a file; none if there is no such file.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// When the file cannot be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Makes a file of these bytes, or replaces all that was in it.
+    /// Creates a file with these contents, or overwrites it in place.
     ///
     /// # Errors
-    /// When it cannot be written; what is in it then is not known.
+    /// When the file cannot be written; its contents are then undefined.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Adds to a file, which is made where it is not there.
+    /// Appends to a file, which is created if it does not exist.
     ///
     /// # Errors
     /// As [`Disk::write`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Forces a file onto the disk.
+    /// Syncs a file to the disk.
     ///
     /// # Errors
-    /// When that fails: nothing can then be said of what was written since it last succeeded.
-    fn force(&mut self, name: &str) -> io::Result<()>;
-    /// Puts one file in the place of another, whole or not at all, and forces that.
+    /// When that fails: anything written since the last successful sync may be missing.
+    fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Atomically replaces the file `to` by the file `from`, and syncs that.
     ///
     /// # Errors
-    /// When it cannot be done.
+    /// When that fails.
     fn replace(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a file away, if it is there.
+    /// Removes a file, if it exists.
     ///
     /// # Errors
-    /// When it cannot be done.
+    /// When that fails.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// The number beside the folder that outlives it: the highest that was ever noted.
+    /// The start number that is stored outside the folder, so that it survives the loss of the folder.
     ///
     /// # Errors
     /// When it cannot be read.
-    fn witness(&self) -> io::Result<Option<u64>>;
-    /// Notes one.
+    fn outer_start_number(&self) -> io::Result<Option<u64>>;
+    /// Stores the start number outside the folder.
     ///
     /// # Errors
     /// When it cannot be written.
-    fn note(&mut self, number: u64) -> io::Result<()>;
+    fn set_outer_start_number(&mut self, number: u64) -> io::Result<()>;
 }
 
-/// A folder on the machine's disk. Its lock is free again when this is dropped, or its process ends in any way.
+/// A locked folder on the machine's disk. The lock is released when this is dropped or its process ends in any way.
 #[derive(Debug)]
 pub struct DiskFolder {
     path: PathBuf,
-    witness: PathBuf,
-    /// Whether anything is forced.
-    forces: bool,
+    /// The file beside the folder that holds the highest start number.
+    start_number_file: PathBuf,
+    /// Whether files are synced to the disk.
+    syncs: bool,
     _lock: File,
 }
 
 impl DiskFolder {
-    /// Takes the folder, which is made where it is not there; none while another process has it.
+    /// Locks the folder, which is created if it does not exist; none if another process has locked it.
     ///
     /// # Errors
-    /// When it cannot be used.
-    pub fn lock(path: &Path, forces: bool) -> io::Result<Option<Self>> {
-        let parent = path.parent().ok_or_else(|| io::Error::other("a folder within another"))?;
+    /// When the folder cannot be used.
+    pub fn lock(path: &Path, syncs: bool) -> io::Result<Option<Self>> {
+        let parent = path.parent().ok_or_else(|| io::Error::other("the folder has no parent folder"))?;
         let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default().to_string();
         fs::create_dir_all(parent)?;
-        // Beside the folder: whoever wipes or restores that leaves these alone.
+        // The lock and the start number lie beside the folder, where wiping or restoring the folder does not touch them.
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -87,21 +88,21 @@
             Err(fs::TryLockError::Error(e)) => return Err(e),
         }
         fs::create_dir_all(path)?;
-        let witness = parent.join(format!("{name}.boot"));
-        Ok(Some(DiskFolder { path: path.to_path_buf(), witness, forces, _lock: lock }))
+        let start_number_file = parent.join(format!("{name}.boot"));
+        Ok(Some(DiskFolder { path: path.to_path_buf(), start_number_file, syncs, _lock: lock }))
     }
 
     fn read_file(path: &Path) -> io::Result<Option<Vec<u8>>> {
         match fs::metadata(path) {
-            Ok(told) if told.len() > LONGEST => Err(io::Error::other("it is too long")),
+            Ok(metadata) if metadata.len() > MAX_FILE_LEN => Err(io::Error::other("the file is too large")),
             Ok(_) => fs::read(path).map(Some),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    fn force_folder(&self) -> io::Result<()> {
-        if self.forces {
+    fn sync_folder(&self) -> io::Result<()> {
+        if self.syncs {
             File::open(&self.path)?.sync_all()?;
         }
         Ok(())
@@ -129,16 +130,16 @@
         OpenOptions::new().create(true).append(true).open(self.path.join(name))?.write_all(bytes)
     }
 
-    fn force(&mut self, name: &str) -> io::Result<()> {
-        if self.forces {
+    fn sync(&mut self, name: &str) -> io::Result<()> {
+        if self.syncs {
             File::open(self.path.join(name))?.sync_all()?;
         }
-        self.force_folder()
+        self.sync_folder()
     }
 
     fn replace(&mut self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.path.join(from), self.path.join(to))?;
-        self.force_folder()
+        self.sync_folder()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
@@ -148,17 +149,17 @@
         }
     }
 
-    fn witness(&self) -> io::Result<Option<u64>> {
-        let bytes = Self::read_file(&self.witness)?;
+    fn outer_start_number(&self) -> io::Result<Option<u64>> {
+        let bytes = Self::read_file(&self.start_number_file)?;
         Ok(bytes.and_then(|b| std::str::from_utf8(&b).ok()?.trim().parse().ok()))
     }
 
-    fn note(&mut self, number: u64) -> io::Result<()> {
-        let aside = self.witness.with_extension("new");
-        fs::write(&aside, format!("{number}\n"))?;
-        if self.forces {
-            File::open(&aside)?.sync_all()?;
+    fn set_outer_start_number(&mut self, number: u64) -> io::Result<()> {
+        let temporary = self.start_number_file.with_extension("new");
+        fs::write(&temporary, format!("{number}\n"))?;
+        if self.syncs {
+            File::open(&temporary)?.sync_all()?;
         }
-        fs::rename(aside, &self.witness)
+        fs::rename(temporary, &self.start_number_file)
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! What outlasts the process, in a folder that the operators name: knowledge, written down off the request path.
+//! Persistent storage of what the proxy knows, in a folder that the operators choose, off the request path.
 //!
-//! [`state`] says what is written in which order and what is believed after; [`actor`] does it beside the runtime's
-//! thread, with a bounded mailbox, at a bounded rate. The core and the module never see a file.
+//! [`state`] defines the order of writes and what a start recovers; [`actor`] runs it on a thread of its own, apart from
+//! the runtime's, with a bounded queue and at a bounded rate. The core and the routing module do no file I/O.
 
 pub mod actor;
 pub mod disk;
@@ -11,30 +11,30 @@
 use crate::core::counters::{count, Count};
 use state::{Recovered, RecoveryStatus};
 
-/// Tells the log and the counters what a start has found.
-pub fn tell(found: &Recovered) {
+/// Logs and counts how a start has found the store.
+pub fn log_recovery(found: &Recovered) {
     let Recovered { knowledge, status, start_number, written_at } = found;
     let (what, counter) = match status {
         RecoveryStatus::Sound => ("all that was written is there", None),
         RecoveryStatus::Fresh => ("there is nothing yet", None),
-        RecoveryStatus::Lost => ("what was written is LOST", Some(Count::store_lost)),
-        RecoveryStatus::Torn => ("a part is torn or damaged; the rest is used", Some(Count::store_torn)),
-        RecoveryStatus::Foreign => {
-            ("it is none of this program's; nothing of it is used", Some(Count::store_foreign))
+        RecoveryStatus::Lost => ("the stored data is LOST", Some(Count::store_lost)),
+        RecoveryStatus::Torn => {
+            ("some data is truncated or corrupted; the rest is used", Some(Count::store_torn))
         }
-        RecoveryStatus::Newer => {
-            ("a later version has written it; nothing of it is used", Some(Count::store_newer))
+        RecoveryStatus::Foreign => {
+            ("another program wrote it; none of it is used", Some(Count::store_foreign))
         }
+        RecoveryStatus::Newer => ("a newer version wrote it; none of it is used", Some(Count::store_newer)),
         RecoveryStatus::RolledBack => {
             ("it is an OLDER COPY; its configuration is not used", Some(Count::store_rolled_back))
         }
     };
-    let (members, out) = (
+    let (members, suspended) = (
         knowledge.learned.members.len(),
         knowledge.suspensions.values().filter(|h| h.restored_at.is_none()).count(),
     );
     let line =
-        format!("store: start {start_number}: {what}; {members} members known, {out} out by hand, written at {written_at}");
+        format!("store: start {start_number}: {what}; {members} members known, {suspended} suspended, written at {written_at}");
     match counter {
         Some(counter) => {
             count(counter);
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -1,9 +1,9 @@
-//! The store's state machine over any disk: what is written in which order, and what is believed after a crash at any
+//! The store's state machine over any [`Disk`]: the order of writes, and what a start recovers after a crash at any
 //! moment. It holds no clock.
 //!
-//! A snapshot holds all that is known and names the log that goes on from it; the log holds the operators' words since.
-//! A new snapshot comes with a new, empty log and takes the place of the old one whole; only then does the old log go.
-//! Whatever is told in two places is merged, so that nothing depends on which of them was whole.
+//! A snapshot holds all that the proxy knows; a log holds the suspensions since then. A new snapshot replaces the old
+//! one atomically and starts a new, empty log; only then are the old logs removed. On recovery the snapshot and all
+//! logs are merged, so that a suspension that stands in both counts once.
 
 use super::disk::Disk;
 use super::record::{self, End};
@@ -14,211 +14,215 @@
 use std::io;
 
 const SNAPSHOT: &str = "snapshot";
-const ASIDE: &str = "snapshot.new";
-const BOOT: &str = "boot";
-const LOG: &str = "words-";
+const SNAPSHOT_TEMPORARY: &str = "snapshot.new";
+const START_NUMBER: &str = "boot";
+const LOG_PREFIX: &str = "words-";
 
-/// What a start has found.
+/// How a start has found the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveryStatus {
-    /// All that was written.
+    /// All that was written is intact.
     Sound,
-    /// Nothing, and nobody has seen an earlier start.
+    /// The store is empty, and there was no earlier start.
     Fresh,
-    /// Nothing, though there were earlier starts.
+    /// The store is empty, although there were earlier starts.
     Lost,
-    /// Something is cut off or changed; what is whole of the rest is used.
+    /// Some data is truncated or corrupted; the intact rest is used.
     Torn,
-    /// What no store of this program has written.
+    /// Another program wrote the data.
     Foreign,
-    /// What a later version has written.
+    /// A newer version of this program wrote the data.
     Newer,
-    /// An older copy than what has been there.
+    /// The folder is an older copy of the store.
     RolledBack,
 }
 
 impl RecoveryStatus {
-    /// Whether the operators may have said more than what was found.
-    pub fn may_lack_words(self) -> bool {
+    /// Whether suspensions by the operators may be missing.
+    pub fn may_lack_suspensions(self) -> bool {
         self != RecoveryStatus::Sound
     }
 
-    /// Whether the configuration found may be started from.
-    pub fn settings_hold(self) -> bool {
+    /// Whether the proxy may start with the stored configuration.
+    pub fn settings_usable(self) -> bool {
         matches!(self, RecoveryStatus::Sound | RecoveryStatus::Torn)
     }
 }
 
-/// What a start goes on from.
+/// What a start has recovered from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Recovered {
-    /// All that can be proved to have been written.
+    /// All data that is intact.
     pub knowledge: Knowledge,
-    /// How that was found.
+    /// How the store was found.
     pub status: RecoveryStatus,
-    /// The number of this start: higher than any before it.
+    /// The number of this start, higher than that of any earlier one.
     pub start_number: u64,
-    /// When the snapshot was written; 0: there is none.
+    /// When the snapshot was written; 0 if there is none.
     pub written_at: Time,
 }
 
-/// The store.
+/// The store, for the lifetime of one process.
 pub struct Store<D> {
     disk: D,
     start_number: u64,
-    /// The start's number is on the disk.
+    /// Whether the start number is on the disk.
     begun: bool,
-    /// Number of the log.
+    /// Number of the current log.
     log: u64,
-    /// Something could not be written, so that nothing may be added to this log any more.
-    broken: bool,
-    most: u64,
-    logged: u64,
+    /// A write to the current log failed, so that nothing may be appended to it any more.
+    log_failed: bool,
+    /// Maximum size in bytes of the snapshot, of the log and of each record.
+    max_len: u64,
+    /// Bytes appended to the current log.
+    log_len: u64,
 }
 
 fn log_name(number: u64) -> String {
-    format!("{LOG}{number}")
+    format!("{LOG_PREFIX}{number}")
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens it for a new start, which only reads: where all proxies start at one moment, none waits for the disk before
-    /// it serves. `most` bytes are written at most.
+    /// Opens the store at startup. This only reads, so that a proxy does not wait for disk writes before it serves, even if
+    /// all proxies start at the same moment. `max_len` limits the size of each file in bytes.
     ///
     /// # Errors
     /// When the disk cannot be read.
-    pub fn open(disk: D, most: u64) -> io::Result<(Self, Recovered)> {
-        let number =
+    pub fn open(disk: D, max_len: u64) -> io::Result<(Self, Recovered)> {
+        let parse =
             |bytes: Option<Vec<u8>>| bytes.and_then(|b| std::str::from_utf8(&b).ok()?.trim().parse().ok());
-        let (counted, seen): (Option<u64>, Option<u64>) = (number(disk.read(BOOT)?), disk.witness()?);
+        let (inner, outer): (Option<u64>, Option<u64>) =
+            (parse(disk.read(START_NUMBER)?), disk.outer_start_number()?);
         let mut logs: Vec<u64> =
-            disk.names()?.iter().filter_map(|n| n.strip_prefix(LOG)?.parse().ok()).collect();
+            disk.names()?.iter().filter_map(|n| n.strip_prefix(LOG_PREFIX)?.parse().ok()).collect();
         logs.sort_unstable();
         let snapshot = disk.read(SNAPSHOT)?.map(|bytes| format::read_snapshot(&bytes));
-        let empty = snapshot.is_none() && logs.is_empty() && counted.is_none();
+        let empty = snapshot.is_none() && logs.is_empty() && inner.is_none();
         let (mut all, at, written, mut status) = match snapshot {
             Some(Ok((all, at, written))) => (all, at, Some(written), RecoveryStatus::Sound),
             Some(Err(Unusable::Version(_))) => (Knowledge::default(), 0, None, RecoveryStatus::Newer),
             Some(Err(Unusable::Foreign)) => (Knowledge::default(), 0, None, RecoveryStatus::Foreign),
             Some(Err(_)) => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
-            None if empty && seen.is_none() => (Knowledge::default(), 0, None, RecoveryStatus::Fresh),
+            None if empty && outer.is_none() => (Knowledge::default(), 0, None, RecoveryStatus::Fresh),
             None if empty => (Knowledge::default(), 0, None, RecoveryStatus::Lost),
-            // A start that ended before its first snapshot.
+            // A process that ended before its first snapshot.
             None if logs.len() <= 1 => (Knowledge::default(), 0, None, RecoveryStatus::Sound),
             None => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
         };
         for number in &logs {
             let replay = record::replay(&disk.read(&log_name(*number))?.unwrap_or_default());
-            merge_suspensions(&mut all.suspensions, &replay.hands);
-            // A record that is cut off has never had its yes: nothing is missing.
+            merge_suspensions(&mut all.suspensions, &replay.suspensions);
+            // A truncated record was never confirmed to the operators, so nothing is missing.
             if replay.end == End::Damaged && status == RecoveryStatus::Sound {
                 status = RecoveryStatus::Torn;
             }
         }
-        let known = counted.max(written).unwrap_or(0);
-        if seen.is_some_and(|seen| seen > known) && !matches!(status, RecoveryStatus::Lost) {
+        let known = inner.max(written).unwrap_or(0);
+        if outer.is_some_and(|outer| outer > known) && !matches!(status, RecoveryStatus::Lost) {
             status = RecoveryStatus::RolledBack;
         }
-        let start_number = known.max(seen.unwrap_or(0)) + 1;
-        // Behind all others, so that no word of this start is added to what another has left unfinished.
+        let start_number = known.max(outer.unwrap_or(0)) + 1;
+        // Higher than all existing ones, so that nothing is appended to a log that an earlier process left unfinished.
         let log = logs.last().copied().unwrap_or(0) + 1;
-        let store = Store { disk, start_number, begun: false, log, broken: false, most, logged: 0 };
+        let store = Store { disk, start_number, begun: false, log, log_failed: false, max_len, log_len: 0 };
         Ok((store, Recovered { knowledge: all, status, start_number, written_at: at }))
     }
 
-    /// Puts the start's number on the disk, before anything else of this start: of two starts that have written anything
-    /// no two have the same.
+    /// Writes the start number, before anything else of this start, so that no two starts that have written anything have
+    /// the same number.
     ///
     /// # Errors
-    /// When it cannot be written; it is tried again with whatever is written next.
+    /// When it cannot be written; the next write retries it first.
     pub fn begin(&mut self) -> io::Result<()> {
         if self.begun {
             return Ok(());
         }
-        self.disk.write(BOOT, format!("{}\n", self.start_number).as_bytes())?;
-        self.disk.force(BOOT)?;
-        self.disk.note(self.start_number)?;
+        self.disk.write(START_NUMBER, format!("{}\n", self.start_number).as_bytes())?;
+        self.disk.sync(START_NUMBER)?;
+        self.disk.set_outer_start_number(self.start_number)?;
         self.begun = true;
         Ok(())
     }
 
-    /// Writes down what the operators said. Only after this it may have its yes.
+    /// Appends the suspension or restore of a member to the log. The operators' call may be confirmed only after this
+    /// succeeds.
     ///
     /// # Errors
-    /// When it cannot be proved to be on the disk; nothing more is taken until a snapshot has been.
-    pub fn append_suspension(&mut self, name: &str, hand: &Suspension) -> io::Result<()> {
+    /// When it is not certain to be on the disk; nothing more is accepted until the next snapshot.
+    pub fn append_suspension(&mut self, name: &str, suspension: &Suspension) -> io::Result<()> {
         self.begin()?;
-        if self.broken {
+        if self.log_failed {
             return Err(io::Error::other("the log broke, and no snapshot could be written since"));
         }
-        let record = record::write(name, hand);
-        if record.len() > record::LONGEST || self.logged + record.len() as u64 > self.most {
+        let record = record::encode(name, suspension);
+        if record.len() > record::MAX_RECORD_LEN || self.log_len + record.len() as u64 > self.max_len {
             return Err(io::Error::other("there is no room for it until the next snapshot"));
         }
         let log = log_name(self.log);
-        let done = self.disk.append(&log, &record).and_then(|()| self.disk.force(&log));
-        self.broken = done.is_err();
-        self.logged += record.len() as u64;
+        let done = self.disk.append(&log, &record).and_then(|()| self.disk.sync(&log));
+        self.log_failed = done.is_err();
+        self.log_len += record.len() as u64;
         done
     }
 
-    /// Writes down all that is known.
+    /// Writes a new snapshot.
     ///
     /// # Errors
-    /// When it cannot be written; the former one stays.
-    pub fn snapshot(&mut self, all: &Knowledge, at: Time) -> io::Result<()> {
+    /// When it cannot be written; the old one then stays.
+    pub fn snapshot(&mut self, knowledge: &Knowledge, at: Time) -> io::Result<()> {
         self.begin()?;
-        let bytes = format::write_snapshot(all, at, self.start_number);
-        if bytes.len() as u64 > self.most {
+        let bytes = format::write_snapshot(knowledge, at, self.start_number);
+        if bytes.len() as u64 > self.max_len {
             return Err(io::Error::other(format!(
                 "it takes {} bytes, {} are allowed",
                 bytes.len(),
-                self.most
+                self.max_len
             )));
         }
-        self.disk.write(ASIDE, &bytes)?;
-        self.disk.force(ASIDE)?;
-        self.disk.replace(ASIDE, SNAPSHOT)?;
-        // All that the logs say is in it. One that cannot be taken away is merged once more, which changes nothing.
-        let old: Vec<String> = self.disk.names()?.into_iter().filter(|n| n.starts_with(LOG)).collect();
-        (self.log, self.broken, self.logged) = (self.log + 1, false, 0);
+        self.disk.write(SNAPSHOT_TEMPORARY, &bytes)?;
+        self.disk.sync(SNAPSHOT_TEMPORARY)?;
+        self.disk.replace(SNAPSHOT_TEMPORARY, SNAPSHOT)?;
+        // The snapshot holds all that the logs say. A log that cannot be removed is merged again, which changes nothing.
+        let old: Vec<String> = self.disk.names()?.into_iter().filter(|n| n.starts_with(LOG_PREFIX)).collect();
+        (self.log, self.log_failed, self.log_len) = (self.log + 1, false, 0);
         old.iter().try_for_each(|name| self.disk.remove(name))
     }
 
-    /// Writes down something else by its name, whole or not at all; an empty one takes it away.
+    /// Atomically writes a record under a name, next to the snapshot; an empty record removes it.
     ///
     /// # Errors
-    /// When it cannot be proved to be on the disk.
+    /// When it is not certain to be on the disk.
     pub fn put_record(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.begin()?;
         if bytes.is_empty() {
             return self.disk.remove(name);
         }
-        if bytes.len() as u64 > self.most {
+        if bytes.len() as u64 > self.max_len {
             return Err(io::Error::other(format!(
                 "it takes {} bytes, {} are allowed",
                 bytes.len(),
-                self.most
+                self.max_len
             )));
         }
-        let aside = format!("{name}.new");
-        self.disk.write(&aside, bytes)?;
-        self.disk.force(&aside)?;
-        self.disk.replace(&aside, name)
+        let temporary = format!("{name}.new");
+        self.disk.write(&temporary, bytes)?;
+        self.disk.sync(&temporary)?;
+        self.disk.replace(&temporary, name)
     }
 
-    /// What was kept so, by name, of names that begin with this.
+    /// All records whose names begin with this prefix, by name.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// When they cannot be read.
     pub fn records_with_prefix(&self, prefix: &str) -> io::Result<Vec<(String, Vec<u8>)>> {
-        let mut all = Vec::new();
+        let mut records = Vec::new();
         for name in self.disk.names()? {
             if name.starts_with(prefix) && !name.ends_with(".new") {
-                all.extend(self.disk.read(&name)?.map(|bytes| (name, bytes)));
+                records.extend(self.disk.read(&name)?.map(|bytes| (name, bytes)));
             }
         }
-        all.sort();
-        Ok(all)
+        records.sort();
+        Ok(records)
     }
 
     /// The disk, for tests.
