--- a/src/handover/claims_tests.rs
+++ b/src/handover/claims_tests.rs
@@ -1,4 +1,4 @@
-//! Claims of two processes in one directory, and what stands there in their place.
+//! Claims of two processes in one directory, and other files and links with the names of claims.
 
 use super::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn of_two_that_claim_an_id_one_gets_it_and_the_other_hears_for_what() {
+fn the_second_process_to_claim_an_id_gets_the_firsts_fingerprint() {
     let (here, id) = (directory("two"), name(1));
     let there = here.clone();
     assert_eq!(here.find(&id).expect("fine"), None);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn threads_that_claim_the_same_ids_at_once_never_both_get_one() {
+fn concurrent_claims_of_an_id_succeed_once() {
     let store = directory("race");
     let claimed = std::sync::atomic::AtomicUsize::new(0);
     std::thread::scope(|scope| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_in_a_claims_place_is_a_claim() {
+fn an_unreadable_entry_with_a_claims_name_counts_as_a_claim() {
     let store = directory("torn");
     for (n, target) in ["", "1:", "2:0000000000000001:5:7", "1:1:5", "1:1:5:7:9", "1:x:5:7", "1:1:-5:7"]
         .into_iter()
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_used_neither_gives_claims_nor_holds_none() {
+fn an_unusable_directory_refuses_claims_and_reports_errors() {
     let store = directory("unusable");
     fs::remove_dir(&store.path).expect("it is empty");
     assert!(matches!(store.claim(&name(1), entry(1)), Err(ClaimError::Unknown(_))), "there is no directory");
-    assert_eq!(store.claims().expect("one that is not there holds none").count(), 0);
+    assert_eq!(store.claims().expect("a missing directory holds no claims").count(), 0);
     fs::write(&store.path, b"").expect("a file");
     assert!(matches!(store.claim(&name(1), entry(1)), Err(ClaimError::Unknown(_))));
     assert!(store.find(&name(1)).is_err() && store.claims().is_err() && store.create().is_err());
--- a/src/handover/folder.rs
+++ b/src/handover/folder.rs
@@ -1,4 +1,4 @@
-//! The folder that the processes of one proxy share: slots, the lock, and files that are whole or not there.
+//! The folder that the processes of one proxy share: process slots, a lock, and files that are replaced atomically.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Write};
@@ -6,69 +6,71 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
 
-/// Processes of one proxy that may live at a time.
+/// Number of processes of one proxy that may run at the same time.
 pub const SLOTS: usize = 2;
-/// A look at a slot takes its lock for a moment, and one that ends holds its slot a while; whoever wants a slot then
-/// tries again.
+/// Delay before another attempt to take a slot: checking a slot locks it for a moment, and a process that shuts down
+/// holds its slot for a while.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest file read.
+/// Size in bytes up to which a file is read.
 const MAX_FILE_LEN: u64 = 4 * 1024 * 1024;
 
-/// What shows that a file has changed.
-pub type Mark = Option<(SystemTime, u64)>;
+/// Modification time and inode of a file, which differ after each write; none if there is no such file.
+pub type FileVersion = Option<(SystemTime, u64)>;
 
-/// A file that others write, as far as it was read.
+/// Tracks which version of a file was last read.
 #[derive(Debug, Default)]
-pub struct FollowedFile {
-    read: Mark,
-    /// The one that could not be read, and was told.
-    failed: Mark,
+pub struct WatchedFile {
+    read: FileVersion,
+    /// The version that could not be read and was reported.
+    failed: FileVersion,
 }
 
-impl FollowedFile {
-    /// One that is followed from here on: what has this mark has been read.
-    pub fn since(mark: Mark) -> Self {
-        FollowedFile { read: mark, failed: None }
+impl WatchedFile {
+    /// Ignores this version of the file and returns later ones.
+    pub fn since(version: FileVersion) -> Self {
+        WatchedFile { read: version, failed: None }
     }
 
-    /// What it holds, if it has changed since it was read. A failure is told once for each change, and reading tried again.
-    pub fn news(
+    /// The contents of the file, if it has changed since it was last read. A failure is returned once for each version,
+    /// while reading is retried with each call.
+    pub fn read_if_changed(
         &mut self,
-        mark: Mark,
+        version: FileVersion,
         read: impl FnOnce() -> io::Result<Option<Vec<u8>>>,
     ) -> Option<io::Result<Option<Vec<u8>>>> {
-        if mark == self.read {
+        if version == self.read {
             return None;
         }
-        let news = read();
-        if news.is_ok() {
-            self.read = mark;
-        } else if self.failed == mark {
+        let contents = read();
+        if contents.is_ok() {
+            self.read = version;
+        } else if self.failed == version {
             return None;
         } else {
-            self.failed = mark;
+            self.failed = version;
         }
-        Some(news)
+        Some(contents)
     }
 }
 
-/// The folder, with the slot held in it. The slot is free again when this is dropped, or its process ends in any way.
+/// The shared folder and this process's slot in it. The slot is released when this is dropped or its process ends in
+/// any way.
 #[derive(Debug)]
 pub struct HandoverFolder {
     path: PathBuf,
-    /// Which slot it is.
+    /// Number of this process's slot.
     pub slot: usize,
     _lock: File,
-    /// Another process lived at the last look; until one has succeeded it may.
+    /// Whether the peer process was running at the last successful check; true until one has succeeded.
     peer_alive: AtomicBool,
 }
 
-/// The file whose lock tells that the process in a slot lives. Former versions know it by this name, too.
-fn lock_of(slot: usize) -> String {
+/// The file that the process in a slot keeps locked while it runs. Earlier releases use the same file name.
+fn slot_file(slot: usize) -> String {
     format!("seat-{slot}")
 }
 
-fn locked(file: &File) -> io::Result<bool> {
+fn try_lock(file: &File) -> io::Result<bool> {
     match file.try_lock() {
         Ok(()) => Ok(true),
         Err(TryLockError::WouldBlock) => Ok(false),
@@ -81,14 +83,14 @@
 }
 
 impl HandoverFolder {
-    /// Takes a slot in the folder, which is made where it is not there; none while others hold all slots. What cannot be done
-    /// is tried so many times.
+    /// Takes a slot in the folder, which is created if it does not exist; none if all slots are taken. Makes up to this
+    /// many attempts.
     ///
     /// # Errors
-    /// When the folder cannot be used, by the last try.
-    pub fn join(path: PathBuf, tries: usize) -> io::Result<Option<Self>> {
+    /// When the last attempt could not use the folder.
+    pub fn join(path: PathBuf, attempts: usize) -> io::Result<Option<Self>> {
         let mut outcome = Ok(None);
-        for _ in 0..tries {
+        for _ in 0..attempts {
             outcome = Self::try_join(&path);
             if matches!(outcome, Ok(Some(_))) {
                 break;
@@ -101,8 +103,8 @@
     fn try_join(path: &Path) -> io::Result<Option<Self>> {
         fs::create_dir_all(path)?;
         for slot in 0..SLOTS {
-            let file = open_lock_file(&path.join(lock_of(slot)))?;
-            if locked(&file)? {
+            let file = open_lock_file(&path.join(slot_file(slot)))?;
+            if try_lock(&file)? {
                 let peer_alive = AtomicBool::new(true);
                 return Ok(Some(HandoverFolder { path: path.to_path_buf(), slot, _lock: file, peer_alive }));
             }
@@ -110,22 +112,22 @@
         Ok(None)
     }
 
-    /// The other slot.
-    pub fn other(&self) -> usize {
+    /// Number of the peer process's slot.
+    pub fn peer_slot(&self) -> usize {
         1 - self.slot
     }
 
-    /// Whether another process lives, as of the last look at its slot that could be taken.
+    /// Whether the peer process is running, by the last check of its slot that succeeded.
     pub fn peer_alive(&self) -> bool {
-        match self.other_lives() {
-            Ok(lives) => self.peer_alive.store(lives, Ordering::Relaxed),
+        match self.check_peer() {
+            Ok(alive) => self.peer_alive.store(alive, Ordering::Relaxed),
             Err(e) => log::warn!("the folder of the handover cannot be used: {e}"),
         }
         self.peer_alive.load(Ordering::Relaxed)
     }
 
-    fn other_lives(&self) -> io::Result<bool> {
-        let file = open_lock_file(&self.path.join(lock_of(self.other())))?;
+    fn check_peer(&self) -> io::Result<bool> {
+        let file = open_lock_file(&self.path.join(slot_file(self.peer_slot())))?;
         match file.try_lock_shared() {
             Ok(()) => Ok(false),
             Err(TryLockError::WouldBlock) => Ok(true),
@@ -133,52 +135,52 @@
         }
     }
 
-    /// The lock under which files that both write are read, changed and written; none while the other has it. It ends
-    /// when the file is dropped.
+    /// Locks the files that both processes read, change and write; none if the peer process holds the lock. Dropping the
+    /// returned file releases it.
     ///
     /// # Errors
     /// When the folder cannot be used.
     pub fn lock(&self) -> io::Result<Option<File>> {
         let file = open_lock_file(&self.path.join("lock"))?;
-        Ok(locked(&file)?.then_some(file))
+        Ok(try_lock(&file)?.then_some(file))
     }
 
-    /// What tells whether a file has changed since: it is new with each write.
-    pub fn mark(&self, name: &str) -> Mark {
+    /// The current version of a file.
+    pub fn version(&self, name: &str) -> FileVersion {
         use std::os::unix::fs::MetadataExt;
-        let told = fs::metadata(self.path.join(name)).ok()?;
-        Some((told.modified().ok()?, told.ino()))
+        let metadata = fs::metadata(self.path.join(name)).ok()?;
+        Some((metadata.modified().ok()?, metadata.ino()))
     }
 
-    /// A file's bytes; none where there is no such file.
+    /// The contents of a file; none if there is no such file.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// When the file cannot be read or is too large.
     pub fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let path = self.path.join(name);
         match fs::metadata(&path) {
-            Ok(told) if told.len() > MAX_FILE_LEN => Err(ErrorKind::FileTooLarge.into()),
+            Ok(metadata) if metadata.len() > MAX_FILE_LEN => Err(ErrorKind::FileTooLarge.into()),
             Ok(_) => fs::read(&path).map(Some),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    /// Where a file lies.
+    /// The path of a file.
     pub fn path_of(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// Writes a file to the side and puts it in its place, so that no one ever sees a part of it.
+    /// Replaces a file atomically, so that no reader sees a part of it.
     ///
     /// # Errors
-    /// When it cannot be written; the former one then stays.
+    /// When it cannot be written; the old file then stays.
     pub fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let aside = self.path.join(format!("{name}.{}", self.slot));
-        let mut file = File::create(&aside)?;
+        let temporary = self.path.join(format!("{name}.{}", self.slot));
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         drop(file);
-        fs::rename(&aside, self.path.join(name))
+        fs::rename(&temporary, self.path.join(name))
     }
 }
 
@@ -193,7 +195,7 @@
     }
 
     #[test]
-    fn two_have_a_slot_each_and_a_third_none_until_one_goes() {
+    fn two_processes_get_a_slot_each_and_a_third_waits_for_a_free_one() {
         let path = folder("slots");
         let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         assert!(!a.peer_alive());
@@ -207,16 +209,16 @@
     }
 
     #[test]
-    fn another_process_has_not_gone_where_its_slot_cannot_be_looked_at() {
+    fn the_peer_counts_as_running_while_its_slot_cannot_be_checked() {
         let path = folder("unseen");
         let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         let b = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         assert!(a.peer_alive());
-        // A folder in its place cannot be opened for the look.
-        let lock = a.path_of(&lock_of(b.slot));
+        // A folder with the name of the slot's file cannot be opened as a file.
+        let lock = a.path_of(&slot_file(b.slot));
         fs::rename(&lock, a.path_of("aside")).expect("fine");
         fs::create_dir(&lock).expect("fine");
-        assert!(a.peer_alive(), "it lives as far as is known");
+        assert!(a.peer_alive(), "a failed check must not report its end");
         fs::remove_dir(&lock).expect("fine");
         fs::rename(a.path_of("aside"), &lock).expect("fine");
         drop(b);
@@ -225,11 +227,11 @@
     }
 
     #[test]
-    fn another_process_that_could_not_be_looked_for_yet_may_live() {
+    fn the_peer_counts_as_running_until_its_slot_was_checked_once() {
         let path = folder("unlooked");
         let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
-        // A folder in its place cannot be opened for the look.
-        let lock = a.path_of(&lock_of(a.other()));
+        // A folder with the name of the slot's file cannot be opened as a file.
+        let lock = a.path_of(&slot_file(a.peer_slot()));
         fs::create_dir(&lock).expect("fine");
         assert!(a.peer_alive());
         fs::remove_dir(&lock).expect("fine");
@@ -238,19 +240,19 @@
     }
 
     #[test]
-    fn a_file_that_cannot_be_read_for_a_moment_is_read_once_it_can_be() {
-        let mark = Some((SystemTime::UNIX_EPOCH, 1));
-        let mut file = FollowedFile::default();
+    fn reading_is_retried_after_a_failure() {
+        let version = Some((SystemTime::UNIX_EPOCH, 1));
+        let mut file = WatchedFile::default();
         let fails = || Err(ErrorKind::Other.into());
-        assert!(file.news(mark, fails).is_some_and(|news| news.is_err()));
-        assert!(file.news(mark, fails).is_none(), "it was told");
-        let news = file.news(mark, || Ok(Some(vec![7])));
-        assert_eq!(news.expect("news").expect("fine"), Some(vec![7]));
-        assert!(file.news(mark, || panic!("it was read")).is_none());
+        assert!(file.read_if_changed(version, fails).is_some_and(|contents| contents.is_err()));
+        assert!(file.read_if_changed(version, fails).is_none(), "it was told");
+        let contents = file.read_if_changed(version, || Ok(Some(vec![7])));
+        assert_eq!(contents.expect("changed").expect("fine"), Some(vec![7]));
+        assert!(file.read_if_changed(version, || panic!("it was read")).is_none());
     }
 
     #[test]
-    fn one_at_a_time_has_the_lock_and_a_write_shows_in_the_mark() {
+    fn the_lock_is_exclusive_and_each_write_changes_the_version() {
         let path = folder("lock");
         let a = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
         let b = HandoverFolder::join(path.clone(), 3).expect("fine").expect("a slot");
@@ -258,11 +260,11 @@
         assert!(b.lock().expect("fine").is_none());
         drop(held);
         assert!(b.lock().expect("fine").is_some());
-        assert_eq!((a.mark("x"), a.read("x").expect("fine")), (None, None));
+        assert_eq!((a.version("x"), a.read("x").expect("fine")), (None, None));
         a.write("x", b"one").expect("fine");
-        let first = b.mark("x");
+        let first = b.version("x");
         b.write("x", b"two").expect("fine");
-        assert_ne!(a.mark("x"), first);
+        assert_ne!(a.version("x"), first);
         assert_eq!(a.read("x").expect("fine"), Some(b"two".to_vec()));
         let _ = fs::remove_dir_all(path);
     }
--- a/src/handover/handover_tests.rs
+++ b/src/handover/handover_tests.rs
@@ -1,4 +1,4 @@
-//! The files of the folder while they cannot be read.
+//! Recording suspensions while the shared file cannot be read.
 
 use super::*;
 
@@ -8,35 +8,35 @@
     HandoverFolder::join(path, 3).expect("fine").expect("a slot")
 }
 
-/// A core that does whatever it is asked and knows of nobody out.
-async fn agrees(mut orders: mpsc::Receiver<CoreCommand>) {
-    while let Some(order) = orders.recv().await {
-        match order {
+/// A core that accepts every command and reports no suspensions.
+async fn accepting_core(mut commands: mpsc::Receiver<CoreCommand>) {
+    while let Some(command) = commands.recv().await {
+        match command {
             CoreCommand::Suspend(_, reply) => drop(reply.send(Ok(()))),
             CoreCommand::QuerySuspensions(reply) => drop(reply.send(Suspensions::default())),
             CoreCommand::ReplaceSuspensions(_, reply) => drop(reply.send(())),
-            _ => panic!("not asked here"),
+            _ => panic!("unexpected command"),
         }
     }
 }
 
-/// It may say what this process has not heard of yet.
+/// A file that cannot be read may hold suspensions that this process does not know of yet.
 #[test]
-fn what_the_operators_said_is_not_written_over_where_it_cannot_be_read() {
+fn suspensions_that_cannot_be_read_are_not_overwritten() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let folder = Arc::new(folder("unread"));
-        let hands = folder.path_of(HANDS);
-        // A link to itself cannot be read, and another file can take its place.
-        std::os::unix::fs::symlink(&hands, &hands).expect("a link");
-        let (orders, ordered) = mpsc::channel(4);
-        tokio::spawn(agrees(ordered));
-        let control = ControlHandle::new(orders, SharedFolder::joined(folder.clone()));
+        let path = folder.path_of(SUSPENSIONS_FILE);
+        // A link to itself cannot be read, but can be replaced by a file.
+        std::os::unix::fs::symlink(&path, &path).expect("a link");
+        let (commands, received) = mpsc::channel(4);
+        tokio::spawn(accepting_core(received));
+        let control = ControlHandle::new(commands, SharedFolder::joined(folder.clone()));
         let change = || control.change_suspension("a", |reply| CoreCommand::Suspend("a".into(), reply));
         let refused = change().await.expect_err("it cannot be recorded");
         assert!(refused.starts_with("the call cannot be recorded"), "{refused}");
-        assert!(std::fs::symlink_metadata(&hands).expect("there").is_symlink(), "it was written over");
-        std::fs::remove_file(&hands).expect("it was there");
+        assert!(std::fs::symlink_metadata(&path).expect("there").is_symlink(), "the file was overwritten");
+        std::fs::remove_file(&path).expect("it was there");
         change().await.expect("it can be recorded");
         let _ = std::fs::remove_dir_all(folder.path_of(""));
     });
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -1,18 +1,18 @@
-//! How two processes of one proxy come to share the repeat ids of bookings.
+//! Exchange of the repeat ids of bookings between the two processes of a proxy.
 //!
-//! The one that begins asks, by a file, for the ids of the one that serves. That one claims all of its ids in a directory
-//! that both see, and from then on each new one before it is sent; then it says so, by a file that names the question.
-//! When the other process has ended, what it has claimed is taken in, and the directory is emptied.
+//! A new process asks the running one for its ids by a query file. The running process claims all of its ids in a shared
+//! directory, and from then on each new id before the booking is sent; then it replies by a file with the query's token.
+//! When a process has ended, the other one imports its claims and empties the directory.
 //!
-//! | file | holds | written by |
+//! | file | contents | written by |
 //! | --- | --- | --- |
-//! | `ids-wanted-N` | the question of the process in slot N | whoever begins beside another process |
-//! | `ids-told-N` | the answer of the process in slot N | whoever is asked |
+//! | `ids-wanted-N` | the query of the process in slot N | a process that starts while another one runs |
+//! | `ids-told-N` | the reply of the process in slot N | the process that is asked |
 //! | `repeat-ids` | a claim for each id | both |
 
 use super::claims::ClaimDirectory;
-use super::folder::{FollowedFile, HandoverFolder};
-use super::{passed_over, usable};
+use super::folder::{HandoverFolder, WatchedFile};
+use super::{parse_or_report, report_ignored_file};
 use crate::core::counters::{count, counter_value, Count};
 use crate::core::repeat_ids::{ClaimError, ClaimStore, LedgerSummary, RepeatIds};
 use crate::interface::Time;
@@ -22,92 +22,92 @@
 use std::io::{self, ErrorKind};
 use std::sync::Arc;
 
-/// The directory of claims.
+/// Name of the directory of claims.
 const DIRECTORY: &str = "repeat-ids";
-/// Claims that are made, read or removed in one go, between which others get their turn.
+/// Number of claims that are made, read or removed before other tasks may run.
 const BATCH: usize = 64;
 
-fn wanted_of(slot: usize) -> String {
+fn query_file(slot: usize) -> String {
     format!("ids-wanted-{slot}")
 }
 
-fn told_of(slot: usize) -> String {
+fn reply_file(slot: usize) -> String {
     format!("ids-told-{slot}")
 }
 
-/// The question of a process that begins.
+/// The query of a process that starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Question {
-    /// No other question has this one's.
+struct Query {
+    /// Identifies this query.
     token: String,
-    /// How long the one that asks remembers ids, in us.
+    /// How long the asking process remembers ids, in us.
     span: Time,
 }
 
-/// The answer to one question. All ids of whoever answers are claimed by then.
+/// The reply to a query. By then the replying process has claimed all of its ids.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Told {
+struct Reply {
     token: String,
     ledger: LedgerSummary,
 }
 
-/// One process's side of the exchange.
+/// This process's side of the exchange.
 pub struct IdExchange {
     folder: Arc<HandoverFolder>,
     directory: ClaimDirectory,
-    /// None where this process takes no bookings with ids; it still answers.
+    /// None if this process accepts no bookings with ids; it still replies.
     ids: Option<RepeatIds>,
-    /// This process's own question, until it is written down.
-    unasked: Option<Question>,
-    /// The token of that question.
+    /// This process's own query, until it is written.
+    unsent_query: Option<Query>,
+    /// The token of that query.
     token: String,
-    wanted: FollowedFile,
-    told: FollowedFile,
-    /// The other process's question, until it is answered.
-    unanswered: Option<Question>,
-    /// Claims that nobody needs may stand in the directory.
-    to_clear: bool,
+    peer_query_file: WatchedFile,
+    peer_reply_file: WatchedFile,
+    /// The peer process's query, until it is answered.
+    unanswered: Option<Query>,
+    /// Whether the directory may hold claims that are no longer needed.
+    must_clear: bool,
 }
 
 impl IdExchange {
-    /// One for a folder in which a slot is held.
+    /// For a folder that was joined.
     pub fn new(folder: Arc<HandoverFolder>, ids: Option<RepeatIds>) -> Self {
         let directory = ClaimDirectory::new(folder.path_of(DIRECTORY));
-        let (wanted, told) = (FollowedFile::default(), FollowedFile::default());
+        let (peer_query_file, peer_reply_file) = (WatchedFile::default(), WatchedFile::default());
         let random = RandomState::new().hash_one(folder.slot);
         let token = format!("{}-{random:016x}", std::process::id());
         IdExchange {
             folder,
             directory,
             ids,
-            unasked: None,
+            unsent_query: None,
             token,
-            wanted,
-            told,
+            peer_query_file,
+            peer_reply_file,
             unanswered: None,
-            to_clear: false,
+            must_clear: false,
         }
     }
 
-    /// Asks for the other process's ids, where one lives; else takes in what the last ones have left. Until that is done no id
-    /// counts as new.
-    pub async fn begin(&mut self, peer_lives: bool) {
+    /// Asks the peer process for its ids if it is running; otherwise imports the claims that earlier processes have left.
+    /// Until that is done no id counts as new.
+    pub async fn start(&mut self, peer_alive: bool) {
         let Some(ids) = &self.ids else { return };
         ids.expect_peer();
-        if peer_lives {
-            self.unasked = Some(Question { token: self.token.clone(), span: ids.span() });
+        if peer_alive {
+            self.unsent_query = Some(Query { token: self.token.clone(), span: ids.span() });
         }
-        self.look(peer_lives).await;
+        self.poll(peer_alive).await;
     }
 
-    /// Whether the ids of another process have still to be heard.
+    /// Whether the peer process's reply is still missing.
     pub fn is_waiting(&self) -> bool {
         self.ids.as_ref().is_some_and(RepeatIds::is_awaiting_peer)
     }
 
-    /// One look at what the other process asks and tells, or at what it has left.
-    pub async fn look(&mut self, peer_lives: bool) {
-        let done = if peer_lives { self.look_at_peer().await } else { self.look_at_rest().await };
+    /// Handles the peer process's query and reply, or the claims that it has left.
+    pub async fn poll(&mut self, peer_alive: bool) {
+        let done = if peer_alive { self.poll_peer().await } else { self.import_and_clear().await };
         if let Err(e) = done {
             if counter_value(Count::repeat_ids_unshared) == 0 {
                 log::error!("repeat ids cannot be shared with another process of this proxy: {e}");
@@ -116,93 +116,94 @@
         }
     }
 
-    async fn look_at_peer(&mut self) -> io::Result<()> {
-        self.ask()?;
-        let name = wanted_of(self.folder.other());
-        if let Some(question) = news(&self.folder, &mut self.wanted, &name) {
-            self.unanswered = Some(question);
+    async fn poll_peer(&mut self) -> io::Result<()> {
+        self.send_query()?;
+        let name = query_file(self.folder.peer_slot());
+        if let Some(query) = read_changed(&self.folder, &mut self.peer_query_file, &name) {
+            self.unanswered = Some(query);
         }
-        if let Some(question) = self.unanswered.clone() {
-            self.answer(&question).await?;
+        if let Some(query) = self.unanswered.clone() {
+            self.answer(&query).await?;
             self.unanswered = None;
         }
-        self.hear();
+        self.receive_reply();
         Ok(())
     }
 
-    /// Writes this process's question down, once.
-    fn ask(&mut self) -> io::Result<()> {
-        if let Some(question) = &self.unasked {
-            self.folder.write(&wanted_of(self.folder.slot), &serde_json::to_vec(question)?)?;
-            self.unasked = None;
+    /// Writes this process's query, once.
+    fn send_query(&mut self) -> io::Result<()> {
+        if let Some(query) = &self.unsent_query {
+            self.folder.write(&query_file(self.folder.slot), &serde_json::to_vec(query)?)?;
+            self.unsent_query = None;
         }
         Ok(())
     }
 
-    /// Claims all ids for the other process to see, and says so.
-    async fn answer(&mut self, question: &Question) -> io::Result<()> {
+    /// Claims all ids, so that the peer process sees them, and writes the reply.
+    async fn answer(&mut self, query: &Query) -> io::Result<()> {
         let Some(ids) = self.ids.clone() else {
-            // Nothing is known here of what others entered before now.
-            let ledger = LedgerSummary { ids: 0, bytes: 0, now: 0, complete_since: 0, span: question.span };
-            return self.tell(question, ledger);
+            // This process knows nothing of bookings that others have accepted before now.
+            let ledger = LedgerSummary { ids: 0, bytes: 0, now: 0, complete_since: 0, span: query.span };
+            return self.send_reply(query, ledger);
         };
         let was_alone = ids.is_alone();
-        let done = self.share(&ids, question).await;
+        let done = self.share(&ids, query).await;
         if done.is_err() && was_alone {
-            // The other process was told nothing, and takes nothing for new.
-            self.to_clear = true;
+            // The peer process has received no reply, and treats no id as new.
+            self.must_clear = true;
             ids.stop_sharing();
         }
         done
     }
 
-    async fn share(&mut self, ids: &RepeatIds, question: &Question) -> io::Result<()> {
+    async fn share(&mut self, ids: &RepeatIds, query: &Query) -> io::Result<()> {
         self.directory.create()?;
         if ids.is_alone() {
-            self.clear().await?;
+            self.clear_claims().await?;
         } else {
-            // Claimed by a process that has ended, and whose place the one that asks has taken.
-            self.admit_all(ids).await?;
+            // These are claims of an ended process, in whose slot the asking process has started.
+            self.import_claims(ids).await?;
         }
         ids.share(self.directory.clone());
         self.claim_all(ids).await?;
-        self.tell(question, ids.summarize_for_peer(question.span))
+        self.send_reply(query, ids.summarize_for_peer(query.span))
     }
 
-    fn tell(&self, question: &Question, ledger: LedgerSummary) -> io::Result<()> {
-        let told = Told { token: question.token.clone(), ledger };
-        self.folder.write(&told_of(self.folder.slot), &serde_json::to_vec(&told)?)
+    fn send_reply(&self, query: &Query, ledger: LedgerSummary) -> io::Result<()> {
+        let reply = Reply { token: query.token.clone(), ledger };
+        self.folder.write(&reply_file(self.folder.slot), &serde_json::to_vec(&reply)?)
     }
 
-    /// Takes up the answer to this process's question.
-    fn hear(&mut self) {
+    /// Applies the reply to this process's query, if it has arrived.
+    fn receive_reply(&mut self) {
         let Some(ids) = self.ids.as_ref().filter(|ids| ids.is_awaiting_peer()) else { return };
-        let told: Option<Told> = news(&self.folder, &mut self.told, &told_of(self.folder.other()));
-        if let Some(told) = told.filter(|told| told.token == self.token) {
-            ids.accept_summary(told.ledger, self.directory.clone());
+        let reply: Option<Reply> =
+            read_changed(&self.folder, &mut self.peer_reply_file, &reply_file(self.folder.peer_slot()));
+        if let Some(reply) = reply.filter(|reply| reply.token == self.token) {
+            ids.accept_summary(reply.ledger, self.directory.clone());
         }
     }
 
-    /// The other process has ended, or there never was one.
-    async fn look_at_rest(&mut self) -> io::Result<()> {
+    /// Imports and removes the claims after the peer process has ended, or if there never was one.
+    async fn import_and_clear(&mut self) -> io::Result<()> {
         self.unanswered = None;
         let Some(ids) = self.ids.clone() else { return Ok(()) };
         if !ids.is_alone() {
-            self.admit_all(&ids).await?;
+            self.import_claims(&ids).await?;
             ids.stop_sharing();
-            self.to_clear = true;
+            self.must_clear = true;
         }
-        self.clear().await
+        self.clear_claims().await
     }
 
-    async fn admit_all(&self, ids: &RepeatIds) -> io::Result<()> {
+    async fn import_claims(&self, ids: &RepeatIds) -> io::Result<()> {
         for (n, claim) in self.directory.claims()?.enumerate() {
             let (name, entry) = claim?;
             if entry.is_none() {
-                passed_over(&name, &"it is no claim that can be read");
+                report_ignored_file(&name, &"the claim cannot be parsed");
             }
             ids.insert_foreign(name, entry);
-            turn(n).await;
+            yield_after_batch(n).await;
         }
         Ok(())
     }
@@ -215,33 +216,37 @@
                 Err(ClaimError::NoSpace) => return Err(ErrorKind::StorageFull.into()),
                 Err(ClaimError::Unknown(e)) => return Err(e),
             }
-            turn(n).await;
+            yield_after_batch(n).await;
         }
         Ok(())
     }
 
-    /// Removes all claims, if that is still to be done.
-    async fn clear(&mut self) -> io::Result<()> {
-        if !self.to_clear {
+    /// Removes all claims, if they are no longer needed.
+    async fn clear_claims(&mut self) -> io::Result<()> {
+        if !self.must_clear {
             return Ok(());
         }
         for (n, claim) in self.directory.claims()?.enumerate() {
             self.directory.release(&claim?.0)?;
-            turn(n).await;
+            yield_after_batch(n).await;
         }
-        self.to_clear = false;
+        self.must_clear = false;
         Ok(())
     }
 }
 
-/// What a file holds, if it has changed and can be understood.
-fn news<T: DeserializeOwned>(folder: &HandoverFolder, file: &mut FollowedFile, name: &str) -> Option<T> {
-    let news = file.news(folder.mark(name), || folder.read(name))?;
-    usable(name, news, |bytes| serde_json::from_slice(bytes))
+/// The contents of a file, if it has changed and can be parsed.
+fn read_changed<T: DeserializeOwned>(
+    folder: &HandoverFolder,
+    file: &mut WatchedFile,
+    name: &str,
+) -> Option<T> {
+    let contents = file.read_if_changed(folder.version(name), || folder.read(name))?;
+    parse_or_report(name, contents, |bytes| serde_json::from_slice(bytes))
 }
 
-/// Lets others run behind each batch.
-async fn turn(done: usize) {
+/// Lets other tasks run after each batch.
+async fn yield_after_batch(done: usize) {
     if done % BATCH == BATCH - 1 {
         tokio::task::yield_now().await;
     }
--- a/src/handover/id_exchange_tests.rs
+++ b/src/handover/id_exchange_tests.rs
@@ -1,4 +1,4 @@
-//! Two processes' sides of the exchange over one folder.
+//! The exchange of repeat ids between two processes over one folder.
 
 use super::*;
 use crate::clock::Clock;
@@ -6,7 +6,7 @@
 
 const SPAN: Time = 600_000_000;
 
-struct Side {
+struct Process {
     exchange: IdExchange,
     ids: RepeatIds,
 }
@@ -17,12 +17,12 @@
     path
 }
 
-async fn begin(path: &std::path::Path, peer_lives: bool, span: Time) -> Side {
+async fn start(path: &std::path::Path, peer_alive: bool, span: Time) -> Process {
     let folder = Arc::new(HandoverFolder::join(path.to_path_buf(), 3).expect("fine").expect("a slot"));
     let ids = RepeatIds::new(LedgerSize { ids: 100, bytes: 1_000 }, span, Clock::start());
     let mut exchange = IdExchange::new(folder, Some(ids.clone()));
-    exchange.begin(peer_lives).await;
-    Side { exchange, ids }
+    exchange.start(peer_alive).await;
+    Process { exchange, ids }
 }
 
 fn entry() -> SharedEntry {
@@ -38,103 +38,103 @@
 }
 
 #[tokio::test]
-async fn the_next_process_hears_all_ids_and_goes_on_with_them_alone() {
+async fn a_new_process_receives_all_ids_and_keeps_them_once_it_is_alone() {
     let path = folder("hears");
-    let mut former = begin(&path, false, SPAN).await;
+    let mut former = start(&path, false, SPAN).await;
     assert!(former.ids.is_alone() && !path.join(DIRECTORY).exists(), "alone nothing is claimed");
     (0..200).for_each(|n| former.ids.insert_foreign(name(n), Some(entry())));
-    let mut next = begin(&path, true, SPAN).await;
+    let mut next = start(&path, true, SPAN).await;
     assert!(next.exchange.is_waiting());
-    next.exchange.look(true).await;
+    next.exchange.poll(true).await;
     assert!(next.exchange.is_waiting(), "nobody has answered");
-    former.exchange.look(true).await;
+    former.exchange.poll(true).await;
     assert!(!former.ids.is_alone());
-    next.exchange.look(true).await;
+    next.exchange.poll(true).await;
     assert!(!next.exchange.is_waiting());
     assert_eq!((claims(&path), next.ids.digests().len()), (200, 0));
     drop(former);
-    next.exchange.look(false).await;
+    next.exchange.poll(false).await;
     assert!(next.ids.is_alone());
     assert_eq!((claims(&path), next.ids.digests().len()), (0, 200));
     let _ = std::fs::remove_dir_all(path);
 }
 
 #[tokio::test]
-async fn an_answer_to_another_question_proves_nothing() {
+async fn a_reply_to_another_query_is_ignored() {
     let path = folder("stale");
-    let mut former = begin(&path, false, SPAN).await;
-    let mut next = begin(&path, true, SPAN).await;
-    former.exchange.look(true).await;
-    next.exchange.look(true).await;
+    let mut former = start(&path, false, SPAN).await;
+    let mut next = start(&path, true, SPAN).await;
+    former.exchange.poll(true).await;
+    next.exchange.poll(true).await;
     assert!(!next.exchange.is_waiting());
     drop(next);
-    // Another one in its place, before the former has looked again: the answer there is not its own.
-    let mut another = begin(&path, true, SPAN).await;
-    another.exchange.look(true).await;
+    // A third process takes the slot before the first has polled again: the reply in the folder is not for it.
+    let mut another = start(&path, true, SPAN).await;
+    another.exchange.poll(true).await;
     assert!(another.exchange.is_waiting());
-    former.exchange.look(true).await;
-    another.exchange.look(true).await;
+    former.exchange.poll(true).await;
+    another.exchange.poll(true).await;
     assert!(!another.exchange.is_waiting());
     let _ = std::fs::remove_dir_all(path);
 }
 
 #[tokio::test]
-async fn where_the_one_that_was_asked_ends_what_it_did_not_tell_counts_as_entered() {
+async fn if_the_asked_process_ends_without_a_reply_its_ids_count_as_used() {
     let path = folder("ends");
-    let former = begin(&path, false, SPAN).await;
-    let mut next = begin(&path, true, SPAN).await;
+    let former = start(&path, false, SPAN).await;
+    let mut next = start(&path, true, SPAN).await;
     drop(former);
     let ended = Clock::start().now();
-    next.exchange.look(false).await;
+    next.exchange.poll(false).await;
     assert!(next.ids.is_alone());
-    let told = next.ids.summarize_for_peer(SPAN);
-    assert!(told.complete_since >= ended && told.complete_since <= told.now, "{told:?}");
+    let summary = next.ids.summarize_for_peer(SPAN);
+    assert!(summary.complete_since >= ended && summary.complete_since <= summary.now, "{summary:?}");
     let _ = std::fs::remove_dir_all(path);
 }
 
 #[tokio::test]
-async fn both_together_hold_no_more_than_one_may_and_the_shorter_span_binds_both() {
+async fn both_processes_together_keep_to_one_capacity_and_to_the_shorter_span() {
     let path = folder("bounds");
-    let mut former = begin(&path, false, SPAN).await;
+    let mut former = start(&path, false, SPAN).await;
     (0..40).for_each(|n| former.ids.insert_foreign(name(n), Some(entry())));
     let before = former.ids.summarize_for_peer(SPAN);
-    let mut next = begin(&path, true, 5 * SPAN).await;
-    former.exchange.look(true).await;
-    next.exchange.look(true).await;
+    let mut next = start(&path, true, 5 * SPAN).await;
+    former.exchange.poll(true).await;
+    next.exchange.poll(true).await;
     assert_eq!((former.ids.free_capacity().ids, next.ids.free_capacity().ids), (30, 30));
-    // It knows no more than the other remembers, and no more than the other knew.
-    let told = next.ids.summarize_for_peer(SPAN);
+    // The new process vouches for no more than the former one remembers and knew.
+    let summary = next.ids.summarize_for_peer(SPAN);
     let known_for = before.now - before.complete_since;
-    assert!(told.now - told.complete_since <= known_for.min(SPAN) + 5_000_000, "{told:?}");
+    assert!(summary.now - summary.complete_since <= known_for.min(SPAN) + 5_000_000, "{summary:?}");
     let _ = std::fs::remove_dir_all(path);
 }
 
 #[tokio::test]
-async fn a_folder_that_takes_no_claims_leaves_the_one_alone_and_the_other_waiting() {
+async fn if_claims_cannot_be_written_one_process_stays_alone_and_the_other_waits() {
     let path = folder("broken");
-    let mut former = begin(&path, false, SPAN).await;
+    let mut former = start(&path, false, SPAN).await;
     former.ids.insert_foreign(name(1), Some(entry()));
     std::fs::write(path.join(DIRECTORY), b"in the way").expect("a file");
-    let mut next = begin(&path, true, SPAN).await;
-    former.exchange.look(true).await;
-    next.exchange.look(true).await;
+    let mut next = start(&path, true, SPAN).await;
+    former.exchange.poll(true).await;
+    next.exchange.poll(true).await;
     assert!(former.ids.is_alone() && next.exchange.is_waiting());
     std::fs::remove_file(path.join(DIRECTORY)).expect("it was there");
-    former.exchange.look(true).await;
-    next.exchange.look(true).await;
+    former.exchange.poll(true).await;
+    next.exchange.poll(true).await;
     assert!(!former.ids.is_alone() && !next.exchange.is_waiting());
     assert_eq!(claims(&path), 1);
     let _ = std::fs::remove_dir_all(path);
 }
 
 #[tokio::test]
-async fn two_that_begin_at_once_tell_each_other() {
+async fn two_processes_that_start_at_once_answer_each_other() {
     let path = folder("both");
-    let mut a = begin(&path, true, SPAN).await;
-    let mut b = begin(&path, true, SPAN).await;
+    let mut a = start(&path, true, SPAN).await;
+    let mut b = start(&path, true, SPAN).await;
     for _ in 0..2 {
-        a.exchange.look(true).await;
-        b.exchange.look(true).await;
+        a.exchange.poll(true).await;
+        b.exchange.poll(true).await;
     }
     assert!(!a.exchange.is_waiting() && !b.exchange.is_waiting());
     assert!(!a.ids.is_alone() && !b.ids.is_alone());
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,8 +1,9 @@
-//! Two processes of one proxy, while a new version takes over from the old one: for rules and limits they are one.
+//! Handover between two processes of one proxy, while a new version takes over from the old one. Rules and limits apply to
+//! both together, as to one proxy.
 //!
-//! What the operators said stands in a file that either changes under a lock and both follow. While both live, each
-//! writes down what it has learned for the other to take in, and keeps to half of what the proxy may hold. The core
-//! and the module never see a file: what comes from there reaches them as orders, and as events.
+//! The operators' suspensions are kept in a file that either process changes under a lock and both watch. While both
+//! run, each writes what it has learned to a file that the other imports, and each uses half of the proxy's limits. The
+//! core and the routing module do no file I/O: they receive the contents of these files as commands and events.
 
 pub mod claims;
 pub mod commits;
@@ -19,7 +20,7 @@
 use crate::net::budget::Budget;
 use crate::store::actor::StoreHandle;
 use commits::{CommitLog, UnseenPeer};
-use folder::{FollowedFile, HandoverFolder};
+use folder::{HandoverFolder, WatchedFile};
 use id_exchange::IdExchange;
 use shared_folder::SharedFolder;
 use std::io::{self, ErrorKind};
@@ -29,107 +30,110 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Between two looks at the folder: what the operators say at one process binds the other within a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the one that begins waits for what the other has learned, and how long a call waits for the lock.
+/// Interval at which the folder is polled: a suspension at one process has to apply at the other within a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a new process waits for what its peer process has learned.
 const FIRST_KNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long a call waits for the lock.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between attempts while waiting for the lock or for the peer process.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Between two tries to join a folder that could not be used at the start.
+/// Delay between attempts to join a folder that could not be used at startup.
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
-/// The file of what the operators said.
-const HANDS: &str = "hands";
+/// The file of the operators' suspensions.
+const SUSPENSIONS_FILE: &str = "hands";
 
-/// Where the processes of this proxy meet, by its name: one of its own in the folder that they share.
+/// The folder for the processes of the proxy of this name, within a folder that all proxies share.
 pub fn proxy_folder(shared: &str, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
     PathBuf::from(shared).join(format!("linentrail-{}", name.chars().map(plain).collect::<String>()))
 }
 
-fn commits_of(slot: usize) -> String {
+fn commits_file(slot: usize) -> String {
     format!("commits-{slot}")
 }
 
-fn known_of(slot: usize) -> String {
+fn learned_file(slot: usize) -> String {
     format!("known-{slot}")
 }
 
-/// Tells the log why a file was passed over.
-fn passed_over(name: &str, why: &dyn std::fmt::Display) {
+/// Logs and counts why a file is ignored.
+fn report_ignored_file(name: &str, why: &dyn std::fmt::Display) {
     count(Count::handover_files_passed_over);
     log::warn!("the file '{name}' of the handover is passed over: {why}");
 }
 
-fn usable<T, E: std::fmt::Display>(
+/// Parses a file that was read. A file that is unusable is reported, and none is returned, as for a missing file.
+fn parse_or_report<T, E: std::fmt::Display>(
     name: &str,
     read: io::Result<Option<Vec<u8>>>,
-    sound: impl Fn(&[u8]) -> Result<T, E>,
+    parse: impl Fn(&[u8]) -> Result<T, E>,
 ) -> Option<T> {
     match read {
-        Ok(bytes) => sound(&bytes?).map_err(|why| passed_over(name, &why)).ok(),
+        Ok(bytes) => parse(&bytes?).map_err(|why| report_ignored_file(name, &why)).ok(),
         Err(e) => {
-            passed_over(name, &e);
+            report_ignored_file(name, &e);
             None
         }
     }
 }
 
-/// Where the operators' word on members is taken: recorded for both processes, and done in this one.
+/// Sends commands to the core, and records the operators' suspensions for both processes and for later starts.
 #[derive(Clone)]
 pub struct ControlHandle {
-    orders: mpsc::Sender<CoreCommand>,
+    commands: mpsc::Sender<CoreCommand>,
     folder: SharedFolder,
-    /// Where the operators' word is written down for later starts.
+    /// Records suspensions for later starts.
     store_handle: Option<StoreHandle>,
 }
 
 impl ControlHandle {
-    /// One that hands orders to the core, and records them where the proxy has a folder.
-    pub fn new(orders: mpsc::Sender<CoreCommand>, folder: SharedFolder) -> Self {
-        ControlHandle { orders, folder, store_handle: None }
+    /// A handle that sends commands to the core and records suspensions in the folder, if the proxy has one.
+    pub fn new(commands: mpsc::Sender<CoreCommand>, folder: SharedFolder) -> Self {
+        ControlHandle { commands, folder, store_handle: None }
     }
 
-    /// The same, which also writes down the operators' word for later starts.
+    /// Also records suspensions in the store, if there is one.
     pub fn with_store(self, store_handle: Option<StoreHandle>) -> Self {
         ControlHandle { store_handle, ..self }
     }
 
-    /// Asks the core; none once it has ended.
-    pub async fn request<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> CoreCommand) -> Option<T> {
+    /// Sends a command to the core and waits for the reply; none once the core has ended.
+    pub async fn request<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> CoreCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
-        self.orders.send(order(reply)).await.ok()?;
+        self.commands.send(command(reply)).await.ok()?;
         answer.await.ok()
     }
 
-    /// Tells the core something that needs no answer; none once it has ended.
-    pub async fn send(&self, order: CoreCommand) -> Option<()> {
-        self.orders.send(order).await.ok()
+    /// Sends a command that has no reply; none once the core has ended.
+    pub async fn send(&self, command: CoreCommand) -> Option<()> {
+        self.commands.send(command).await.ok()
     }
 
-    /// Has an order on a member carried out. Yes only once the module has taken it in and it is recorded.
+    /// Suspends or restores a member. Succeeds only once the core has applied the command and it is recorded.
     ///
     /// # Errors
-    /// Why not, in words.
+    /// The reason, as text for the operators.
     pub async fn change_suspension(
         &self,
         member: &str,
-        order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
+        command: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
     ) -> Result<(), String> {
-        self.record(order).await?;
+        self.apply_and_record(command).await?;
         let Some(store_handle) = &self.store_handle else { return Ok(()) };
-        let hands = self
+        let suspensions = self
             .request(CoreCommand::QuerySuspensions)
             .await
             .ok_or_else(|| "the process ends".to_string())?;
-        let Some((name, hand)) = hands.get_key_value(member) else { return Ok(()) };
-        let written = store_handle.record_suspension(name.clone(), *hand).await;
+        let Some((name, suspension)) = suspensions.get_key_value(member) else { return Ok(()) };
+        let written = store_handle.record_suspension(name.clone(), *suspension).await;
         written.map_err(|e| format!("done, but not written down for later starts: {e}"))
     }
 
-    /// Has it done, and recorded for the other process.
-    async fn record(
+    /// Applies the command in the core and records the result for the peer process.
+    async fn apply_and_record(
         &self,
-        order: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
+        command: impl FnOnce(oneshot::Sender<SuspensionResult>) -> CoreCommand,
     ) -> Result<(), String> {
         let ending = || "the process ends".to_string();
         let fault = |e: io::Error| format!("the call cannot be recorded: {e}");
@@ -137,25 +141,27 @@
             return Err(fault(io::Error::other("the folder of the handover cannot be used yet")));
         }
         let Some(folder) = self.folder.get() else {
-            return self.request(order).await.ok_or_else(ending)?.map_err(said);
+            return self.request(command).await.ok_or_else(ending)?.map_err(refusal);
         };
-        // Held until the end: another call, here or there, must neither be lost nor undo this one.
+        // Held until the file is written, so that concurrent calls at either process neither get lost nor undo this one.
         let _lock = self.lock(folder).await.map_err(fault)?;
-        let read = match folder.read(HANDS) {
-            // It may say more than this process has heard, and must not be written over.
+        let read = match folder.read(SUSPENSIONS_FILE) {
+            // The file may hold suspensions that this process does not know of, and must not be overwritten.
             Err(e) if e.kind() != ErrorKind::FileTooLarge => return Err(fault(e)),
             read => read,
         };
-        if let Some(hands) = usable(HANDS, read, format::read_suspensions) {
-            self.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await.ok_or_else(ending)?;
+        if let Some(suspensions) = parse_or_report(SUSPENSIONS_FILE, read, format::read_suspensions) {
+            self.request(|reply| CoreCommand::ReplaceSuspensions(suspensions, reply))
+                .await
+                .ok_or_else(ending)?;
         }
-        self.request(order).await.ok_or_else(ending)?.map_err(said)?;
-        let hands = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(ending)?;
-        folder.write(HANDS, &format::write_suspensions(&hands)).map_err(fault)
+        self.request(command).await.ok_or_else(ending)?.map_err(refusal)?;
+        let suspensions = self.request(CoreCommand::QuerySuspensions).await.ok_or_else(ending)?;
+        folder.write(SUSPENSIONS_FILE, &format::write_suspensions(&suspensions)).map_err(fault)
     }
 
     async fn lock(&self, folder: &HandoverFolder) -> io::Result<std::fs::File> {
-        let free = async {
+        let acquire = async {
             loop {
                 if let Some(file) = folder.lock()? {
                     return Ok(file);
@@ -163,34 +169,34 @@
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         };
-        tokio::time::timeout(LOCK_TIMEOUT, free)
+        tokio::time::timeout(LOCK_TIMEOUT, acquire)
             .await
             .unwrap_or_else(|_| Err(io::Error::other("the lock is taken")))
     }
 }
 
-fn said(no: SuspensionError) -> String {
-    match no {
+fn refusal(error: SuspensionError) -> String {
+    match error {
         SuspensionError::UnknownMember => "no list has named a member of that id".to_string(),
         SuspensionError::TooManySuspended => "too many members are out".to_string(),
     }
 }
 
-/// The actor of the folder.
+/// The actor that watches the shared folder and exchanges files with the peer process.
 pub struct Handover {
     folder: Arc<HandoverFolder>,
     control: ControlHandle,
     budget: Budget,
     clock: Clock,
-    hands: FollowedFile,
-    known: FollowedFile,
+    suspensions: WatchedFile,
+    peer_learned: WatchedFile,
     id_exchange: IdExchange,
-    /// Holds what the other may use, while it lives.
-    lent: Option<AbortHandle>,
+    /// The task that reserves the peer process's half of the limits while the peer runs.
+    reservation: Option<AbortHandle>,
 }
 
 impl Handover {
-    /// One for a folder in which a slot is held; `ids` are those of the bookings that this process takes, if it does.
+    /// An actor for a folder that was joined; `ids` are the repeat ids of this process, if it accepts bookings.
     pub fn new(
         folder: Arc<HandoverFolder>,
         control: ControlHandle,
@@ -198,15 +204,15 @@
         clock: Clock,
         ids: Option<RepeatIds>,
     ) -> Self {
-        let (hands, known) = (FollowedFile::default(), FollowedFile::default());
+        let (suspensions, peer_learned) = (WatchedFile::default(), WatchedFile::default());
         let id_exchange = IdExchange::new(folder.clone(), ids);
-        Handover { folder, control, budget, clock, hands, known, id_exchange, lent: None }
+        Handover { folder, control, budget, clock, suspensions, peer_learned, id_exchange, reservation: None }
     }
 
-    /// Joins a folder that could not be used at the start, once it can be, and follows it until the core has ended.
+    /// Joins a folder that could not be used at startup, once it is usable, and watches it until the core has ended.
     pub async fn join_late(
         shared: SharedFolder,
-        place: PathBuf,
+        path: PathBuf,
         control: ControlHandle,
         budget: Budget,
         clock: Clock,
@@ -216,8 +222,8 @@
         control.request(|reply| CoreCommand::SetPeer(unseen, reply)).await;
         let folder = loop {
             tokio::time::sleep(JOIN_INTERVAL).await;
-            let place = place.clone();
-            if let Ok(Ok(Some(folder))) = tokio::task::spawn_blocking(|| HandoverFolder::join(place, 1)).await
+            let path = path.clone();
+            if let Ok(Ok(Some(folder))) = tokio::task::spawn_blocking(|| HandoverFolder::join(path, 1)).await
             {
                 break Arc::new(folder);
             }
@@ -226,87 +232,89 @@
         shared.join(folder.clone());
         let mut handover = Handover::new(folder, control.clone(), budget, clock, ids);
         handover.take_over().await;
-        if handover.lent.is_none() {
+        if handover.reservation.is_none() {
             control.request(|reply| CoreCommand::SetPeer(None, reply)).await;
         }
         handover.run().await;
     }
 
-    /// Takes over what there is to take over, before the first client comes.
+    /// Imports what the peer process has learned, before the first client is accepted.
     pub async fn take_over(&mut self) {
-        // What another process has left, or wrote before this one began, is not what the one that lives knows now. Told by
-        // the file itself: the clocks of two processes may differ.
-        self.known = FollowedFile::since(self.folder.mark(&known_of(self.folder.other())));
-        self.follow().await;
-        // A file of this process's own, whatever the last one in this slot has left.
-        if let Err(e) = self.folder.write(&commits_of(self.folder.slot), &[]) {
+        // A file that was written before this process started may be outdated or left by an earlier process, so only a
+        // later version counts. The file's version decides, not a time, as the clocks of two processes may differ.
+        self.peer_learned = WatchedFile::since(self.folder.version(&learned_file(self.folder.peer_slot())));
+        self.import_suspensions().await;
+        // Replaces the file that the last process in this slot has left.
+        if let Err(e) = self.folder.write(&commits_file(self.folder.slot), &[]) {
             log::warn!("the folder of the handover cannot be used: {e}");
         }
         let peer_alive = self.folder.peer_alive();
-        self.id_exchange.begin(peer_alive).await;
+        self.id_exchange.start(peer_alive).await;
         if !peer_alive {
             return;
         }
-        self.share().await;
-        let word = async {
-            while self.learn().await.is_none() {
+        self.share_limits().await;
+        let import = async {
+            while self.import_learned().await.is_none() {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
             while self.id_exchange.is_waiting() {
                 tokio::time::sleep(RETRY_INTERVAL).await;
-                self.id_exchange.look(self.folder.peer_alive()).await;
+                self.id_exchange.poll(self.folder.peer_alive()).await;
             }
         };
-        match tokio::time::timeout(FIRST_KNOWLEDGE_TIMEOUT, word).await {
+        match tokio::time::timeout(FIRST_KNOWLEDGE_TIMEOUT, import).await {
             Ok(()) => log::info!("another process of this proxy serves; what it has learned is taken over"),
             Err(_) => {
-                log::warn!("another process of this proxy serves, but does not tell what it has learned")
+                log::warn!(
+                    "another process of this proxy serves, but has not shared what it has learned in time"
+                )
             }
         }
     }
 
-    /// Follows the folder until the core has ended.
+    /// Polls the folder until the core has ended.
     pub async fn run(mut self) {
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
-            self.follow().await;
+            tokio::time::sleep(POLL_INTERVAL).await;
+            self.import_suspensions().await;
             let peer_alive = self.folder.peer_alive();
-            if peer_alive != self.lent.is_some() {
+            if peer_alive != self.reservation.is_some() {
                 if peer_alive {
-                    log::info!("another process of this proxy has begun; each keeps to half of the limits");
-                    self.share().await;
+                    log::info!("another process of this proxy has started; each uses half of the limits");
+                    self.share_limits().await;
                 } else {
                     log::info!("the other process of this proxy has ended");
-                    self.lent.take().inspect(AbortHandle::abort);
+                    self.reservation.take().inspect(AbortHandle::abort);
                     self.control.request(|reply| CoreCommand::SetPeer(None, reply)).await;
                 }
             }
-            self.id_exchange.look(peer_alive).await;
-            if peer_alive && self.tell().await.is_none() {
+            self.id_exchange.poll(peer_alive).await;
+            if peer_alive && self.export_learned().await.is_none() {
                 return;
             }
             if peer_alive {
-                self.learn().await;
+                self.import_learned().await;
             }
         }
     }
 
-    /// Half of the limits is the other's from now on; what is in use beyond that goes as it comes free.
-    async fn share(&mut self) {
+    /// Gives half of the limits to the peer process; what is in use beyond the other half follows as it is released.
+    async fn share_limits(&mut self) {
         count(Count::handovers);
         let budget = self.budget.clone();
-        let (told, held) = oneshot::channel();
+        let (reserved, half_reserved) = oneshot::channel();
         let task = tokio::spawn(async move {
             let _half = budget.lend().await;
-            let _ = told.send(());
+            let _ = reserved.send(());
             std::future::pending::<()>().await;
         });
-        self.lent = Some(task.abort_handle());
-        // Before the first client comes all is free at once; later nobody waits for it.
-        let _ = tokio::time::timeout(RETRY_INTERVAL, held).await;
-        // From now on the other hears of each commit; what came before it learns next.
-        let place = |slot| self.folder.path_of(&commits_of(slot));
-        match CommitLog::open(&place(self.folder.slot), place(self.folder.other())) {
+        self.reservation = Some(task.abort_handle());
+        // Before the first client everything is free and this succeeds at once; later nothing waits for it.
+        let _ = tokio::time::timeout(RETRY_INTERVAL, half_reserved).await;
+        // From now on the peer process receives each commit; earlier ones come with the next file of learned facts.
+        let path = |slot| self.folder.path_of(&commits_file(slot));
+        match CommitLog::open(&path(self.folder.slot), path(self.folder.peer_slot())) {
             Ok(log) => {
                 let commits: Option<Box<dyn CommitExchange>> = Some(Box::new(log));
                 self.control.request(|reply| CoreCommand::SetPeer(commits, reply)).await;
@@ -315,31 +323,34 @@
         }
     }
 
-    /// Takes up what the operators said, here or there.
-    async fn follow(&mut self) -> Option<()> {
-        let mark = self.folder.mark(HANDS);
-        let Some(news) = self.hands.news(mark, || self.folder.read(HANDS)) else { return Some(()) };
-        let hands: Suspensions = usable(HANDS, news, format::read_suspensions)?;
-        self.control.request(|reply| CoreCommand::ReplaceSuspensions(hands, reply)).await
+    /// Applies suspensions that either process has recorded.
+    async fn import_suspensions(&mut self) -> Option<()> {
+        let version = self.folder.version(SUSPENSIONS_FILE);
+        let Some(contents) = self.suspensions.read_if_changed(version, || self.folder.read(SUSPENSIONS_FILE))
+        else {
+            return Some(());
+        };
+        let suspensions: Suspensions = parse_or_report(SUSPENSIONS_FILE, contents, format::read_suspensions)?;
+        self.control.request(|reply| CoreCommand::ReplaceSuspensions(suspensions, reply)).await
     }
 
-    /// Writes down what was learned here; none once the core has ended.
-    async fn tell(&mut self) -> Option<()> {
-        let known = self.control.request(CoreCommand::ExportLearned).await?;
-        let name = known_of(self.folder.slot);
-        if let Err(e) = self.folder.write(&name, &format::write_learned(&known, self.clock.now())) {
-            log::warn!("what was learned cannot be written down: {e}");
+    /// Writes what this process has learned; none once the core has ended.
+    async fn export_learned(&mut self) -> Option<()> {
+        let learned = self.control.request(CoreCommand::ExportLearned).await?;
+        let name = learned_file(self.folder.slot);
+        if let Err(e) = self.folder.write(&name, &format::write_learned(&learned, self.clock.now())) {
+            log::warn!("the file of learned facts cannot be written: {e}");
         }
         Some(())
     }
 
-    /// Takes in what the other has learned, where it has written that down since the last look.
-    async fn learn(&mut self) -> Option<()> {
-        let name = known_of(self.folder.other());
-        let mark = self.folder.mark(&name);
-        let news = self.known.news(mark, || self.folder.read(&name))?;
-        let (known, _) = usable(&name, news, format::read_learned)?;
-        self.control.request(|reply| CoreCommand::ImportLearned(known, reply)).await
+    /// Imports what the peer process has learned, if its file has changed since the last poll.
+    async fn import_learned(&mut self) -> Option<()> {
+        let name = learned_file(self.folder.peer_slot());
+        let version = self.folder.version(&name);
+        let contents = self.peer_learned.read_if_changed(version, || self.folder.read(&name))?;
+        let (learned, _) = parse_or_report(&name, contents, format::read_learned)?;
+        self.control.request(|reply| CoreCommand::ImportLearned(learned, reply)).await
     }
 }
 
--- a/src/handover/shared_folder.rs
+++ b/src/handover/shared_folder.rs
@@ -1,9 +1,9 @@
-//! The folder of a proxy's processes as its users see it: there may be none, or it may not be usable yet.
+//! The shared folder as its users hold it: there may be none, or it may not be usable yet.
 
 use super::folder::HandoverFolder;
 use std::sync::{Arc, OnceLock};
 
-/// The folder, where this proxy is to have one. Copies see it joined at the same time.
+/// The shared folder, if this proxy is to have one. Clones share the state.
 #[derive(Debug, Clone, Default)]
 pub struct SharedFolder {
     expected: bool,
@@ -11,19 +11,19 @@
 }
 
 impl SharedFolder {
-    /// One that is to be joined.
+    /// A folder that is still to be joined.
     pub fn expected() -> Self {
         SharedFolder { expected: true, ..SharedFolder::default() }
     }
 
-    /// One that is joined.
+    /// A folder that is joined already.
     pub fn joined(folder: Arc<HandoverFolder>) -> Self {
         let shared = SharedFolder::expected();
         shared.join(folder);
         shared
     }
 
-    /// It has been joined; only the first one counts.
+    /// Sets the joined folder; only the first call has an effect.
     pub fn join(&self, folder: Arc<HandoverFolder>) {
         let _ = self.folder.set(folder);
     }
@@ -33,7 +33,7 @@
         self.folder.get()
     }
 
-    /// Whether it has still to be joined: another process may live that this one cannot see.
+    /// Whether the folder is still to be joined: a peer process may be running that this one cannot see.
     pub fn is_missing(&self) -> bool {
         self.expected && self.folder.get().is_none()
     }
