--- a/src/handover/claims.rs
+++ b/src/handover/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of repeat ids in a directory that the processes of one proxy share.
 //!
-//! A claim is a symbolic link named after the digest of the id; its target holds the booking's entry. The kernel creates
-//! a link atomically and for one process only, and it stays when that process is killed.
+//! A claim is a symbolic link named after the digest of the id; its target holds the booking's entry. The kernel
+//! creates a link atomically and for one process only, and it stays when that process is killed.
 
 use crate::core::repeat_ids::{ClaimError, ClaimStore};
 use crate::core::repeat_ledger::SharedEntry;
--- a/src/handover/commits.rs
+++ b/src/handover/commits.rs
@@ -1,8 +1,9 @@
 //! Exchange of sessions' commits between the two processes of a proxy.
 //!
-//! A client that has the answer to a write may read at once, through the other process. So each process appends a commit
-//! to its own file before it sends the answer, and reads the other's file before it serves a session's read. This applies
-//! only while both processes run; each learns of earlier commits from the other's file of learned facts.
+//! A client that has the answer to a write may read at once, through the other process. So each process appends a
+//! commit to its own file before it sends the answer, and reads the other's file before it serves a session's read.
+//! This applies only while both processes run; each learns of earlier commits from the other's file of learned
+//! facts.
 
 use crate::core::counters::{count, Count};
 use crate::core::{CommitExchange, PeerCommits};
@@ -30,8 +31,8 @@
     record
 }
 
-/// Removes all complete records from the buffer and returns them. An incomplete one stays: its writer has not answered the
-/// client yet. An empty name stands for all sessions.
+/// Removes all complete records from the buffer and returns them. An incomplete one stays: its writer has not
+/// answered the client yet. An empty name stands for all sessions.
 pub fn take_commits(buffer: &mut Vec<u8>) -> Vec<(Arc<str>, Position)> {
     let (mut found, mut at) = (Vec::new(), 0);
     while let Some(length) = buffer.get(at).map(|n| usize::from(*n)) {
@@ -102,8 +103,8 @@
         file.write_all(bytes)
     }
 
-    /// Replaces a file that cannot be appended to. The other process may not have read the old file to its end, so the new
-    /// file first says that any session may have written up to the old file's highest position.
+    /// Replaces a file that cannot be appended to. The other process may not have read the old file to its end, so
+    /// the new file first says that any session may have written up to the old file's highest position.
     fn replace_file(&mut self) -> io::Result<()> {
         self.file = None;
         // Removed before the new file exists, so that the other process never relies on a file that lacks commits.
@@ -311,7 +312,8 @@
         let mut there = CommitLog::open(&b, a.clone()).expect("fine");
         here.record_commit("k", 5);
         assert!(there.take_received().complete);
-        // The client has its answer, and the other process has not read since, when the file can no longer be written.
+        // The client has its answer, and the other process has not read since, when the file can no longer be
+        // written.
         here.record_commit("k", 6);
         here.own.file = Some(File::open(&a).expect("for reading alone"));
         here.record_commit("j", 7);
--- a/src/handover/folder.rs
+++ b/src/handover/folder.rs
@@ -31,8 +31,8 @@
         WatchedFile { read: version, failed: None }
     }
 
-    /// The contents of the file, if it has changed since it was last read. A failure is returned once for each version,
-    /// while reading is retried with each call.
+    /// The contents of the file, if it has changed since it was last read. A failure is returned once for each
+    /// version, while reading is retried with each call.
     pub fn read_if_changed(
         &mut self,
         version: FileVersion,
@@ -83,8 +83,8 @@
 }
 
 impl HandoverFolder {
-    /// Takes a slot in the folder, which is created if it does not exist; none if all slots are taken. Makes up to this
-    /// many attempts.
+    /// Takes a slot in the folder, which is created if it does not exist; none if all slots are taken. Makes up to
+    /// this many attempts.
     ///
     /// # Errors
     /// When the last attempt could not use the folder.
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Locks the files that both processes read, change and write; none if the peer process holds the lock. Dropping the
-    /// returned file releases it.
+    /// Locks the files that both processes read, change and write; none if the peer process holds the lock.
+    /// Dropping the returned file releases it.
     ///
     /// # Errors
     /// When the folder cannot be used.
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -1,8 +1,8 @@
 //! Exchange of the repeat ids of bookings between the two processes of a proxy.
 //!
-//! A new process asks the running one for its ids by a query file. The running process claims all of its ids in a shared
-//! directory, and from then on each new id before the booking is sent; then it replies by a file with the query's token.
-//! When a process has ended, the other one imports its claims and empties the directory.
+//! A new process asks the running one for its ids by a query file. The running process claims all of its ids in a
+//! shared directory, and from then on each new id before the booking is sent; then it replies by a file with the
+//! query's token. When a process has ended, the other one imports its claims and empties the directory.
 //!
 //! | file | contents | written by |
 //! | --- | --- | --- |
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Asks the peer process for its ids if it is running; otherwise imports the claims that earlier processes have left.
-    /// Until that is done no id counts as new.
+    /// Asks the peer process for its ids if it is running; otherwise imports the claims that earlier processes have
+    /// left. Until that is done no id counts as new.
     pub async fn start(&mut self, peer_alive: bool) {
         let Some(ids) = &self.ids else { return };
         ids.expect_peer();
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,9 +1,10 @@
-//! Handover between two processes of one proxy, while a new version takes over from the old one. Rules and limits apply to
-//! both together, as to one proxy.
+//! Handover between two processes of one proxy, while a new version takes over from the old one. Rules and limits
+//! apply to both together, as to one proxy.
 //!
-//! The operators' suspensions are kept in a file that either process changes under a lock and both watch. While both
-//! run, each writes what it has learned to a file that the other imports, and each uses half of the proxy's limits. The
-//! core and the routing module do no file I/O: they receive the contents of these files as commands and events.
+//! The operators' suspensions are kept in a file that either process changes under a lock and both watch. While
+//! both run, each writes what it has learned to a file that the other imports, and each uses half of the proxy's
+//! limits. The core and the routing module do no file I/O: they receive the contents of these files as commands and
+//! events.
 
 pub mod claims;
 pub mod commits;
@@ -143,7 +144,8 @@
         let Some(folder) = self.folder.get() else {
             return self.request(command).await.ok_or_else(ending)?.map_err(refusal);
         };
-        // Held until the file is written, so that concurrent calls at either process neither get lost nor undo this one.
+        // Held until the file is written, so that concurrent calls at either process neither get lost nor undo this
+        // one.
         let _lock = self.lock(folder).await.map_err(fault)?;
         let read = match folder.read(SUSPENSIONS_FILE) {
             // The file may hold suspensions that this process does not know of, and must not be overwritten.
@@ -240,8 +242,9 @@
 
     /// Imports what the peer process has learned, before the first client is accepted.
     pub async fn take_over(&mut self) {
-        // A file that was written before this process started may be outdated or left by an earlier process, so only a
-        // later version counts. The file's version decides, not a time, as the clocks of two processes may differ.
+        // A file that was written before this process started may be outdated or left by an earlier process, so
+        // only a later version counts. The file's version decides, not a time, as the clocks of two processes may
+        // differ.
         self.peer_learned = WatchedFile::since(self.folder.version(&learned_file(self.folder.peer_slot())));
         self.import_suspensions().await;
         // Replaces the file that the last process in this slot has left.
--- a/src/knowledge/evidence.rs
+++ b/src/knowledge/evidence.rs
@@ -43,8 +43,8 @@
     Named(Option<Time>),
 }
 
-/// Whether the member has not restarted since the fact was learned. Only a start time that both name proves it: a member
-/// that was replaced at the same address may be listed without one.
+/// Whether the member has not restarted since the fact was learned. Only a start time that both name proves it: a
+/// member that was replaced at the same address may be listed without one.
 fn same_start(facts: &MemberFacts, listed: ListedStart) -> bool {
     matches!(listed, ListedStart::Named(Some(start)) if facts.start == Some(start))
 }
@@ -76,7 +76,8 @@
     }
 }
 
-/// How far the begin of a slow start may be relied on: until the slow start is over it is a bound, whatever its source.
+/// How far the begin of a slow start may be relied on: until the slow start is over it is a bound, whatever its
+/// source.
 pub fn slow_start(facts: &MemberFacts, now: Time, warm_after: Time) -> Reliance {
     match facts.warm_up_start {
         Some(from) if now < from.saturating_add(warm_after) => Reliance::Bound,
@@ -117,7 +118,8 @@
         members.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes the facts that a list from discovery confirms. All others are dropped, as no later list could confirm them.
+    /// Takes the facts that a list from discovery confirms. All others are dropped, as no later list could confirm
+    /// them.
     pub fn confirm(&mut self, listed: impl Fn(&str) -> ListedStart) -> UsableFacts {
         let mut usable = UsableFacts { primaries: self.hints(&listed), ..UsableFacts::default() };
         for (name, facts) in std::mem::take(&mut self.0.members) {
--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -1,8 +1,8 @@
 //! Serialization of [`Knowledge`] for the peer process of the proxy and for later starts. This module does no I/O.
 //!
-//! A file is a header line with the format's name, its version, and the length and checksum of the body, followed by
-//! the body in JSON. A file that does not match its header is rejected whole: it is truncated or corrupted, or another
-//! program or a newer version wrote it.
+//! A file is a header line with the format's name, its version, and the length and checksum of the body, followed
+//! by the body in JSON. A file that does not match its header is rejected whole: it is truncated or corrupted, or
+//! another program or a newer version wrote it.
 
 use super::{Knowledge, LearnedFacts, MemberFacts, TimestampedText, MAX_ENTRIES};
 use crate::effective_list::{Suspension, Suspensions, MAX_SUSPENDED};
@@ -127,8 +127,8 @@
         .iter()
         .map(|(name, m)| json!([&**name, m.position, m.primary, m.warm_up_start]))
         .collect();
-    // These fields have their own table: the previous release ignores a table that it does not know, but rejects entries
-    // of another length in the members' table.
+    // These fields have their own table: the previous release ignores a table that it does not know, but rejects
+    // entries of another length in the members' table.
     let lives: Map<String, Value> = learned
         .members
         .iter()
@@ -206,8 +206,8 @@
     encode(&body.into())
 }
 
-/// Parses a file that [`write_snapshot`] made. Returns the knowledge, the time at which it was written, and the number
-/// of the start that wrote it.
+/// Parses a file that [`write_snapshot`] made. Returns the knowledge, the time at which it was written, and the
+/// number of the start that wrote it.
 ///
 /// # Errors
 /// When the file is rejected.
@@ -259,7 +259,7 @@
     #[test]
     fn a_file_of_the_previous_release_is_read_without_the_fields_that_it_lacks() {
         let body = json!({"at": 5, "members": [["a", 77, true, null]], "sessions": {"k": 3}, "floor": 2});
-        let (learned, at) = read_learned(&encode(&body)).expect("a valid file");
+        let (learned, at) = read_learned(&encode(&body)).expect("it is sound");
         let facts = MemberFacts { position: 77, primary: Some(true), ..MemberFacts::default() };
         assert_eq!((learned.members.get("a"), at), (Some(&facts), 5));
     }
--- a/src/knowledge/mod.rs
+++ b/src/knowledge/mod.rs
@@ -1,5 +1,5 @@
-//! Facts that a proxy has learned at run time, each with the time at which it was learned. Another process of the same
-//! proxy and later starts of the proxy import them. This module does no I/O and holds no clock.
+//! Facts that a proxy has learned at run time, each with the time at which it was learned. Another process of the
+//! same proxy and later starts of the proxy import them. This module does no I/O and holds no clock.
 //!
 //! Merging is associative, commutative and idempotent: facts that arrive twice, late or out of order give the same
 //! result. [`evidence`] decides what a fact may be used for; [`mod@format`] defines how facts are serialized.
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -39,7 +39,8 @@
     pub own_settings: Arc<str>,
 }
 
-/// The name of the proxy, which gives the name of its folder. It has to be known even if the configuration is unusable.
+/// The name of the proxy, which gives the name of its folder. It has to be known even if the configuration is
+/// unusable.
 fn proxy_name() -> Result<String, String> {
     config::lookup("BALANCER_NAME", "name").map_err(|e| format!("{e}: the store's folder cannot be found"))
 }
@@ -102,7 +103,7 @@
     let Some(text) = last else { return Err(fault) };
     let (config, checked) =
         config::sound_text(&text).map_err(|e| format!("{fault}; the stored configuration: {e}"))?;
-    log::error!("the configuration cannot be used; starting with the stored configuration that was last in force: {fault}");
+    log::error!("the configuration cannot be used; using the stored one that was last in force: {fault}");
     count(Count::store_settings_taken);
     let own_settings = own_settings(&text);
     Ok(StartupState {
@@ -115,8 +116,8 @@
     })
 }
 
-/// The member list to start with: the configured or the stored one, whichever is newer. It only says which members may
-/// be asked until discovery answers.
+/// The member list to start with: the configured or the stored one, whichever is newer. It only says which members
+/// may be asked until discovery answers.
 pub fn initial_list<'a>(configured: &'a Value, found: Option<&Recovered>) -> Cow<'a, Value> {
     let version = |list: &Value| list.get("generation").and_then(Value::as_u64);
     let stored = found.and_then(|f| serde_json::from_str::<Value>(&f.knowledge.list.as_ref()?.text).ok());
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the configuration at SIGHUP: the file is read and checked as a whole, then applied as a whole or not at all.
+//! Reloads the configuration at SIGHUP: the file is read and checked as a whole, then applied as a whole or not at
+//! all.
 
 use crate::agreement::rules::FleetSettings;
 use crate::agreement_io::SettingsUpdate;
@@ -45,8 +46,8 @@
     pub config_from_store: Arc<AtomicBool>,
     /// The clock that timestamps the text for the store.
     pub clock: Clock,
-    /// Set if the settings are agreed on with the other proxies: receives the settings in force, and passes on those of
-    /// this proxy's own file, which are then only a proposal.
+    /// Set if the settings are agreed on with the other proxies: receives the settings in force, and passes on
+    /// those of this proxy's own file, which are then only a proposal.
     pub fleet_settings: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
 }
 
@@ -119,7 +120,8 @@
         log_classes(&self.slots.current());
     }
 
-    /// Applies the file, which was read and checked. Settings that are agreed on with other proxies are only proposed.
+    /// Applies the file, which was read and checked. Settings that are agreed on with other proxies are only
+    /// proposed.
     async fn apply_file(&mut self, config: Config, checked: Sound, text: &[u8]) {
         let Sound { names, settings, times } = checked;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
@@ -127,7 +129,7 @@
             Some((_, proposed)) => {
                 proposed.send_replace(own_settings(text));
                 log::info!(
-                    "settings are agreed on with the other proxies: those of this file take effect once they are proposed"
+                    "settings are agreed on with the other proxies: this file's apply once they are proposed"
                 );
             }
             None => self.apply(names, settings, times).await,
--- a/src/store/actor.rs
+++ b/src/store/actor.rs
@@ -1,5 +1,6 @@
-//! Runs the store on a thread of its own, so that no request waits for the disk. Suspensions by the operators are written
-//! at once, everything else at a bounded rate. The thread's queue is bounded; a job that finds it full is refused.
+//! Runs the store on a thread of its own, so that no request waits for the disk. Suspensions by the operators are
+//! written at once, everything else at a bounded rate. The thread's queue is bounded; a job that finds it full is
+//! refused.
 
 use super::disk::DiskFolder;
 use super::state::Store;
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -40,11 +40,12 @@
         Err(io::Error::other("the machine has stopped"))
     }
 
-    /// The disk after the machine has stopped: of the data that was not synced, `keep` sixths remain.
+    /// The disk after the machine has stopped: of the data that was not synced, `keep` parts of 6 remain.
     fn after(&self, keep: usize) -> MemoryDisk {
         let mut files = self.files.clone();
         for file in files.values_mut() {
-            // Contents that were overwritten and not synced may be cut at any byte; after an append what was synced stays.
+            // Contents that were overwritten and not synced may be cut at any byte; after an append what was synced
+            // stays.
             let appended = file.current.starts_with(&file.synced);
             let certain = if appended { file.synced.len() } else { 0 };
             let rest = file.current.len() - certain;
@@ -170,8 +171,8 @@
     }
 }
 
-/// One run of the store: suspensions, a snapshot, more suspensions, a snapshot. Returns the disk, the suspensions that
-/// were confirmed, the start number and the time of the last snapshot, as far as they were written.
+/// One run of the store: suspensions, a snapshot, more suspensions, a snapshot. Returns the disk, the suspensions
+/// that were confirmed, the start number and the time of the last snapshot, as far as they were written.
 fn run_store(disk: MemoryDisk) -> (MemoryDisk, Suspensions, Option<u64>, Option<u64>) {
     let disk: SharedMemory = Rc::new(RefCell::new(disk));
     let (mut confirmed, mut start_number, mut snapshot) = (Suspensions::new(), None, None);
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -76,7 +76,8 @@
         let parent = path.parent().ok_or_else(|| io::Error::other("the folder has no parent folder"))?;
         let name = path.file_name().and_then(|n| n.to_str()).unwrap_or_default().to_string();
         fs::create_dir_all(parent)?;
-        // The lock and the start number lie beside the folder, where wiping or restoring the folder does not touch them.
+        // The lock and the start number lie beside the folder, where wiping or restoring the folder does not touch
+        // them.
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! Persistent storage of what the proxy knows, in a folder that the operators choose, off the request path.
 //!
-//! [`state`] defines the order of writes and what a start recovers; [`actor`] runs it on a thread of its own, apart from
-//! the runtime's, with a bounded queue and at a bounded rate. The core and the routing module do no file I/O.
+//! [`state`] defines the order of writes and what a start recovers; [`actor`] runs it on a thread of its own, apart
+//! from the runtime's, with a bounded queue and at a bounded rate. The core and the routing module do no file I/O.
 
 pub mod actor;
 pub mod disk;
@@ -33,8 +33,10 @@
         knowledge.learned.members.len(),
         knowledge.suspensions.values().filter(|h| h.restored_at.is_none()).count(),
     );
-    let line =
-        format!("store: start {start_number}: {what}; {members} members known, {suspended} suspended, written at {written_at}");
+    let line = format!(
+        "store: start {start_number}: {what}; {members} members known, {suspended} suspended, \
+         written at {written_at}"
+    );
     match counter {
         Some(counter) => {
             count(counter);
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -1,5 +1,5 @@
-//! Records of the append-only log: one framed and checksummed record for each suspension or restore. This module does no
-//! I/O.
+//! Records of the append-only log: one framed and checksummed record for each suspension or restore. This module
+//! does no I/O.
 //!
 //! A record is the length and the checksum of its body, four bytes each, little-endian, and the body in JSON. Reading
 //! stops at the first incomplete record. A truncated last record is what a crash during a write leaves; any other
--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -83,8 +83,8 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the store at startup. This only reads, so that a proxy does not wait for disk writes before it serves, even if
-    /// all proxies start at the same moment. `max_len` limits the size of each file in bytes.
+    /// Opens the store at startup. This only reads, so that a proxy does not wait for disk writes before it serves,
+    /// even if all proxies start at the same moment. `max_len` limits the size of each file in bytes.
     ///
     /// # Errors
     /// When the disk cannot be read.
@@ -98,8 +98,10 @@
         logs.sort_unstable();
         let snapshot = disk.read(SNAPSHOT)?.map(|bytes| format::read_snapshot(&bytes));
         let empty = snapshot.is_none() && logs.is_empty() && inner.is_none();
-        let (mut all, at, written, mut status) = match snapshot {
-            Some(Ok((all, at, written))) => (all, at, Some(written), RecoveryStatus::Sound),
+        let (mut knowledge, written_at, snapshot_number, mut status) = match snapshot {
+            Some(Ok((knowledge, written_at, number))) => {
+                (knowledge, written_at, Some(number), RecoveryStatus::Sound)
+            }
             Some(Err(Unusable::Version(_))) => (Knowledge::default(), 0, None, RecoveryStatus::Newer),
             Some(Err(Unusable::Foreign)) => (Knowledge::default(), 0, None, RecoveryStatus::Foreign),
             Some(Err(_)) => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
@@ -111,25 +113,26 @@
         };
         for number in &logs {
             let replay = record::replay(&disk.read(&log_name(*number))?.unwrap_or_default());
-            merge_suspensions(&mut all.suspensions, &replay.suspensions);
+            merge_suspensions(&mut knowledge.suspensions, &replay.suspensions);
             // A truncated record was never confirmed to the operators, so nothing is missing.
             if replay.end == End::Damaged && status == RecoveryStatus::Sound {
                 status = RecoveryStatus::Torn;
             }
         }
-        let known = inner.max(written).unwrap_or(0);
+        let known = inner.max(snapshot_number).unwrap_or(0);
         if outer.is_some_and(|outer| outer > known) && !matches!(status, RecoveryStatus::Lost) {
             status = RecoveryStatus::RolledBack;
         }
         let start_number = known.max(outer.unwrap_or(0)) + 1;
-        // Higher than all existing ones, so that nothing is appended to a log that an earlier process left unfinished.
+        // Higher than all existing ones, so that nothing is appended to a log that an earlier process left
+        // unfinished.
         let log = logs.last().copied().unwrap_or(0) + 1;
         let store = Store { disk, start_number, begun: false, log, log_failed: false, max_len, log_len: 0 };
-        Ok((store, Recovered { knowledge: all, status, start_number, written_at: at }))
+        Ok((store, Recovered { knowledge, status, start_number, written_at }))
     }
 
-    /// Writes the start number, before anything else of this start, so that no two starts that have written anything have
-    /// the same number.
+    /// Writes the start number, before anything else of this start, so that no two starts that have written
+    /// anything have the same number.
     ///
     /// # Errors
     /// When it cannot be written; the next write retries it first.
@@ -182,7 +185,8 @@
         self.disk.write(SNAPSHOT_TEMPORARY, &bytes)?;
         self.disk.sync(SNAPSHOT_TEMPORARY)?;
         self.disk.replace(SNAPSHOT_TEMPORARY, SNAPSHOT)?;
-        // The snapshot holds all that the logs say. A log that cannot be removed is merged again, which changes nothing.
+        // The snapshot holds all that the logs say. A log that cannot be removed is merged again, which changes
+        // nothing.
         let old: Vec<String> = self.disk.names()?.into_iter().filter(|n| n.starts_with(LOG_PREFIX)).collect();
         (self.log, self.log_failed, self.log_len) = (self.log + 1, false, 0);
         old.iter().try_for_each(|name| self.disk.remove(name))
