--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -22,7 +22,7 @@
     /// The file has another version.
     Version(u32),
     /// The body is truncated or corrupted.
-    Torn,
+    Corrupted,
     /// The body lacks this item, or its value is not valid.
     Malformed(&'static str),
 }
@@ -34,7 +34,7 @@
             Unusable::Version(v) => {
                 write!(f, "the file has version {v}, and only version {VERSION} is supported")
             }
-            Unusable::Torn => write!(f, "the file is truncated or corrupted"),
+            Unusable::Corrupted => write!(f, "the file is truncated or corrupted"),
             Unusable::Malformed(what) => write!(f, "invalid or missing in the file: {what}"),
         }
     }
@@ -53,8 +53,8 @@
     let (header, body) = bytes.split_at(end.ok_or(Unusable::Foreign)?);
     let body = &body[1..];
     let header = std::str::from_utf8(header).map_err(|_| Unusable::Foreign)?;
-    let words: Vec<&str> = header.split(' ').collect();
-    let [MAGIC, version, length, sum] = words[..] else { return Err(Unusable::Foreign) };
+    let fields: Vec<&str> = header.split(' ').collect();
+    let [MAGIC, version, length, sum] = fields[..] else { return Err(Unusable::Foreign) };
     let version: u32 = version.parse().map_err(|_| Unusable::Foreign)?;
     if version != VERSION {
         return Err(Unusable::Version(version));
@@ -62,7 +62,7 @@
     let intact =
         length.parse() == Ok(body.len()) && u32::from_str_radix(sum, 16) == Ok(crc32fast::hash(body));
     if !intact {
-        return Err(Unusable::Torn);
+        return Err(Unusable::Corrupted);
     }
     serde_json::from_slice(body).map_err(|_| Unusable::Malformed("JSON"))
 }
@@ -129,7 +129,7 @@
         .collect();
     // These fields have their own table: the previous release ignores a table that it does not know, but rejects
     // entries of another length in the members' table.
-    let lives: Map<String, Value> = learned
+    let extra_fields: Map<String, Value> = learned
         .members
         .iter()
         .map(|(name, m)| (name.to_string(), json!([m.start, m.last_heard, m.role_at])))
@@ -138,7 +138,7 @@
         learned.sessions.iter().map(|(name, at)| (name.to_string(), json!(at))).collect();
     let body = [
         ("members", members.into()),
-        ("lives", lives.into()),
+        ("lives", extra_fields.into()),
         ("sessions", sessions.into()),
         ("floor", learned.floor.into()),
     ];
@@ -171,8 +171,8 @@
             return Err(Unusable::Malformed("member"));
         };
         // The previous release does not write this table.
-        let life_fields = body.get("lives").and_then(|lives| lives.get(name)).and_then(Value::as_array);
-        let field = |n: usize| life_fields.and_then(|l| l.get(n)).and_then(Value::as_u64);
+        let extra_fields = body.get("lives").and_then(|all| all.get(name)).and_then(Value::as_array);
+        let field = |n: usize| extra_fields.and_then(|l| l.get(n)).and_then(Value::as_u64);
         let facts = MemberFacts {
             start: field(0),
             position: position.as_u64().ok_or(Unusable::Malformed("position"))?,
@@ -273,19 +273,19 @@
 
     #[test]
     fn a_truncated_or_corrupted_file_is_rejected_whole() {
-        for whole in [write_suspensions(&suspensions()), write_learned(&learned(), 80)] {
-            for end in 0..whole.len() {
+        for file in [write_suspensions(&suspensions()), write_learned(&learned(), 80)] {
+            for end in 0..file.len() {
                 assert!(
-                    read_suspensions(&whole[..end]).is_err() && read_learned(&whole[..end]).is_err(),
+                    read_suspensions(&file[..end]).is_err() && read_learned(&file[..end]).is_err(),
                     "{end}"
                 );
             }
             // A single changed bit anywhere is detected.
-            for bit in 0..whole.len() * 8 {
-                let mut bad = whole.clone();
+            for bit in 0..file.len() * 8 {
+                let mut bad = file.clone();
                 bad[bit / 8] ^= 1 << (bit % 8);
                 // A changed bit may only switch the case of a hexadecimal digit of the checksum.
-                let same = bad.eq_ignore_ascii_case(&whole);
+                let same = bad.eq_ignore_ascii_case(&file);
                 assert!(same || read_suspensions(&bad).is_err() && read_learned(&bad).is_err(), "bit {bit}");
             }
         }
--- a/src/store/crash_tests.rs
+++ b/src/store/crash_tests.rs
@@ -64,24 +64,24 @@
         Ok(self.files.get(name).map(|f| f.current.clone()))
     }
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let (done, whole) = self.step(bytes.len() as u64 + 1);
+        let (done, completed) = self.step(bytes.len() as u64 + 1);
         if done > 0 {
             let file = self.files.entry(name.into()).or_default();
             file.current = bytes[..(done as usize - 1).min(bytes.len())].to_vec();
         }
-        if whole {
+        if completed {
             Ok(())
         } else {
             Self::stopped()
         }
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let (done, whole) = self.step(bytes.len() as u64 + 1);
+        let (done, completed) = self.step(bytes.len() as u64 + 1);
         if done > 0 {
             let file = self.files.entry(name.into()).or_default();
             file.current.extend(&bytes[..(done as usize - 1).min(bytes.len())]);
         }
-        if whole {
+        if completed {
             Ok(())
         } else {
             Self::stopped()
@@ -92,19 +92,19 @@
         if self.failing_sync == Some(self.syncs) {
             return Err(io::Error::other("sync failed"));
         }
-        let (_, whole) = self.step(1);
-        if let (true, Some(file)) = (whole, self.files.get_mut(name)) {
+        let (_, completed) = self.step(1);
+        if let (true, Some(file)) = (completed, self.files.get_mut(name)) {
             file.synced = file.current.clone();
         }
-        if whole {
+        if completed {
             Ok(())
         } else {
             Self::stopped()
         }
     }
     fn replace(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let (_, whole) = self.step(1);
-        if !whole {
+        let (_, completed) = self.step(1);
+        if !completed {
             return Self::stopped();
         }
         let file = self.files.remove(from).ok_or_else(|| io::Error::other("there is none"))?;
@@ -112,8 +112,8 @@
         Ok(())
     }
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let (_, whole) = self.step(1);
-        if !whole {
+        let (_, completed) = self.step(1);
+        if !completed {
             return Self::stopped();
         }
         self.files.remove(name);
@@ -123,8 +123,8 @@
         Ok(self.outer_start_number)
     }
     fn set_outer_start_number(&mut self, number: u64) -> io::Result<()> {
-        let (_, whole) = self.step(1);
-        if !whole {
+        let (_, completed) = self.step(1);
+        if !completed {
             return Self::stopped();
         }
         self.outer_start_number = Some(number);
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -30,7 +30,7 @@
     #[default]
     Complete,
     /// With a truncated record.
-    Torn,
+    Truncated,
     /// With bytes that no crash leaves: corrupted or foreign.
     Damaged,
 }
@@ -65,14 +65,14 @@
         let number =
             |at: usize| rest.get(at..at + 4).and_then(|b| b.first_chunk()).map(|b| u32::from_le_bytes(*b));
         let (Some(length), Some(sum)) = (number(0), number(4)) else {
-            replay.end = End::Torn;
+            replay.end = End::Truncated;
             return replay;
         };
         let length = length as usize;
         let Some(record) = rest.get(HEADER_LEN..HEADER_LEN + length).filter(|_| length <= MAX_RECORD_LEN)
         else {
             // An impossible length is damage; one that reaches past the end may be a truncated record.
-            replay.end = if length > MAX_RECORD_LEN { End::Damaged } else { End::Torn };
+            replay.end = if length > MAX_RECORD_LEN { End::Damaged } else { End::Truncated };
             return replay;
         };
         let intact = crc32fast::hash(record) == sum;
@@ -117,9 +117,9 @@
         let (bytes, ends) = log();
         for end in 0..bytes.len() {
             let replay = replay(&bytes[..end]);
-            let whole = ends.iter().rfind(|e| **e <= end).copied().expect("0 is one");
-            assert_eq!(replay.complete_len, whole, "{end}");
-            assert_eq!(replay.end, if end == whole { End::Complete } else { End::Torn }, "{end}");
+            let complete_len = ends.iter().rfind(|e| **e <= end).copied().expect("0 is one");
+            assert_eq!(replay.complete_len, complete_len, "{end}");
+            assert_eq!(replay.end, if end == complete_len { End::Complete } else { End::Truncated }, "{end}");
         }
     }
 
