--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -44,7 +44,7 @@
 /// The file of the operators' suspensions.
 const SUSPENSIONS_FILE: &str = "hands";
 
-/// The folder for the processes of the proxy of this name, within a folder that all proxies share.
+/// The folder of the proxy of this name, within a base folder. All processes of the proxy use the same one.
 pub fn proxy_folder(shared: &str, name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
     PathBuf::from(shared).join(format!("linentrail-{}", name.chars().map(plain).collect::<String>()))
