--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -21,8 +21,8 @@
 use crate::net::discovery::{self, ListReader};
 use crate::net::transient;
 use crate::operators::agreement::{Agreement, OnLapse};
-use crate::store::actor::Scribe;
-use crate::store::state::Finding;
+use crate::store::actor::StoreHandle;
+use crate::store::state::RecoveryStatus;
 use bytes::Bytes;
 use fetch::{FetchRequest, Resource};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -109,7 +109,7 @@
     /// Receives settings that have come into force.
     pub settings_updates: mpsc::Sender<SettingsUpdate>,
     /// The store; `None` where this proxy has none and thus does not vote.
-    pub store: Option<Scribe>,
+    pub store: Option<StoreHandle>,
     /// The version of the member list that discovery has delivered here.
     pub list_version: Arc<AtomicU64>,
     /// The names of the zones.
@@ -125,7 +125,7 @@
 /// What the store held at the start of the process.
 pub struct RecoveredVotes {
     /// The condition of the store.
-    pub finding: Finding,
+    pub finding: RecoveryStatus,
     /// Stored votes and documents, by name.
     pub records: Vec<(String, Vec<u8>)>,
 }
@@ -139,8 +139,8 @@
         let stored = self.records.iter().find(|(name, _)| name == VOTES);
         let votes = stored.map(|(_, bytes)| decode_votes(bytes));
         match (votes, self.finding) {
-            (None, Finding::Sound | Finding::Fresh) => Voter::new(Votes::default()),
-            (Some(Some(votes)), Finding::Sound) => Voter::new(votes),
+            (None, RecoveryStatus::Sound | RecoveryStatus::Fresh) => Voter::new(Votes::default()),
+            (Some(Some(votes)), RecoveryStatus::Sound) => Voter::new(votes),
             (votes, finding) => {
                 log::warn!(
                     "votes: {finding:?}; promises may be lost, so the voter recovers from the others first"
@@ -443,7 +443,7 @@
         let task_results = self.task_results.clone();
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            let written = store.keep(name, bytes).await;
+            let written = store.put_record(name, bytes).await;
             let _ = task_results.send(to_result(written)).await;
         });
     }
--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::effective_list::EffectiveList;
 use crate::interface::*;
-use crate::knowledge::evidence::Recalled;
+use crate::knowledge::evidence::StoredFacts;
 use crate::phases::StartupTracker;
 use crate::policy::member_clock::MemberClock;
 use crate::Router;
@@ -79,7 +79,7 @@
     open_client_ids: HashSet<Bytes>,
     pub(super) sessions: SessionLedger,
     /// Stored facts about members, kept until a list tells what they may be used for.
-    pub(super) stored_facts: Recalled,
+    pub(super) stored_facts: StoredFacts,
     /// Up to this time, sessions whose reads carry no position may have written without this process knowing it.
     pub(super) unmarked_writes_until: Position,
     /// Until this time, suspensions made by the operators may be missing.
@@ -123,7 +123,7 @@
             live: FxHashMap::default(),
             open_client_ids: HashSet::new(),
             sessions: SessionLedger::new(MAX_SESSIONS),
-            stored_facts: Recalled::default(),
+            stored_facts: StoredFacts::default(),
             unmarked_writes_until: 0,
             unconfirmed_until: 0,
             startup: StartupTracker::new(clock.now()),
--- a/src/core/actor_tests.rs
+++ b/src/core/actor_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::class_table::{ClassSlots, ClassTable};
-use crate::knowledge::{Knowledge, Known, MemberFacts};
+use crate::knowledge::{Knowledge, LearnedFacts, MemberFacts};
 use crate::net::member_state::SharedMemberState;
 use std::net::SocketAddr;
 
@@ -71,8 +71,10 @@
         let mut actor = actor(vec![listed(1, None), listed(2, None)]);
         let now = actor.clock.now();
         let facts = |position| MemberFacts { position, primary: Some(false), ..MemberFacts::default() };
-        let known_with =
-            |position| Known { members: [("m1".into(), facts(position))].into(), ..Known::default() };
+        let known_with = |position| LearnedFacts {
+            members: [("m1".into(), facts(position))].into(),
+            ..LearnedFacts::default()
+        };
         let first = actor.learn(&known_with(now - 5_000));
         assert!(matches!(&first[..], [Event::Probed { member: MemberId(1), ok: true, .. }]), "{first:?}");
         actor.step(now, &first);
@@ -81,14 +83,15 @@
         assert_eq!(actor.learn(&known_with(now - 6_000)), []);
         assert_eq!(actor.learn(&known_with(now - 1_000)).len(), 1);
         // No list here has named the third member.
-        let unknown_member = Known { members: [("m3".into(), facts(now))].into(), ..Known::default() };
+        let unknown_member =
+            LearnedFacts { members: [("m3".into(), facts(now))].into(), ..LearnedFacts::default() };
         assert_eq!(actor.learn(&unknown_member), []);
     });
 }
 
 fn stored_knowledge(members: &[(&str, MemberFacts)]) -> Knowledge {
     let members = members.iter().map(|(name, facts)| ((*name).into(), facts.clone())).collect();
-    Knowledge { known: Known { members, ..Known::default() }, ..Knowledge::default() }
+    Knowledge { learned: LearnedFacts { members, ..LearnedFacts::default() }, ..Knowledge::default() }
 }
 
 #[test]
@@ -129,15 +132,18 @@
         let began = Some(now - 1_000_000);
         actor.restore_knowledge(stored_knowledge(&[(
             "m1",
-            MemberFacts { cold_from: began, ..MemberFacts::default() },
+            MemberFacts { warm_up_start: began, ..MemberFacts::default() },
         )]));
         for kind in [ListKind::Disk, ListKind::Full, ListKind::Changes] {
             let event = actor
                 .handle_input(Input::List(kind, vec![listed(1, None)]), now)
                 .expect("an event for the router");
             actor.step(now, &[event]);
-            let cold =
-                actor.router.learned_members().find(|m| m.id == MemberId(1)).and_then(|m| m.facts.cold_from);
+            let cold = actor
+                .router
+                .learned_members()
+                .find(|m| m.id == MemberId(1))
+                .and_then(|m| m.facts.warm_up_start);
             assert_eq!(cold, began, "{kind:?}");
         }
     });
@@ -148,7 +154,7 @@
     in_runtime(|| {
         let mut actor = actor(vec![]);
         let mut all = stored_knowledge(&[]);
-        all.hands
+        all.suspensions
             .insert("m1".into(), crate::effective_list::Suspension { suspended_at: 1, restored_at: None });
         actor.restore_knowledge(all);
         let now = actor.clock.now();
--- a/src/core/member_times.rs
+++ b/src/core/member_times.rs
@@ -5,7 +5,7 @@
 use super::counters::{count, Count};
 use super::{ListedMember, Members};
 use crate::interface::*;
-use crate::knowledge::Known;
+use crate::knowledge::LearnedFacts;
 
 impl<M: Members> Actor<M> {
     /// Converts the state told with an answer that has just arrived; `spent` is the time since the attempt was
@@ -64,15 +64,15 @@
 }
 
 /// Applies a change to every time in what was learned.
-pub(super) fn map_times(mut known: Known, change: impl Fn(Time) -> Time) -> Known {
+pub(super) fn map_times(mut known: LearnedFacts, change: impl Fn(Time) -> Time) -> LearnedFacts {
     // 0 stands for "none".
     let change = |time: Time| if time == 0 { 0 } else { change(time) };
     for facts in known.members.values_mut() {
         facts.start = facts.start.map(change);
         facts.position = change(facts.position);
-        facts.heard = change(facts.heard);
+        facts.last_heard = change(facts.last_heard);
         facts.role_at = change(facts.role_at);
-        facts.cold_from = facts.cold_from.map(change);
+        facts.warm_up_start = facts.warm_up_start.map(change);
     }
     known.sessions.values_mut().for_each(|at| *at = change(*at));
     known.floor = change(known.floor);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -19,7 +19,7 @@
 pub use crate::effective_list::ListedMember;
 use crate::effective_list::{SuspensionError, Suspensions};
 use crate::interface::*;
-use crate::knowledge::{Knowledge, Known};
+use crate::knowledge::{Knowledge, LearnedFacts};
 use crate::phases::StartupProgress;
 use crate::policy::begin::AttemptKey;
 use crate::policy::invariants::Violation;
@@ -291,11 +291,11 @@
     /// Replaces all suspensions, including those made at another process of this proxy.
     ReplaceSuspensions(Suspensions, oneshot::Sender<()>),
     /// Returns what this process has learned.
-    ExportLearned(oneshot::Sender<Known>),
+    ExportLearned(oneshot::Sender<LearnedFacts>),
     /// Connects to another process of this proxy, or disconnects from it.
     SetPeer(Option<Box<dyn CommitExchange>>, oneshot::Sender<()>),
     /// Takes in what another process of this proxy has learned.
-    ImportLearned(Known, oneshot::Sender<()>),
+    ImportLearned(LearnedFacts, oneshot::Sender<()>),
     /// The rules in force are valid until this time; nothing is sent after it unless the lease is extended.
     ExtendLease(Time),
     /// Replaces the set of members that are suspended in the whole fleet.
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -6,8 +6,8 @@
 use super::member_times::map_times;
 use super::{CoreCommand, ListedMember, Members, PeerCommits, Readiness};
 use crate::interface::*;
-use crate::knowledge::evidence::{Listed, Recalled, Usable};
-use crate::knowledge::{merge_hands, Knowledge, Known};
+use crate::knowledge::evidence::{ListedStart, StoredFacts, UsableFacts};
+use crate::knowledge::{merge_suspensions, Knowledge, LearnedFacts};
 use crate::phases::StartupEvent;
 use crate::policy::REPORT_ROUNDING;
 use rustc_hash::FxHashMap;
@@ -169,20 +169,21 @@
     }
 
     /// What this process has learned, for another process of this proxy.
-    fn export(&self, now: Time) -> Known {
+    fn export(&self, now: Time) -> LearnedFacts {
         let named: FxHashMap<MemberId, &Arc<str>> =
             self.effective_list.listed().map(|e| (e.member.id, &e.name)).collect();
         let members =
             self.router.learned_members().filter_map(|m| Some(((*named.get(&m.id)?).clone(), m.facts)));
         let (sessions, floor) = self.sessions.since(now.saturating_sub(EXPORTED_COMMIT_AGE));
-        let known = Known { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
+        let known =
+            LearnedFacts { members: members.collect(), sessions: sessions.into_iter().collect(), floor };
         map_times(known, |local| self.member_clock.to_member(local))
     }
 
     /// Converts what another process has learned to the events by which this process would have learned it: a start
     /// that discovery does not know of, and a report on position and role. Only positions that are new here are
     /// passed on; an old one says nothing about a member that is in doubt here.
-    pub(super) fn learn(&mut self, known: &Known) -> Vec<Event> {
+    pub(super) fn learn(&mut self, known: &LearnedFacts) -> Vec<Event> {
         self.sessions.merge(known.sessions.iter(), known.floor);
         let mut events = Vec::new();
         for (name, m) in &known.members {
@@ -197,8 +198,8 @@
     }
 
     /// Takes in starts that discovery may not know of: a member's warm-up counts from its latest known start.
-    fn learn_warm_ups(&mut self, known: &Known) -> Vec<Event> {
-        let warm_ups = known.members.iter().filter_map(|(name, m)| Some((name, m.cold_from?)));
+    fn learn_warm_ups(&mut self, known: &LearnedFacts) -> Vec<Event> {
+        let warm_ups = known.members.iter().filter_map(|(name, m)| Some((name, m.warm_up_start?)));
         let changed = warm_ups.filter_map(|(name, at)| self.effective_list.add_warm_up(name, at)).collect();
         self.operator_list_event(changed)
     }
@@ -207,14 +208,14 @@
     /// on; facts that depend on a member not having restarted wait for a list that confirms it.
     pub(super) fn restore_knowledge(&mut self, all: Knowledge) -> Vec<Event> {
         self.unmarked_writes_until = self.clock.now();
-        let all = Knowledge { known: map_times(all.known, |at| self.member_clock.to_local(at)), ..all };
-        self.sessions.merge(all.known.sessions.iter(), all.known.floor);
+        let all = Knowledge { learned: map_times(all.learned, |at| self.member_clock.to_local(at)), ..all };
+        self.sessions.merge(all.learned.sessions.iter(), all.learned.floor);
         let mut suspensions = self.effective_list.suspensions().clone();
-        merge_hands(&mut suspensions, &all.hands);
+        merge_suspensions(&mut suspensions, &all.suspensions);
         let changed = self.effective_list.replace_suspensions(suspensions);
         let mut events = self.operator_list_event(changed);
-        events.append(&mut self.learn_warm_ups(&all.known));
-        self.stored_facts = Recalled::new(all.known);
+        events.append(&mut self.learn_warm_ups(&all.learned));
+        self.stored_facts = StoredFacts::new(all.learned);
         events
     }
 
@@ -223,11 +224,11 @@
     pub(super) fn apply_stored_facts(&mut self, from_this_process: bool) {
         let Actor { stored_facts, effective_list, .. } = self;
         let start = |name: &str| {
-            effective_list.entry(name).map_or(Listed::Absent, |e| Listed::Named(e.member.up_since))
+            effective_list.entry(name).map_or(ListedStart::Absent, |e| ListedStart::Named(e.member.up_since))
         };
-        let Usable { bounds, primaries } = match from_this_process {
+        let UsableFacts { bounds, primaries } = match from_this_process {
             true => stored_facts.confirm(start),
-            false => Usable { primaries: stored_facts.hints(start), ..Usable::default() },
+            false => UsableFacts { primaries: stored_facts.hints(start), ..UsableFacts::default() },
         };
         let bounds = bounds
             .into_iter()
--- a/tests/overlay.rs
+++ b/tests/overlay.rs
@@ -219,7 +219,7 @@
 /// again.
 #[test]
 fn the_latest_suspension_wins_although_the_clock_was_set_back() {
-    use linentrail::knowledge::merge_hands;
+    use linentrail::knowledge::merge_suspensions;
     let mut first = EffectiveList::default();
     first.list(ListKind::Full, vec![entry("m", ServiceState::Active, None)], 5_000);
     first.suspend("m", 5_000).expect("a listed member");
@@ -231,10 +231,10 @@
     let changed = second.suspend("m", 1_500).expect("a listed member").expect("a changed entry");
     assert_eq!(changed.member.service_state, ServiceState::Draining);
     let mut joined = stored.clone();
-    merge_hands(&mut joined, second.suspensions());
+    merge_suspensions(&mut joined, second.suspensions());
     assert_eq!(joined["m"].restored_at, None, "still suspended: {joined:?}");
     second.restore("m", 1_600).expect("a known member");
     let mut back = joined.clone();
-    merge_hands(&mut back, second.suspensions());
+    merge_suspensions(&mut back, second.suspensions());
     assert!(back["m"].restored_at.is_some(), "restored: {back:?}");
 }
