--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -102,7 +102,7 @@
             if let Some(path) = &options.log {
                 let bad = |e: std::io::Error| Failure::Unusable(format!("{}: {e}", path.display()));
                 let file = std::fs::File::create(path).map_err(bad)?;
-                events::write(&outcome.events, std::io::BufWriter::new(file)).map_err(bad)?;
+                events::write_events(&outcome.events, std::io::BufWriter::new(file)).map_err(bad)?;
             }
             for took in linentrail_standins::rig::measure::agreed(&outcome.events) {
                 match took {
@@ -146,7 +146,7 @@
     let script = read(&options.scenario)?;
     let bad = |what: String| Failure::Unusable(format!("{}: {what}", options.log.display()));
     let file = std::fs::File::open(&options.log).map_err(|e| bad(e.to_string()))?;
-    let events = events::read(std::io::BufReader::new(file)).map_err(bad)?;
+    let events = events::read_events(std::io::BufReader::new(file)).map_err(bad)?;
     let verdict = checker::judge(&events, 0, &script.bounds);
     verdict.breaches.iter().for_each(|b| println!("{}", report::line(b)));
     if !verdict.kept() {
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -2,7 +2,7 @@
 //! and every fault that the proxy must bear, by name.
 
 use crate::group::Group;
-use crate::rig::events::{Log, What};
+use crate::rig::events::{EventKind, EventLog};
 use crate::{listener_at, now_ms, runtime, wire};
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -220,7 +220,7 @@
     /// Whether it is there at all.
     up: watch::Sender<bool>,
     /// Its number in a run of many processes, and where it notes what comes to it.
-    log: Option<(u32, Log)>,
+    log: Option<(u32, EventLog)>,
 }
 
 /// A member. Copies are the same one.
@@ -250,7 +250,7 @@
         primary: bool,
         lag_ms: u64,
         capacity: Capacity,
-        log: Option<(u32, Log)>,
+        log: Option<(u32, EventLog)>,
     ) -> Self {
         let (listener, address) = listener_at(ip);
         let state = State {
@@ -316,7 +316,7 @@
             }
             state.standing += 1;
         }
-        self.tells(|member| What::Opened { member });
+        self.tells(|member| EventKind::Opened { member });
         let mut up = self.0.up.subscribe();
         let linger = socket2::SockRef::from(&stream).try_clone();
         let down = tokio::select! {
@@ -329,9 +329,9 @@
         self.state().standing -= 1;
     }
 
-    fn tells(&self, what: impl FnOnce(u32) -> What) {
+    fn tells(&self, what: impl FnOnce(u32) -> EventKind) {
         if let Some((number, log)) = &self.0.log {
-            log.note(what(*number));
+            log.record(what(*number));
         }
     }
 
@@ -351,7 +351,7 @@
             let mean = ((least + most) / 2).max(Duration::from_micros(1));
             let rate = (slots as f64 / mean.as_secs_f64()) as u64;
             let (share, warm) = ((share * 1e3) as u64, warm.as_micros() as u64);
-            self.tells(|member| What::Cold { member, share, warm, rate });
+            self.tells(|member| EventKind::Cold { member, share, warm, rate });
         }
     }
 
@@ -466,7 +466,7 @@
         };
         let position = now_ms().saturating_sub(lag);
         if sql == "SHOW stats" {
-            self.tells(|member| What::Probed { member });
+            self.tells(|member| EventKind::Probed { member });
             let report = match does {
                 Behaviour::Boast => "x0=9e99,x1=1,q=0".to_string(),
                 _ => format!("x0={:.3},x1={},q=0", position as f64 / 1e3, u8::from(primary)),
@@ -480,9 +480,9 @@
         self.note(format!("{} {key}", if write { "write" } else { "read" }));
         let id = field("id").unwrap_or_default();
         let number = u64::from_str_radix(id, 16).unwrap_or(0);
-        self.tells(|member| What::Given { member, id: number });
+        self.tells(|member| EventKind::Given { member, id: number });
         if let Some(ms) = field(",d").and_then(|ms| ms.parse::<u64>().ok()) {
-            self.tells(|_| What::Allowed { id: number, wait: ms * 1000 });
+            self.tells(|_| EventKind::Allowed { id: number, wait: ms * 1000 });
         }
         let refusal = match does {
             Behaviour::Full | Behaviour::Unready | Behaviour::Noisy | Behaviour::FullBehind(_) => {
@@ -498,7 +498,7 @@
             }
         };
         let position = now_ms().saturating_sub(lag);
-        let turned_away = |member| What::TurnedAway { member, id: number };
+        let turned_away = |member| EventKind::TurnedAway { member, id: number };
         if let Some(code) = refusal {
             if does != Behaviour::Error {
                 self.tells(turned_away);
@@ -521,11 +521,11 @@
             let hex = sql.split("'\\x").nth(1).and_then(|v| v.split('\'').next()).unwrap_or_default();
             let value = Bytes::from(wire::unhex(hex));
             let brings = value.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b));
-            let ran = |member| What::Ran { member, id: number, key: key.to_string(), value: brings };
+            let ran = |member| EventKind::Ran { member, id: number, key: key.to_string(), value: brings };
             let noted = || self.tells(ran);
             (Some(value.clone()), self.0.group.write_with(id, key, value, now_ms(), noted))
         } else {
-            self.tells(|member| What::ReadRan { member, id: number });
+            self.tells(|member| EventKind::ReadRan { member, id: number });
             (self.0.group.read(key, if primary { u64::MAX } else { position }), position)
         };
         let tells = match does {
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -1,6 +1,6 @@
 //! The real proxy as a child process, with the files that it is told by.
 
-use crate::rig::events::Log;
+use crate::rig::events::EventLog;
 use crate::{dns, now_ms};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     /// It is started as the deploy file says, from the repository's root: without an operators' file of its own.
     pub shipped: bool,
     /// Where it is told by which rules it acts, and as whom: the log must have the target `rules`.
-    pub rules: Option<(u32, Log)>,
+    pub rules: Option<(u32, EventLog)>,
     /// How long after SIGTERM it still takes clients; none: longer than any test takes to bring one.
     pub still_coming: Option<Duration>,
 }
@@ -167,7 +167,7 @@
         let (loud, rules) = (setup.loud, setup.rules.clone());
         let tell = move |line: String| {
             if let Some((proxy, log)) = &rules {
-                log.rules(*proxy, &line);
+                log.record_rules_line(*proxy, &line);
             }
             if loud {
                 eprintln!("proxy: {line}");
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -1,6 +1,6 @@
 //! Discovery by the platform's protocol: the whole list, and watches that wait for a change.
 
-use crate::rig::events::{Log, What};
+use crate::rig::events::{EventKind, EventLog};
 use crate::{listener, runtime};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -80,7 +80,7 @@
 #[derive(Clone)]
 struct Door {
     proxy: u32,
-    log: Log,
+    log: EventLog,
     /// Addresses as this caller is to see them.
     seen: Arc<HashMap<String, String>>,
     /// Where a relay stands before it, that may hold back what was written: answers that the caller has not yet shown to
@@ -125,7 +125,7 @@
             let id = entry["instanceId"].as_str().and_then(|id| id.rsplit('-').next());
             let Some(index) = id.and_then(|id| u32::from_str_radix(id, 16).ok()) else { continue };
             let on = entry["lifecycle"] != "active";
-            self.log.note(What::Drains { proxy: self.proxy, member: index + 1, on });
+            self.log.record(EventKind::Drains { proxy: self.proxy, member: index + 1, on });
         }
     }
 
@@ -201,7 +201,13 @@
 
     /// A listener of its own for one caller, that sees members under other addresses. Behind a relay an answer counts as
     /// told only when the caller's next call shows that it has come.
-    pub fn door(&self, proxy: u32, log: Log, seen: HashMap<String, String>, relayed: bool) -> SocketAddr {
+    pub fn door(
+        &self,
+        proxy: u32,
+        log: EventLog,
+        seen: HashMap<String, String>,
+        relayed: bool,
+    ) -> SocketAddr {
         let unproved = relayed.then(Arc::default);
         self.open(Some(Door { proxy, log, seen: Arc::new(seen), unproved }))
     }
@@ -286,12 +292,12 @@
             calls.heard = calls.heard.max(after.unwrap_or(0));
         }
         if let Some(Door { proxy, log, .. }) = door {
-            log.note(What::Called { proxy: *proxy, whole: after.is_none() });
+            log.record(EventKind::Called { proxy: *proxy, whole: after.is_none() });
         }
         if let (Some(door), Some(after)) = (door, after) {
             door.shows(after);
         }
-        let unanswered = || door.map(|d| d.log.note(What::Unanswered { proxy: d.proxy }));
+        let unanswered = || door.map(|d| d.log.record(EventKind::Unanswered { proxy: d.proxy }));
         let ill = || self.state().0;
         // A caller that leaves while it waits has had its turn all the same.
         if !self.turn().await {
--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -1,32 +1,32 @@
 //! Judges a run by its log alone: whatever the proxies are made of, these rules hold or they do not. One pass over the
 //! events in their order; what is measured on the way is told beside the breaches.
 
-use super::events::{Effect, End, Event, Shows, Us, What};
+use super::events::{Effect, Event, EventKind, Micros, ReadGuarantee, RequestEnd};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Span in which new connections at one member are counted.
-pub const OPENED_SPAN: Us = 250_000;
+pub const OPENED_SPAN: Micros = 250_000;
 /// Span in which probes of all members are counted.
-pub const PROBED_SPAN: Us = 4_000_000;
+pub const PROBED_SPAN: Micros = 4_000_000;
 /// A cold member's work counts together over this.
-pub const COLD_SPAN: Us = 1_500_000;
+pub const COLD_SPAN: Micros = 1_500_000;
 /// Statements that a cold member may have in a span whatever its rate: single trials.
 const COLD_FEW: f64 = 4.0;
 /// When the machine stands still for so long, time limits run out that no party has let run out.
-const STANDSTILL: Us = 1_000_000;
+const STANDSTILL: Micros = 1_000_000;
 /// What clocks of one machine may be apart, and how long a statement may be on its way to a member.
-const CLOCKS: Us = 10_000;
-const ON_THE_WAY: Us = 150_000;
+const CLOCKS: Micros = 10_000;
+const ON_THE_WAY: Micros = 150_000;
 /// An attempt may begin so long after its client has closed its connection.
-const LEFT_MAX: Us = 100_000;
+const LEFT_MAX: Micros = 100_000;
 /// The time that a statement names may be so much longer than what its client has left.
-const DEADLINE_SLACK: Us = 150_000;
+const DEADLINE_SLACK: Micros = 150_000;
 /// A client that begins something and does not end it gets an error or a close within this, and what clocks and a busy
 /// machine may add.
-const UNFINISHED_MAX: Us = 3_000_000;
-const UNFINISHED_SLACK: Us = 1_000_000;
+const UNFINISHED_MAX: Micros = 3_000_000;
+const UNFINISHED_SLACK: Micros = 1_000_000;
 /// What comes to a process later than this after it was told to end must have its answer before the kill.
-const TAKEN_AFTER_END: Us = 700_000;
+const TAKEN_AFTER_END: Micros = 700_000;
 /// Breaches told of each rule; the others are counted.
 const TOLD: usize = 5;
 
@@ -34,15 +34,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
     /// A final answer may come so long after the client's time.
-    pub late: Us,
+    pub late: Micros,
     /// Nothing new reaches a member so long after it was told to be draining or said to be out.
-    pub drain: Us,
+    pub drain: Micros,
     /// Idle clients fill the descriptors: a new connection may be shut unread.
     pub crowded: bool,
     /// The operators' word on a member outlasts the process that it was said to.
     pub hands_kept: bool,
     /// Added to all limits on time that no other bound sets: for machines of any speed.
-    pub patience: Us,
+    pub patience: Micros,
     /// A cold member gets at most so many times what it can do.
     pub cold: f64,
     /// New connections at one member in any 250 ms after the first fault.
@@ -122,7 +122,7 @@
     /// Of which rule.
     pub rule: Rule,
     /// When it was seen.
-    pub at: Us,
+    pub at: Micros,
     /// What was seen.
     pub what: String,
 }
@@ -155,7 +155,7 @@
 
 impl Verdict {
     /// Takes in a breach.
-    pub(super) fn breach(&mut self, rule: Rule, at: Us, what: String) {
+    pub(super) fn breach(&mut self, rule: Rule, at: Micros, what: String) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
         if *count <= TOLD as u64 {
@@ -170,18 +170,18 @@
 }
 
 struct Asked {
-    at: Us,
+    at: Micros,
     proxy: u32,
     key: String,
     writes: Option<u64>,
-    shows: Shows,
-    wait: Us,
+    shows: ReadGuarantee,
+    wait: Micros,
     /// When its last byte was written, and when its client went.
-    sent: Option<Us>,
+    sent: Option<Micros>,
     /// It is the first on its connection.
     first: bool,
-    left: Option<Us>,
-    ended: Option<Us>,
+    left: Option<Micros>,
+    ended: Option<Micros>,
     /// A member has got it, so that its proxy has read it.
     given: bool,
     /// What a repeat may do; none where the log does not tell.
@@ -196,7 +196,7 @@
 #[derive(Clone, Copy)]
 struct Attempt {
     member: u32,
-    at: Us,
+    at: Micros,
     /// The member has run it.
     ran: bool,
 }
@@ -221,9 +221,9 @@
 
 /// A span in which a proxy was not there.
 struct Gap {
-    from: Us,
+    from: Micros,
     /// `Us::MAX` while it lasts.
-    to: Us,
+    to: Micros,
     /// Stopped, so that the same process goes on later.
     stopped: bool,
 }
@@ -232,40 +232,40 @@
 struct Proxy {
     up: bool,
     /// When its process was started.
-    began: Us,
+    began: Micros,
     /// When it was told to end, with a kill to come; and the kills.
-    ending: Option<Us>,
-    ended: Vec<(Us, Us)>,
+    ending: Option<Micros>,
+    ended: Vec<(Micros, Micros)>,
     gaps: Vec<Gap>,
     whole: u64,
     /// Members whose link holds back what is sent, and those whose link has done so up to a moment.
-    held: HashMap<u32, Option<Us>>,
+    held: HashMap<u32, Option<Micros>>,
     /// By which versions it acts, by kind and since when.
-    acts: BTreeMap<String, (Vec<String>, Us)>,
-    draining: HashMap<u32, Us>,
-    out: HashMap<u32, Us>,
+    acts: BTreeMap<String, (Vec<String>, Micros)>,
+    draining: HashMap<u32, Micros>,
+    out: HashMap<u32, Micros>,
 }
 
 struct Cold {
-    since: Us,
+    since: Micros,
     share: f64,
-    warm: Us,
+    warm: Micros,
     rate: f64,
-    given: VecDeque<Us>,
+    given: VecDeque<Micros>,
     told: bool,
 }
 
 #[derive(Default)]
 struct Key {
     /// Writes that ran, in the order of their commits.
-    ran: Vec<(Us, u64)>,
+    ran: Vec<(Micros, u64)>,
     /// Those that a client was told of, in the order of the telling.
     told: Vec<Told>,
 }
 
 /// A write that a client was told of.
 struct Told {
-    at: Us,
+    at: Micros,
     /// By which proxy.
     proxy: u32,
     /// Its place in the order of the commits.
@@ -274,7 +274,7 @@
 
 impl Key {
     /// How many commits a read asked at a moment must show, by those told before it that count.
-    fn told_before(&self, since: Us, counts: impl Fn(&Told) -> bool) -> usize {
+    fn told_before(&self, since: Micros, counts: impl Fn(&Told) -> bool) -> usize {
         let before = self.told.iter().filter(|told| told.at < since && counts(told));
         before.map(|told| told.commit + 1).max().unwrap_or(0)
     }
@@ -282,10 +282,10 @@
 
 /// A sliding count.
 #[derive(Default)]
-struct Window(VecDeque<Us>);
+struct Window(VecDeque<Micros>);
 
 impl Window {
-    fn see(&mut self, at: Us, span: Us) -> u64 {
+    fn see(&mut self, at: Micros, span: Micros) -> u64 {
         self.0.push_back(at);
         while self.0.front().is_some_and(|t| *t + span <= at) {
             self.0.pop_front();
@@ -309,24 +309,24 @@
     over: HashSet<(Rule, u32)>,
     faulted: bool,
     /// Spans in which a proxy went by versions, with a lease or without: kind, proxy, versions, from, to.
-    acted: Vec<(String, u32, Vec<String>, Us, Us)>,
+    acted: Vec<(String, u32, Vec<String>, Micros, Micros)>,
     /// When each proxy that acts by leases could, by its own word: spans that do not touch.
-    leases: HashMap<u32, Vec<(Us, Us)>>,
+    leases: HashMap<u32, Vec<(Micros, Micros)>>,
     /// Bad clients that are owed a close: where, and since when.
-    begun: HashMap<u64, (u32, Us)>,
+    begun: HashMap<u64, (u32, Micros)>,
     /// When the machine stood still, from and to.
-    stalls: Vec<(Us, Us)>,
+    stalls: Vec<(Micros, Micros)>,
     /// When a proxy, or a thread of the rig (none), was ready to run and did not, from and to; spans do not overlap.
-    delays: HashMap<Option<u32>, Vec<(Us, Us)>>,
+    delays: HashMap<Option<u32>, Vec<(Micros, Micros)>>,
 }
 
 /// When each party was delayed. One that was delayed again before it could be noted has one span for both.
-fn delays(events: &[Event]) -> HashMap<Option<u32>, Vec<(Us, Us)>> {
-    let mut delays: HashMap<Option<u32>, Vec<(Us, Us)>> = HashMap::new();
+fn delays(events: &[Event]) -> HashMap<Option<u32>, Vec<(Micros, Micros)>> {
+    let mut delays: HashMap<Option<u32>, Vec<(Micros, Micros)>> = HashMap::new();
     for event in events {
         let (party, us) = match event.what {
-            What::Delayed { proxy, us } => (proxy, us),
-            What::Stall { us } => (None, us),
+            EventKind::Delayed { proxy, us } => (proxy, us),
+            EventKind::Stall { us } => (None, us),
             _ => continue,
         };
         let spans = delays.entry(party).or_default();
@@ -336,8 +336,8 @@
     delays
 }
 
-fn overlap(spans: &[(Us, Us)], from: Us, to: Us) -> Us {
-    let of = |(began, ended): &(Us, Us)| (*ended).min(to).saturating_sub((*began).max(from));
+fn overlap(spans: &[(Micros, Micros)], from: Micros, to: Micros) -> Micros {
+    let of = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
     let first = spans.partition_point(|span| span.1 <= from);
     spans[first..].iter().take_while(|span| span.0 < to).map(of).sum()
 }
@@ -346,7 +346,7 @@
 pub fn judge(events: &[Event], lost: u64, bounds: &Bounds) -> Verdict {
     // All of them first: who wakes from a standstill notes what it did in it before the rig notes that there was one.
     let stall = |e: &Event| match e.what {
-        What::Stall { us } => Some((e.at.saturating_sub(us), e.at)),
+        EventKind::Stall { us } => Some((e.at.saturating_sub(us), e.at)),
         _ => None,
     };
     let mut judge = Judge {
@@ -356,7 +356,7 @@
     };
     // These too: what a process says is read by another thread than what members see.
     for event in events {
-        if let What::Leased { proxy, from, until } = event.what {
+        if let EventKind::Leased { proxy, from, until } = event.what {
             let spans = judge.leases.entry(proxy).or_default();
             match spans.last_mut().filter(|(_, end)| from <= *end) {
                 Some(last) => last.1 = last.1.max(until),
@@ -381,9 +381,9 @@
 }
 
 impl Judge {
-    fn take(&mut self, at: Us, what: &What, bounds: &Bounds) {
+    fn take(&mut self, at: Micros, what: &EventKind, bounds: &Bounds) {
         match what {
-            What::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
+            EventKind::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
                 self.verdict.asked += 1;
                 let asked = Asked {
                     at,
@@ -405,22 +405,22 @@
                     self.verdict.breach(Rule::Log, at, format!("request {id} is asked twice"));
                 }
             }
-            What::Sent { id, first } => {
+            EventKind::Sent { id, first } => {
                 let asked = self.asked.get_mut(id);
                 asked.into_iter().for_each(|asked| (asked.sent, asked.first) = (Some(at), *first));
             }
-            What::Left { id } => {
+            EventKind::Left { id } => {
                 self.asked
                     .get_mut(id)
                     .into_iter()
                     .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
             }
-            What::Allowed { id, wait } => self.allowed(at, *id, *wait, bounds.patience),
-            What::Begun { id, proxy } => drop(self.begun.insert(*id, (*proxy, at))),
-            What::Closed { id } => self.closed(at, *id, bounds.patience),
-            What::Ended { id, how, value } => self.ended(at, *id, *how, *value, bounds),
-            What::Given { member, id } => self.given(at, *member, *id, bounds),
-            What::Ran { member, id, key, value } => {
+            EventKind::Allowed { id, wait } => self.allowed(at, *id, *wait, bounds.patience),
+            EventKind::Begun { id, proxy } => drop(self.begun.insert(*id, (*proxy, at))),
+            EventKind::Closed { id } => self.closed(at, *id, bounds.patience),
+            EventKind::Ended { id, how, value } => self.ended(at, *id, *how, *value, bounds),
+            EventKind::Given { member, id } => self.given(at, *member, *id, bounds),
+            EventKind::Ran { member, id, key, value } => {
                 self.ran_at(*member, *id);
                 let runs = self.ran.entry(*id).or_default();
                 *runs += 1;
@@ -430,27 +430,27 @@
                 }
                 self.keys.entry(key.clone()).or_default().ran.push((at, *value));
             }
-            What::ReadRan { member, id } => self.ran_at(*member, *id),
-            What::TurnedAway { member, id } => self.turned_away(*member, *id),
-            What::Opened { member } => {
+            EventKind::ReadRan { member, id } => self.ran_at(*member, *id),
+            EventKind::TurnedAway { member, id } => self.turned_away(*member, *id),
+            EventKind::Opened { member } => {
                 let seen = self.opened.entry(*member).or_default().see(at, OPENED_SPAN);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].opened;
                 *peak = seen.max(*peak);
                 let text = || format!("{seen} new connections at member {member} in 250 ms");
                 self.bound(Rule::Opened, *member, at, seen, bounds.opened, text);
             }
-            What::Probed { .. } => {
+            EventKind::Probed { .. } => {
                 let seen = self.probed.see(at, PROBED_SPAN);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].probed;
                 *peak = seen.max(*peak);
                 self.bound(Rule::Probed, 0, at, seen, bounds.probed, || format!("{seen} probes in 4 s"));
             }
-            What::Cold { member, share, warm, rate } => {
+            EventKind::Cold { member, share, warm, rate } => {
                 let (share, rate) = (*share as f64 / 1e3, *rate as f64);
                 let cold = Cold { since: at, share, warm: *warm, rate, given: VecDeque::new(), told: false };
                 self.cold.insert(*member, cold);
             }
-            What::Called { proxy, whole } => {
+            EventKind::Called { proxy, whole } => {
                 let seen = self.called.see(at, 1_000_000);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].called;
                 *peak = seen.max(*peak);
@@ -462,28 +462,28 @@
                     self.verdict.breach(Rule::Whole, at, what);
                 }
             }
-            What::Unanswered { proxy } => {
+            EventKind::Unanswered { proxy } => {
                 self.verdict.unanswered += 1;
                 if bounds.unanswered.is_some_and(|most| self.verdict.unanswered > most) {
                     let what = format!("discovery could not answer proxy {proxy}");
                     self.verdict.breach(Rule::Unanswered, at, what);
                 }
             }
-            What::Drains { proxy, member, on } => {
+            EventKind::Drains { proxy, member, on } => {
                 let draining = &mut self.proxies.entry(*proxy).or_default().draining;
                 match on {
                     true => drop(draining.entry(*member).or_insert(at)),
                     false => drop(draining.remove(member)),
                 }
             }
-            What::Hand { proxy, member, out } => {
+            EventKind::Hand { proxy, member, out } => {
                 let hands = &mut self.proxies.entry(*proxy).or_default().out;
                 match out {
                     true => drop(hands.entry(*member).or_insert(at)),
                     false => drop(hands.remove(member)),
                 }
             }
-            What::Exec { proxy } => {
+            EventKind::Exec { proxy } => {
                 self.close(*proxy, None, at);
                 let of = self.proxies.entry(*proxy).or_default();
                 of.began = at;
@@ -495,49 +495,49 @@
                     of.out.clear();
                 }
             }
-            What::Serves { proxy } => {
+            EventKind::Serves { proxy } => {
                 let of = self.proxies.entry(*proxy).or_default();
                 of.up = true;
-                of.gaps.iter_mut().filter(|g| g.to == Us::MAX).for_each(|g| g.to = at);
+                of.gaps.iter_mut().filter(|g| g.to == Micros::MAX).for_each(|g| g.to = at);
             }
-            What::Link { proxy, member, well } => {
+            EventKind::Link { proxy, member, well } => {
                 let held = &mut self.proxies.entry(*proxy).or_default().held;
                 if !well || held.contains_key(member) {
                     held.insert(*member, well.then_some(at));
                 }
             }
-            What::Acts { proxy, kind, versions, since } => {
+            EventKind::Acts { proxy, kind, versions, since } => {
                 self.close(*proxy, Some(kind), *since);
                 let of = self.proxies.entry(*proxy).or_default();
                 of.acts.insert(kind.clone(), (versions.clone(), *since));
             }
-            What::Resumed { proxy } => {
+            EventKind::Resumed { proxy } => {
                 let gaps = &mut self.proxies.entry(*proxy).or_default().gaps;
-                gaps.iter_mut().filter(|g| g.to == Us::MAX && g.stopped).for_each(|g| g.to = at);
+                gaps.iter_mut().filter(|g| g.to == Micros::MAX && g.stopped).for_each(|g| g.to = at);
             }
-            What::Ending { proxy } => {
+            EventKind::Ending { proxy } => {
                 self.faulted = true;
                 self.proxies.entry(*proxy).or_default().ending = Some(at);
             }
-            What::Down { proxy, stopped } => {
+            EventKind::Down { proxy, stopped } => {
                 self.faulted = true;
                 if !stopped {
                     self.killed(at, *proxy);
                 }
-                let gap = Gap { from: at, to: Us::MAX, stopped: *stopped };
+                let gap = Gap { from: at, to: Micros::MAX, stopped: *stopped };
                 self.proxies.entry(*proxy).or_default().gaps.push(gap);
             }
             // Taken in before all else.
-            What::Stall { .. } | What::Delayed { .. } | What::Leased { .. } => {}
+            EventKind::Stall { .. } | EventKind::Delayed { .. } | EventKind::Leased { .. } => {}
             // Nobody can keep to a word that is lost.
-            What::Wiped { proxy } => self.proxies.entry(*proxy).or_default().out.clear(),
-            What::Fault(_) => self.faulted = true,
+            EventKind::Wiped { proxy } => self.proxies.entry(*proxy).or_default().out.clear(),
+            EventKind::Fault(_) => self.faulted = true,
         }
     }
 
     /// A process that was told to end is killed, or has ended: what was sent to it long after it was told, and what it read, must
     /// have had its answer.
-    fn killed(&mut self, at: Us, proxy: u32) {
+    fn killed(&mut self, at: Micros, proxy: u32) {
         let Some(of) = self.proxies.get_mut(&proxy) else { return };
         let Some(told) = of.ending.take() else { return };
         of.ended.push((told, at));
@@ -551,7 +551,7 @@
             .iter()
             .filter(|(_, a)| a.proxy == proxy && late(a))
             .map(|(id, a)| (*id, a.sent.unwrap_or(at)));
-        let mut found: Vec<(u64, Us)> = found.filter(|(_, sent)| self.stood(*sent, at) == 0).collect();
+        let mut found: Vec<(u64, Micros)> = found.filter(|(_, sent)| self.stood(*sent, at) == 0).collect();
         found.sort_unstable();
         for (id, sent) in found {
             let what = format!("the kill finds request {id} at proxy {proxy} unanswered, sent {} ms after it was told to end", (sent - told) / 1000);
@@ -564,7 +564,7 @@
         &mut self,
         rule: Rule,
         of: u32,
-        at: Us,
+        at: Micros,
         seen: u64,
         most: Option<u64>,
         text: impl FnOnce() -> String,
@@ -578,17 +578,17 @@
     }
 
     /// For how long of a span the machine stood still: no proxy can be blamed for that.
-    fn stood(&self, from: Us, to: Us) -> Us {
+    fn stood(&self, from: Micros, to: Micros) -> Micros {
         overlap(&self.stalls, from, to)
     }
 
     /// For how long of a span the machine kept the rig, and then the proxy, from running.
-    fn delayed(&self, proxy: u32, from: Us, to: Us) -> Us {
+    fn delayed(&self, proxy: u32, from: Micros, to: Micros) -> Micros {
         let of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
         of(None) + of(Some(proxy))
     }
 
-    fn ended(&mut self, at: Us, id: u64, how: End, value: u64, bounds: &Bounds) {
+    fn ended(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
         let since = self.asked.get(&id).map_or(at, |a| a.at);
         let stood = self.stood(since, at);
         let Some(asked) = self.asked.get_mut(&id) else {
@@ -600,7 +600,7 @@
             return;
         }
         let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stood);
-        asked.refused = how == End::Refused;
+        asked.refused = how == RequestEnd::Refused;
         let harmless = asked.effect.is_none_or(Effect::may_be_refused_after_a_run);
         if let Some(run) = asked.first_run().filter(|_| asked.refused && !harmless) {
             let what = format!("request {id} at proxy {proxy} is told as refused: {run}");
@@ -611,14 +611,15 @@
         // between no two.
         let ends = self.proxies.get(&proxy).is_some_and(|p| p.ends_within(since, at));
         let between = !asked.given && !asked.first;
-        let unread = how == End::Broken && between && (ends || bounds.crowded);
-        let unanswered = how == End::Broken && stood < STANDSTILL || how == End::Silent && stood == 0;
+        let unread = how == RequestEnd::Broken && between && (ends || bounds.crowded);
+        let unanswered =
+            how == RequestEnd::Broken && stood < STANDSTILL || how == RequestEnd::Silent && stood == 0;
         let unanswered = unanswered && !unread;
         if (unanswered || at > until) && !gone(self.proxies.get(&proxy), since, at) {
             let what = format!("request {id} at proxy {proxy}: {how:?} after {} ms", (at - since) / 1000);
             self.verdict.breach(Rule::Answer, at, what);
         }
-        if how != End::Served {
+        if how != RequestEnd::Served {
             return;
         }
         let began = self.proxies.get(&proxy).map_or(0, |p| p.began);
@@ -635,10 +636,12 @@
         }
         // Of each write, how many commits of its key a read must show.
         let least = match asked.shows {
-            Shows::Any => 0,
-            Shows::Session => key.told_before(since, |_| true),
-            Shows::SessionAtProcess => key.told_before(since, |told| told.proxy == proxy && told.at >= began),
-            Shows::Within(age) => key.ran.partition_point(|(t, _)| *t + age < since),
+            ReadGuarantee::Any => 0,
+            ReadGuarantee::Session => key.told_before(since, |_| true),
+            ReadGuarantee::SessionAtProcess => {
+                key.told_before(since, |told| told.proxy == proxy && told.at >= began)
+            }
+            ReadGuarantee::Within(age) => key.ran.partition_point(|(t, _)| *t + age < since),
         };
         let shown = match value {
             0 => Some(0),
@@ -658,7 +661,7 @@
     }
 
     /// What a proxy has acted by up to now, of one kind or of all, is over.
-    fn close(&mut self, proxy: u32, kind: Option<&str>, at: Us) {
+    fn close(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
         let of = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
             of.acts.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
@@ -671,7 +674,7 @@
     /// No two may have acted at one moment by versions that have none in common.
     fn agree(&mut self) {
         let proxies: Vec<u32> = self.proxies.keys().copied().collect();
-        proxies.into_iter().for_each(|proxy| self.close(proxy, None, Us::MAX));
+        proxies.into_iter().for_each(|proxy| self.close(proxy, None, Micros::MAX));
         // Without a lease it acted by nothing.
         let mut acted = Vec::new();
         for (kind, proxy, versions, from, to) in std::mem::take(&mut self.acted) {
@@ -697,7 +700,7 @@
         }
     }
 
-    fn given(&mut self, at: Us, member: u32, id: u64, bounds: &Bounds) {
+    fn given(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
         let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
             self.verdict.breach(Rule::Log, at, format!("member {member} got {id}, and nobody asked it"));
             return;
@@ -719,7 +722,7 @@
             }
         }
         let late = ON_THE_WAY + stood;
-        let covers = |(from, until): &(Us, Us)| *from <= at && at <= *until + late;
+        let covers = |(from, until): &(Micros, Micros)| *from <= at && at <= *until + late;
         if self.leases.get(&proxy).is_some_and(|all| !held && !all.iter().any(covers)) {
             let what = format!("proxy {proxy} sends {id} to member {member} without a lease");
             self.verdict.breach(Rule::Lease, at, what);
@@ -746,7 +749,7 @@
     }
 
     /// A member has got a request: whether what became of it before allows that.
-    fn attempted(&mut self, at: Us, member: u32, id: u64, patience: Us) {
+    fn attempted(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
         if asked.refused && !effect.may_be_refused_after_a_run() {
@@ -789,7 +792,7 @@
     }
 
     /// Whether something began for a client that had gone.
-    fn for_nobody(&mut self, at: Us, member: u32, id: u64, patience: Us) {
+    fn for_nobody(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
         let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
         let allowed = LEFT_MAX + ON_THE_WAY + patience + self.stood(left, at);
@@ -804,13 +807,13 @@
     }
 
     /// Whether the link between them may hold back what was sent since.
-    fn holds_back(&self, proxy: u32, member: u32, since: Us) -> bool {
+    fn holds_back(&self, proxy: u32, member: u32, since: Micros) -> bool {
         let held = self.proxies.get(&proxy).and_then(|p| p.held.get(&member));
         held.is_some_and(|until| until.is_none_or(|t| t >= since))
     }
 
     /// A member was told how long its proxy waits.
-    fn allowed(&mut self, at: Us, id: u64, wait: Us, patience: Us) {
+    fn allowed(&mut self, at: Micros, id: u64, wait: Micros, patience: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (proxy, Some(sent)) = (asked.proxy, asked.sent) else { return };
         let left = (sent + asked.wait).saturating_sub(at);
@@ -826,7 +829,7 @@
     }
 
     /// A bad client has got its error or its close.
-    fn closed(&mut self, at: Us, id: u64, patience: Us) {
+    fn closed(&mut self, at: Micros, id: u64, patience: Micros) {
         let Some((proxy, since)) = self.begun.remove(&id) else { return };
         let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + patience + self.stood(since, at);
         if at > since + allowed && !gone(self.proxies.get(&proxy), since, at) {
@@ -836,7 +839,7 @@
         }
     }
 
-    fn end(&mut self, last: Us, bounds: &Bounds) {
+    fn end(&mut self, last: Micros, bounds: &Bounds) {
         let owed: Vec<u64> = self.begun.keys().copied().collect();
         owed.into_iter().for_each(|id| self.closed(last, id, bounds.patience));
         let mut open: Vec<(&u64, &Asked)> = self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
@@ -855,13 +858,13 @@
 /// Whether a proxy was not there at some moment of a span.
 impl Proxy {
     /// Whether it was told to end, or ended so, in this span.
-    fn ends_within(&self, from: Us, to: Us) -> bool {
+    fn ends_within(&self, from: Micros, to: Micros) -> bool {
         self.ending.is_some_and(|told| told <= to)
             || self.ended.iter().any(|(told, end)| *told <= to && *end >= from)
     }
 }
 
-fn gone(proxy: Option<&Proxy>, from: Us, to: Us) -> bool {
+fn gone(proxy: Option<&Proxy>, from: Micros, to: Micros) -> bool {
     let Some(proxy) = proxy else { return true };
     let within = |gap: &Gap| gap.from <= to && gap.to >= from;
     proxy.gaps.iter().any(within) || !proxy.up && proxy.gaps.is_empty()
--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -1,7 +1,7 @@
 //! The clients of a run: each has a session and a proxy where it is at home, asks one request after the other in the
 //! users' mix, comes back when it is told to, and goes to another proxy where its own does not answer.
 
-use super::events::{Effect, End, Shows, Us, What};
+use super::events::{Effect, EventKind, Micros, ReadGuarantee, RequestEnd};
 use super::world::World;
 use crate::client::{request_id, Ask, Pg, Told};
 use crate::proxy::CLASSES;
@@ -20,7 +20,7 @@
 /// One request in so many is asked at another proxy.
 const ROAMS: u64 = 50;
 /// A bounded read may be this old; positions are told in whole ms.
-const AGE: Us = 3_000_000 + 2_000;
+const AGE: Micros = 3_000_000 + 2_000;
 /// A client waits for so long past the moment at which an answer counts as late.
 const SILENCE: Duration = Duration::from_millis(1_000);
 
@@ -119,25 +119,34 @@
     tokio::time::sleep(way).await;
     let (aim, wait) = (aim * 1000, wait_ms * 1000);
     let effect = Some(world.script().effects[SURGE_CLASS]);
-    log.note(What::Asked { id: number, proxy, key, writes: None, shows: Shows::Any, effect, aim, wait });
-    log.note(What::Sent { id: number, first: true });
+    log.record(EventKind::Asked {
+        id: number,
+        proxy,
+        key,
+        writes: None,
+        shows: ReadGuarantee::Any,
+        effect,
+        aim,
+        wait,
+    });
+    log.record(EventKind::Sent { id: number, first: true });
     let query = wire::query(&ask.sql_for(&id, group, false));
     let told = conn.ask_with_startup(&query);
     let patience = Duration::from_micros(wait + world.script().bounds.late) + SILENCE;
     let (how, value) = ending(tokio::time::timeout(patience, told).await);
-    log.note(What::Ended { id: number, how, value });
+    log.record(EventKind::Ended { id: number, how, value });
 }
 
 /// How a request has ended, and the number of the value that it brought.
-fn ending(told: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (End, u64) {
+fn ending(told: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (RequestEnd, u64) {
     match told {
         Ok(Ok(Told::Served(bytes))) => {
-            (End::Served, bytes.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)))
+            (RequestEnd::Served, bytes.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)))
         }
-        Ok(Ok(Told::Refused(_))) => (End::Refused, 0),
-        Ok(Ok(Told::Failed(_))) => (End::Failed, 0),
-        Ok(Err(_)) => (End::Broken, 0),
-        Err(_) => (End::Silent, 0),
+        Ok(Ok(Told::Refused(_))) => (RequestEnd::Refused, 0),
+        Ok(Ok(Told::Failed(_))) => (RequestEnd::Failed, 0),
+        Ok(Err(_)) => (RequestEnd::Broken, 0),
+        Err(_) => (RequestEnd::Silent, 0),
     }
 }
 
@@ -177,13 +186,13 @@
         if tokio::io::AsyncWriteExt::write_all(&mut stream, &said).await.is_err() {
             continue;
         }
-        world.log().note(What::Begun { id, proxy });
+        world.log().record(EventKind::Begun { id, proxy });
         let ends = async {
             let mut got = [0; 4096];
             while !matches!(tokio::io::AsyncReadExt::read(&mut stream, &mut got).await, Ok(0) | Err(_)) {}
         };
         if tokio::time::timeout(BAD_CLIENT_WAITS, ends).await.is_ok() || !stop.load(Ordering::Relaxed) {
-            world.log().note(What::Closed { id });
+            world.log().record(EventKind::Closed { id });
         }
     }
 }
@@ -255,10 +264,10 @@
         let bytes = value.map(|v| v.to_be_bytes().to_vec());
         let ask = Ask { class: name, key: key.clone(), value: bytes, wait_ms, after };
         let shows = match class {
-            0 => Shows::Within(AGE),
-            1 if carried => Shows::Session,
-            1 => Shows::SessionAtProcess,
-            _ => Shows::Any,
+            0 => ReadGuarantee::Within(AGE),
+            1 if carried => ReadGuarantee::Session,
+            1 => ReadGuarantee::SessionAtProcess,
+            _ => ReadGuarantee::Any,
         };
         // A connection that the proxy has closed meanwhile is nobody's fault.
         if let Some(conn) = &mut self.conn {
@@ -274,7 +283,7 @@
         let (proxy, wait) = (self.home, wait_ms * 1000);
         let effect = Some(self.world.script().effects[class]);
         let aim = aim * 1000;
-        log.note(What::Asked { id: number, proxy, key, writes: value, shows, effect, aim, wait });
+        log.record(EventKind::Asked { id: number, proxy, key, writes: value, shows, effect, aim, wait });
         let told = async {
             let first = self.conn.is_none();
             let conn = match &mut self.conn {
@@ -284,11 +293,11 @@
             };
             let query = wire::query(&ask.sql_for(&id, group, again));
             if first && at_once {
-                log.note(What::Sent { id: number, first });
+                log.record(EventKind::Sent { id: number, first });
                 return conn.ask_with_startup(&query).await.map(Some);
             }
             conn.send(&query).await?;
-            log.note(What::Sent { id: number, first });
+            log.record(EventKind::Sent { id: number, first });
             match leaves {
                 // It goes without a word; whether it had its answer by then is all the same.
                 Some(after) => match tokio::time::timeout(after, conn.answer()).await {
@@ -303,7 +312,7 @@
         let told = match told {
             Ok(Ok(None)) => {
                 self.conn = None;
-                log.note(What::Left { id: number });
+                log.record(EventKind::Left { id: number });
                 // What becomes of it is not this client's any more; it asks on.
                 return Some(Told::Failed(String::new()));
             }
@@ -313,7 +322,7 @@
         };
         let answer = told.as_ref().ok().and_then(|told| told.as_ref().ok()).cloned();
         let (how, value) = ending(told);
-        log.note(What::Ended { id: number, how, value });
+        log.record(EventKind::Ended { id: number, how, value });
         // Behind a fatal error nothing more comes, which the next look at the connection tells.
         if answer.is_none() {
             self.conn = None;
--- a/crates/standins/src/rig/events.rs
+++ b/crates/standins/src/rig/events.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Microseconds since the log began.
-pub type Us = u64;
+pub type Micros = u64;
 
 /// Most events of one run: enough for 200 proxies over some minutes; what comes beyond that is counted, and a run with
 /// such a loss is not judged.
@@ -17,7 +17,7 @@
 
 /// How a client's request ended, as the client was told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum RequestEnd {
     /// A value.
     Served,
     /// Refused; trying again is harmless.
@@ -32,7 +32,7 @@
 
 /// What data a read must show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shows {
+pub enum ReadGuarantee {
     /// Any.
     Any,
     /// What its session has written.
@@ -40,7 +40,7 @@
     /// What its session has written at the same process.
     SessionAtProcess,
     /// All that was committed so many us before it was asked.
-    Within(Us),
+    Within(Micros),
 }
 
 /// Which members discard repeats of a keyed request.
@@ -66,7 +66,7 @@
         /// Which members do.
         scope: KeyScope,
         /// For how long since the first attempt that may have run.
-        window: Us,
+        window: Micros,
     },
 }
 
@@ -79,7 +79,7 @@
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum EventKind {
     /// A client asks a proxy for the first time, or again under a new id.
     Asked {
         /// The request's id.
@@ -91,14 +91,14 @@
         /// Number of the value that a write brings; none: a read.
         writes: Option<u64>,
         /// What a read must show.
-        shows: Shows,
+        shows: ReadGuarantee,
         /// What a repeat may do; none, as in logs of earlier builds: only runs of writes are judged.
         #[serde(default)]
         effect: Option<Effect>,
         /// An answer is good within this.
-        aim: Us,
+        aim: Micros,
         /// How long the client waits.
-        wait: Us,
+        wait: Micros,
     },
     /// The last byte of the request has been written, to a connection that the proxy's machine has accepted.
     Sent {
@@ -130,7 +130,7 @@
         /// The request's id.
         id: u64,
         /// How.
-        how: End,
+        how: RequestEnd,
         /// The value's number; 0: the key was unknown.
         value: u64,
     },
@@ -146,7 +146,7 @@
         /// The request's id.
         id: u64,
         /// So long.
-        wait: Us,
+        wait: Micros,
     },
     /// A member has run a write, as its group's next commit.
     Ran {
@@ -190,7 +190,7 @@
         /// Share of capacity at the start.
         share: u64,
         /// When it is warm.
-        warm: Us,
+        warm: Micros,
         /// Statements a second when warm.
         rate: u64,
     },
@@ -249,14 +249,14 @@
     /// The whole machine stood still for so long up to now, or was too busy to let the rig run.
     Stall {
         /// How long.
-        us: Us,
+        us: Micros,
     },
     /// In all so long since shortly before now a process was ready to run, and the machine did not let it.
     Delayed {
         /// The proxy; none: a thread of the rig.
         proxy: Option<u32>,
         /// How long.
-        us: Us,
+        us: Micros,
     },
     /// From now on the link between a proxy and a member may hold back what is sent on it, or no longer does.
     Link {
@@ -276,16 +276,16 @@
         /// The versions: by a decision all of them are kept.
         versions: Vec<String>,
         /// From when on.
-        since: Us,
+        since: Micros,
     },
     /// A process says until when it may act by them.
     Leased {
         /// The proxy.
         proxy: u32,
         /// Said then.
-        from: Us,
+        from: Micros,
         /// Until then.
-        until: Us,
+        until: Micros,
     },
     /// What it kept is lost.
     Wiped {
@@ -305,19 +305,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Since the log began.
-    pub at: Us,
+    pub at: Micros,
     /// What.
-    pub what: What,
+    pub what: EventKind,
 }
 
 /// Between two looks at whether the machine keeps up, and how late one may be.
 const TICK: Duration = Duration::from_millis(10);
-const STALL: Us = 20_000;
+const STALL: Micros = 20_000;
 
 /// Watches the machine until it is dropped.
-pub struct Watch(Arc<AtomicBool>);
+pub struct StallWatch(Arc<AtomicBool>);
 
-impl Drop for Watch {
+impl Drop for StallWatch {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
@@ -331,33 +331,33 @@
 
 /// The log. Copies write into the same one.
 #[derive(Clone)]
-pub struct Log {
+pub struct EventLog {
     began: Instant,
     /// The same moment in Unix time, in us: processes tell times by that.
     unix: u64,
     inner: Arc<Mutex<Inner>>,
 }
 
-impl std::fmt::Debug for Log {
+impl std::fmt::Debug for EventLog {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "a log since {}", self.unix)
     }
 }
 
-impl Default for Log {
+impl Default for EventLog {
     fn default() -> Self {
-        Log { began: Instant::now(), unix: crate::now_us(), inner: Arc::default() }
+        EventLog { began: Instant::now(), unix: crate::now_us(), inner: Arc::default() }
     }
 }
 
-impl Log {
+impl EventLog {
     /// Microseconds since it began.
-    pub fn now(&self) -> Us {
-        self.began.elapsed().as_micros() as Us
+    pub fn now(&self) -> Micros {
+        self.began.elapsed().as_micros() as Micros
     }
 
     /// Writes down what happens now; when that was.
-    pub fn note(&self, what: What) -> Us {
+    pub fn record(&self, what: EventKind) -> Micros {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         // Taken under the lock: the log is in the order of its times.
         let at = self.now();
@@ -370,19 +370,19 @@
     }
 
     /// A moment that a process tells, in us of Unix time, on this log's clock.
-    pub fn at(&self, unix: u64) -> Us {
+    pub fn from_unix(&self, unix: u64) -> Micros {
         unix.saturating_sub(self.unix)
     }
 
     /// Takes in a line of a process's log, where it tells by which rules it acts.
-    pub fn rules(&self, proxy: u32, line: &str) {
+    pub fn record_rules_line(&self, proxy: u32, line: &str) {
         let Some((_, told)) = line.split_once(" rules] ") else { return };
         let number = |name: &str| {
             told.split(' ').find_map(|word| word.strip_prefix(name)).and_then(|n| n.parse::<u64>().ok())
         };
         let Some(us) = number("us=") else { return };
         if let Some(until) = number("until=") {
-            self.note(What::Leased { proxy, from: self.at(us), until: self.at(until) });
+            self.record(EventKind::Leased { proxy, from: self.from_unix(us), until: self.from_unix(until) });
             return;
         }
         let Some(kind) =
@@ -392,19 +392,19 @@
         };
         // `version 3 (hash)` or `between version 3 (hash) and 4 (hash)`: hashes tell versions apart.
         let versions = told.split(['(', ')']).skip(1).step_by(2).map(str::to_string).collect();
-        self.note(What::Acts { proxy, kind: kind.to_string(), versions, since: self.at(us) });
+        self.record(EventKind::Acts { proxy, kind: kind.to_string(), versions, since: self.from_unix(us) });
     }
 
     /// How many proxies say that they act by this version of a kind alone.
-    pub fn acting_alone_by(&self, kind: &str, version: &str) -> usize {
+    pub fn proxies_acting_alone_by(&self, kind: &str, version: &str) -> usize {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let mut last = HashMap::new();
         for event in &inner.events {
             match &event.what {
-                What::Acts { proxy, kind: of, versions, .. } if of == kind => {
+                EventKind::Acts { proxy, kind: of, versions, .. } if of == kind => {
                     last.insert(*proxy, versions);
                 }
-                What::Exec { proxy } => drop(last.remove(proxy)),
+                EventKind::Exec { proxy } => drop(last.remove(proxy)),
                 _ => {}
             }
         }
@@ -412,24 +412,24 @@
     }
 
     /// Watches from now on how the machine keeps up, until it is dropped.
-    pub fn watch(&self) -> Watch {
+    pub fn watch_stalls(&self) -> StallWatch {
         let (log, stop) = (self.clone(), Arc::new(AtomicBool::new(false)));
         let ends = stop.clone();
         std::thread::spawn(move || {
             while !ends.load(Ordering::Relaxed) {
                 let began = Instant::now();
                 std::thread::sleep(TICK);
-                let us = began.elapsed().saturating_sub(TICK).as_micros() as Us;
+                let us = began.elapsed().saturating_sub(TICK).as_micros() as Micros;
                 if us > STALL {
-                    log.note(What::Stall { us });
+                    log.record(EventKind::Stall { us });
                 }
             }
         });
-        Watch(stop)
+        StallWatch(stop)
     }
 
     /// All so far, and how many found no room.
-    pub fn take(&self) -> (Vec<Event>, u64) {
+    pub fn events(&self) -> (Vec<Event>, u64) {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         (inner.events.clone(), inner.lost)
     }
@@ -439,7 +439,7 @@
 ///
 /// # Errors
 /// When they cannot be written.
-pub fn write(events: &[Event], mut to: impl Write) -> io::Result<()> {
+pub fn write_events(events: &[Event], mut to: impl Write) -> io::Result<()> {
     for event in events {
         serde_json::to_writer(&mut to, event)?;
         to.write_all(b"\n")?;
@@ -451,7 +451,7 @@
 ///
 /// # Errors
 /// With the number of the line that cannot be read.
-pub fn read(from: impl BufRead) -> Result<Vec<Event>, String> {
+pub fn read_events(from: impl BufRead) -> Result<Vec<Event>, String> {
     let line = |(n, line): (usize, io::Result<String>)| {
         let text = line.map_err(|e| format!("line {}: {e}", n + 1))?;
         serde_json::from_str(&text).map_err(|e| format!("line {}: {e}", n + 1))
@@ -465,25 +465,33 @@
 
     #[test]
     fn what_was_noted_is_in_order_and_comes_back_from_a_file() {
-        let log = Log::default();
-        log.note(What::Exec { proxy: 1 });
-        log.clone().note(What::Ended { id: 7, how: End::Refused, value: 0 });
-        let (events, lost) = log.take();
+        let log = EventLog::default();
+        log.record(EventKind::Exec { proxy: 1 });
+        log.clone().record(EventKind::Ended { id: 7, how: RequestEnd::Refused, value: 0 });
+        let (events, lost) = log.events();
         assert_eq!((events.len(), lost), (2, 0));
         assert!(events[0].at <= events[1].at);
         let mut text = Vec::new();
-        write(&events, &mut text).expect("memory");
-        assert_eq!(read(&text[..]), Ok(events));
+        write_events(&events, &mut text).expect("memory");
+        assert_eq!(read_events(&text[..]), Ok(events));
         let cut = &text[..text.len() - 5];
-        assert!(read(cut).expect_err("cut off").starts_with("line 2: "));
+        assert!(read_events(cut).expect_err("cut off").starts_with("line 2: "));
     }
 
     #[test]
     fn a_log_of_an_earlier_build_that_tells_no_effect_of_repeats_can_be_read() {
         let text = r#"{"at":1,"what":{"Asked":{"id":7,"proxy":1,"key":"k","writes":null,"shows":"Any","aim":2,"wait":3}}}"#;
-        let (shows, effect) = (Shows::Any, None);
-        let what =
-            What::Asked { id: 7, proxy: 1, key: "k".into(), writes: None, shows, effect, aim: 2, wait: 3 };
-        assert_eq!(read(text.as_bytes()), Ok(vec![Event { at: 1, what }]));
+        let (shows, effect) = (ReadGuarantee::Any, None);
+        let what = EventKind::Asked {
+            id: 7,
+            proxy: 1,
+            key: "k".into(),
+            writes: None,
+            shows,
+            effect,
+            aim: 2,
+            wait: 3,
+        };
+        assert_eq!(read_events(text.as_bytes()), Ok(vec![Event { at: 1, what }]));
     }
 }
--- a/crates/standins/src/rig/measure.rs
+++ b/crates/standins/src/rig/measure.rs
@@ -1,26 +1,26 @@
 //! What a run's log tells of its service: the share of good answers over time, and the time to full service.
 
-use super::events::{End, Event, Us, What};
+use super::events::{Event, EventKind, Micros, RequestEnd};
 use std::collections::{BTreeMap, HashMap};
 
 /// Width of a step of the curve.
-pub const STEP: Us = 100_000;
+pub const STEP: Micros = 100_000;
 /// Full service: the first second in which the share of good answers reaches this part of the share before.
 const FULL: f64 = 0.98;
-const SECOND: Us = 1_000_000;
+const SECOND: Micros = 1_000_000;
 /// Width of a step of one proxy's curve.
-const FINE: Us = 5_000;
+const FINE: Micros = 5_000;
 
 /// Requests by the step in which they were asked: all, and those with a good answer.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Curve {
-    step: Us,
+    step: Micros,
     counts: Vec<(u64, u64)>,
 }
 
 impl Curve {
     /// The share of good answers among those asked in a span; none where none was asked.
-    pub fn share(&self, from: Us, to: Us) -> Option<f64> {
+    pub fn share(&self, from: Micros, to: Micros) -> Option<f64> {
         let steps = self.counts.get((from / self.step) as usize..).unwrap_or_default();
         let steps = steps.iter().take(to.saturating_sub(from).div_ceil(self.step) as usize);
         let (asked, good) = steps.fold((0, 0), |(a, g), step| (a + step.0, g + step.1));
@@ -28,15 +28,15 @@
     }
 
     /// When the first second after `began` begins that is as good as before.
-    fn full(&self, began: Us, before: f64) -> Option<Us> {
+    fn full(&self, began: Micros, before: f64) -> Option<Micros> {
         let first = began.div_ceil(self.step) as usize;
         // The last step is cut off by the run's end.
         let last = self.counts.len().saturating_sub((SECOND / self.step) as usize + 1);
         let full = (first..last).find(|step| {
-            let at = *step as Us * self.step;
+            let at = *step as Micros * self.step;
             self.share(at, at + SECOND).is_some_and(|share| share >= FULL * before)
         });
-        full.map(|step| (step as Us * self.step).saturating_sub(began))
+        full.map(|step| (step as Micros * self.step).saturating_sub(began))
     }
 }
 
@@ -44,23 +44,23 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Return {
     /// When the first process was started after the first fault, or else when that fault came.
-    pub began: Us,
+    pub began: Micros,
     /// Share of good answers before the first fault.
     pub before: f64,
     /// In the first half second after the beginning.
     pub half_second: f64,
     /// From the beginning to the first second of full service; none: it was never reached.
-    pub full: Option<Us>,
+    pub full: Option<Micros>,
 }
 
 /// Good answers over time, a curve for each key that a request's proxy has. A request counts as good that was served within
 /// its aim.
-fn curves(events: &[Event], step: Us, key: impl Fn(u32) -> u32) -> BTreeMap<u32, Curve> {
-    let mut asked: HashMap<u64, (Us, Us, u32)> = HashMap::new();
+fn curves(events: &[Event], step: Micros, key: impl Fn(u32) -> u32) -> BTreeMap<u32, Curve> {
+    let mut asked: HashMap<u64, (Micros, Micros, u32)> = HashMap::new();
     let mut curves: BTreeMap<u32, Curve> = BTreeMap::new();
     for event in events {
         match &event.what {
-            What::Asked { id, proxy, aim, .. } => {
+            EventKind::Asked { id, proxy, aim, .. } => {
                 let key = key(*proxy);
                 asked.insert(*id, (event.at, *aim, key));
                 let curve = curves.entry(key).or_insert_with(|| Curve { step, counts: Vec::new() });
@@ -68,7 +68,7 @@
                 curve.counts.resize(curve.counts.len().max(n + 1), (0, 0));
                 curve.counts[n].0 += 1;
             }
-            What::Ended { id, how: End::Served, .. } => {
+            EventKind::Ended { id, how: RequestEnd::Served, .. } => {
                 let good = asked.remove(id).filter(|(at, aim, _)| event.at <= at + aim);
                 let curve = good.and_then(|(at, _, key)| Some((at, curves.get_mut(&key)?)));
                 if let Some((at, curve)) = curve {
@@ -82,10 +82,10 @@
 }
 
 /// How service came back after the first fault; `from`: when the run had settled.
-pub fn came_back(events: &[Event], from: Us) -> Option<Return> {
-    let fault = |e: &&Event| matches!(e.what, What::Fault(_));
+pub fn came_back(events: &[Event], from: Micros) -> Option<Return> {
+    let fault = |e: &&Event| matches!(e.what, EventKind::Fault(_));
     let fault = events.iter().find(fault)?.at;
-    let exec = |e: &&Event| e.at >= fault && matches!(e.what, What::Exec { .. });
+    let exec = |e: &&Event| e.at >= fault && matches!(e.what, EventKind::Exec { .. });
     let began = events.iter().find(exec).map_or(fault, |e| e.at);
     let curve = curves(events, STEP, |_| 0).remove(&0)?;
     let before = curve.share(from, fault)?;
@@ -96,17 +96,17 @@
 
 /// From each proxy's last start to its own first second of full service, as its clients see it, which begins no sooner than
 /// it serves; a process knows no share before, so that all are to be good.
-pub fn each(events: &[Event]) -> BTreeMap<u32, Us> {
-    let mut last: BTreeMap<u32, (Us, Us)> = BTreeMap::new();
+pub fn each(events: &[Event]) -> BTreeMap<u32, Micros> {
+    let mut last: BTreeMap<u32, (Micros, Micros)> = BTreeMap::new();
     for event in events {
         match event.what {
-            What::Exec { proxy } => drop(last.insert(proxy, (event.at, event.at))),
-            What::Serves { proxy } => drop(last.entry(proxy).and_modify(|l| l.1 = event.at)),
+            EventKind::Exec { proxy } => drop(last.insert(proxy, (event.at, event.at))),
+            EventKind::Serves { proxy } => drop(last.entry(proxy).and_modify(|l| l.1 = event.at)),
             _ => {}
         }
     }
     let curves = curves(events, FINE, |proxy| proxy);
-    let full = |(p, (exec, serves)): (u32, (Us, Us))| {
+    let full = |(p, (exec, serves)): (u32, (Micros, Micros))| {
         let full = curves.get(&p)?.full(serves, 1.0)?;
         Some((p, serves - exec + full))
     };
@@ -114,15 +114,15 @@
 }
 
 /// Changes that were proposed, and how long after that the last proxy acted by the new version alone; none: not all did.
-pub fn agreed(events: &[Event]) -> Vec<Option<Us>> {
+pub fn agreed(events: &[Event]) -> Vec<Option<Micros>> {
     let proposed: Vec<usize> = (0..events.len())
-        .filter(|n| matches!(&events[*n].what, What::Fault(text) if text.starts_with("Propose(")))
+        .filter(|n| matches!(&events[*n].what, EventKind::Fault(text) if text.starts_with("Propose(")))
         .collect();
     let ends = proposed.iter().skip(1).copied().chain([events.len()]);
     let one = |(begin, end): (&usize, usize)| {
-        let mut alone: std::collections::BTreeMap<u32, (String, Us)> = Default::default();
+        let mut alone: std::collections::BTreeMap<u32, (String, Micros)> = Default::default();
         for event in &events[..end] {
-            if let What::Acts { proxy, kind, versions, since } = &event.what {
+            if let EventKind::Acts { proxy, kind, versions, since } = &event.what {
                 if let ("settings", [version]) = (kind.as_str(), &versions[..]) {
                     alone.insert(*proxy, (version.clone(), *since));
                 }
@@ -140,27 +140,28 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::rig::events::Shows;
+    use crate::rig::events::ReadGuarantee;
 
     /// Ten requests a step, `good` of ten answered in time at each.
     fn run(steps: &[u64], fault: usize, exec: usize) -> Vec<Event> {
         let mut events = Vec::new();
         for (n, good) in steps.iter().enumerate() {
-            let at = n as Us * STEP;
+            let at = n as Micros * STEP;
             if n == fault {
-                events.push(Event { at, what: What::Fault("kill".into()) });
+                events.push(Event { at, what: EventKind::Fault("kill".into()) });
             }
             if n == exec {
-                events.push(Event { at, what: What::Exec { proxy: 1 } });
+                events.push(Event { at, what: EventKind::Exec { proxy: 1 } });
             }
             for k in 0..10 {
                 let (id, key) = (n as u64 * 10 + k, "k".to_string());
-                let (shows, aim) = (Shows::Any, 50_000);
+                let (shows, aim) = (ReadGuarantee::Any, 50_000);
                 let effect = None;
-                let what = What::Asked { id, proxy: 1, key, writes: None, shows, effect, aim, wait: aim };
+                let what =
+                    EventKind::Asked { id, proxy: 1, key, writes: None, shows, effect, aim, wait: aim };
                 events.push(Event { at: at + 1, what });
                 let late = if k < *good { 1_000 } else { 60_000 };
-                let what = What::Ended { id, how: End::Served, value: 0 };
+                let what = EventKind::Ended { id, how: RequestEnd::Served, value: 0 };
                 events.push(Event { at: at + 1 + late, what });
             }
         }
@@ -186,8 +187,8 @@
         steps.extend([0; 5]);
         steps.extend([10; 20]);
         let mut events = run(&steps, 10, 12);
-        events.insert(0, Event { at: 0, what: What::Exec { proxy: 1 } });
-        events.push(Event { at: 3_400_000, what: What::Exec { proxy: 2 } });
+        events.insert(0, Event { at: 0, what: EventKind::Exec { proxy: 1 } });
+        events.push(Event { at: 3_400_000, what: EventKind::Exec { proxy: 2 } });
         let full = each(&events);
         // Requests come at the beginning of each 100 ms; the one of 20 that is bad at 1.4 s is in no good second.
         assert_eq!(full.get(&1), Some(&205_000), "{full:?}");
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -2,7 +2,7 @@
 
 use super::checker::{judge, Rule, Verdict};
 use super::clients;
-use super::events::{Event, Log, Us, What};
+use super::events::{Event, EventKind, EventLog, Micros};
 use super::measure::{came_back, each, Return};
 use super::run_delay;
 use super::script::{Script, Step};
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// The first part of a run is left out of what held before the fault.
-pub const SETTLES: Us = 1_000_000;
+pub const SETTLES: Micros = 1_000_000;
 
 /// The load goes on for so long where changes of the rules were under way at its end.
 const AFTER_CHANGES: Duration = Duration::from_secs(2);
@@ -33,7 +33,7 @@
     pub counters: BTreeMap<String, u64>,
     /// Each proxy's time to full service after its last start, as its clients saw it and as it tells itself, where both
     /// are known.
-    pub each: BTreeMap<u32, (Us, Us)>,
+    pub each: BTreeMap<u32, (Micros, Micros)>,
     /// The whole log.
     pub events: Vec<Event>,
 }
@@ -81,8 +81,8 @@
     said: impl Fn(&str),
     stop: &AtomicBool,
 ) -> Result<Outcome> {
-    let log = Log::default();
-    let _watch = log.watch();
+    let log = EventLog::default();
+    let _watch = log.watch_stalls();
     let world = World::start(script, program, log.clone(), more)?;
     let _delays = run_delay::watch(&world);
     let began = Instant::now();
@@ -138,7 +138,7 @@
     for (name, count) in by_proxy.values().flatten() {
         *counters.entry(name.clone()).or_default() += count;
     }
-    let (events, lost) = log.take();
+    let (events, lost) = log.events();
     let mut verdict = judge(&events, lost, &script.bounds);
     for proxy in crashed {
         verdict.breach(Rule::Crash, log.now(), format!("proxy {proxy} has ended by itself"));
@@ -149,10 +149,10 @@
         }
     }
     // From when the proxies serve: the load begins then.
-    let served = events.iter().find(|e| matches!(e.what, What::Asked { .. })).map_or(0, |e| e.at);
+    let served = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
     let back = came_back(&events, served + SETTLES);
     if let (Some(most), Some(back)) = (script.full, &back) {
-        let late = back.full.is_none_or(|full| full > most.as_micros() as Us);
+        let late = back.full.is_none_or(|full| full > most.as_micros() as Micros);
         if late {
             let what = format!(
                 "full service after {:?} ms, {} allowed",
--- a/crates/standins/src/rig/run_delay.rs
+++ b/crates/standins/src/rig/run_delay.rs
@@ -1,6 +1,6 @@
 //! How long processes were ready to run and the machine did not let them, as the kernel counts it (`/proc/PID/schedstat`).
 
-use super::events::{Log, Us, What};
+use super::events::{EventKind, EventLog, Micros};
 use super::world::World;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,7 +11,7 @@
 /// Between two looks at the kernel's counts.
 const INTERVAL: Duration = Duration::from_millis(50);
 /// Delays below this are not noted.
-const NOTED_MIN: Us = 10_000;
+const NOTED_MIN: Micros = 10_000;
 
 /// Watches until it is dropped, which waits for the watch to end: nothing may hold the world, and its processes, behind it.
 pub struct Watch {
@@ -45,19 +45,19 @@
     Watch { stop, thread: Some(thread) }
 }
 
-fn note(log: &Log, proxy: Option<u32>, us: Us) {
+fn note(log: &EventLog, proxy: Option<u32>, us: Micros) {
     if us >= NOTED_MIN {
-        log.note(What::Delayed { proxy, us });
+        log.record(EventKind::Delayed { proxy, us });
     }
 }
 
 /// The counts at the last look, by file.
 #[derive(Default)]
-struct Delays(HashMap<String, Us>);
+struct Delays(HashMap<String, Micros>);
 
 impl Delays {
     /// By how much a count has grown since the last look; 0 at the first one.
-    fn grown(&mut self, file: &str) -> Us {
+    fn grown(&mut self, file: &str) -> Micros {
         let Some(now) = std::fs::read_to_string(file).ok().and_then(|text| run_delay(&text)) else {
             return 0;
         };
@@ -66,7 +66,7 @@
     }
 
     /// That of the thread of this process that was delayed most.
-    fn of_rig(&mut self) -> Us {
+    fn of_rig(&mut self) -> Micros {
         let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
         let files = threads.map(|thread| thread.path().join("schedstat").display().to_string());
         files.map(|file| self.grown(&file)).max().unwrap_or(0)
@@ -74,6 +74,6 @@
 }
 
 /// The second of three numbers: ns spent waiting for a processor.
-fn run_delay(schedstat: &str) -> Option<Us> {
-    schedstat.split_whitespace().nth(1)?.parse::<Us>().ok().map(|ns| ns / 1_000)
+fn run_delay(schedstat: &str) -> Option<Micros> {
+    schedstat.split_whitespace().nth(1)?.parse::<Micros>().ok().map(|ns| ns / 1_000)
 }
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -1,7 +1,7 @@
 //! The world of a scenario: members, discovery, the real proxies as processes, and relays where the scenario puts faults
 //! between them. It carries out the steps of the time line; what it does and sees goes into the log.
 
-use super::events::{Effect, KeyScope, Log, What};
+use super::events::{Effect, EventKind, EventLog, KeyScope};
 use super::relay::{Fault, Relay};
 use super::script::{Harm, Script, Step, Who};
 use crate::group::Group;
@@ -49,7 +49,7 @@
 
 struct Inner {
     script: Script,
-    log: Log,
+    log: EventLog,
     members: Vec<Member>,
     groups: Vec<Group>,
     registry: Registry,
@@ -150,7 +150,7 @@
     pub fn start(
         script: &Script,
         program: &Path,
-        log: Log,
+        log: EventLog,
         more: impl Fn(&mut Setup, u32, &Path),
     ) -> Result<Self> {
         let world = WORLDS.fetch_add(1, Ordering::Relaxed);
@@ -300,7 +300,7 @@
     }
 
     /// The log.
-    pub fn log(&self) -> &Log {
+    pub fn log(&self) -> &EventLog {
         &self.0.log
     }
 
@@ -311,10 +311,10 @@
             let mut seat = self.seat(n);
             if seat.running.is_none() {
                 let spawned = || {
-                    let _ = self.0.log.note(What::Exec { proxy: n });
+                    let _ = self.0.log.record(EventKind::Exec { proxy: n });
                 };
                 seat.running = Some(Proxy::start_noting(&seat.setup, spawned)?);
-                self.0.log.note(What::Serves { proxy: n });
+                self.0.log.record(EventKind::Serves { proxy: n });
             }
             Ok(())
         };
@@ -386,7 +386,7 @@
             return Ok(None);
         }
         let answer = asked_again(again, timeout, || self.call(who, &call).unwrap_or_default());
-        self.0.log.note(What::Fault(format!("p{who} answers {}", answer.trim())));
+        self.0.log.record(EventKind::Fault(format!("p{who} answers {}", answer.trim())));
         Ok(Some(answer))
     }
 
@@ -394,7 +394,7 @@
     /// given up by whoever proposed it.
     fn comes_into_force(&self, kind: &str, version: &str) -> bool {
         let began = Instant::now();
-        while self.0.log.acting_alone_by(kind, version) < self.0.seats.len() {
+        while self.0.log.proxies_acting_alone_by(kind, version) < self.0.seats.len() {
             if began.elapsed() > IN_FORCE_TIMEOUT {
                 return false;
             }
@@ -422,7 +422,7 @@
 
     fn down(&self, of: &[(u32, u32)], stopped: bool) {
         for (proxy, _) in of {
-            self.0.log.note(What::Down { proxy: *proxy, stopped });
+            self.0.log.record(EventKind::Down { proxy: *proxy, stopped });
         }
     }
 
@@ -434,7 +434,7 @@
             let mut seat = self.seat(n);
             let Some(mut proxy) = seat.running.take() else { return Ok(()) };
             let mut rng = fastrand::Rng::with_seed(self.0.script.seed ^ u64::from(n) << 30);
-            self.0.log.note(What::Ending { proxy: n });
+            self.0.log.record(EventKind::Ending { proxy: n });
             let told = Instant::now();
             proxy.signal("TERM")?;
             while told.elapsed() < KILLED_AFTER && !proxy.ended() {
@@ -442,7 +442,7 @@
                 // A process that is not there hears nothing.
                 let _ = proxy.signal(SIGNALS[rng.usize(0..SIGNALS.len())]);
             }
-            self.0.log.note(What::Down { proxy: n, stopped: false });
+            self.0.log.record(EventKind::Down { proxy: n, stopped: false });
             drop(proxy);
             drop(seat);
             self.start_all(&[n], Duration::ZERO)
@@ -458,7 +458,7 @@
     /// # Errors
     /// When it cannot be done: the run then says nothing.
     pub fn step(&self, step: &Step) -> Result<()> {
-        self.0.log.note(What::Fault(format!("{step:?}")));
+        self.0.log.record(EventKind::Fault(format!("{step:?}")));
         match step {
             Step::Kill(who, span) | Step::Term(who, span) => {
                 let ids = self.ids(who);
@@ -482,7 +482,7 @@
                 std::thread::sleep(*span);
                 self.signal(&ids, "CONT", Duration::ZERO);
                 for (proxy, _) in ids {
-                    self.0.log.note(What::Resumed { proxy });
+                    self.0.log.record(EventKind::Resumed { proxy });
                 }
             }
             Step::Hup(who, span) => self.signal(&self.ids(who), "HUP", *span),
@@ -490,7 +490,7 @@
                 for n in self.proxies(who) {
                     super::harm::carry_out(&self.0.folder.join(format!("linentrail-p{n}")), *harm)?;
                     if matches!(harm, Harm::Wiped) {
-                        self.0.log.note(What::Wiped { proxy: n });
+                        self.0.log.record(EventKind::Wiped { proxy: n });
                     }
                 }
             }
@@ -555,7 +555,7 @@
         let members = self.members(members);
         for p in self.proxies(who) {
             for (member, relay) in members.iter().filter_map(|m| Some((*m, self.0.links.get(&(p, *m))?))) {
-                self.0.log.note(What::Link { proxy: p, member, well: fault == Fault::default() });
+                self.0.log.record(EventKind::Link { proxy: p, member, well: fault == Fault::default() });
                 relay.does(fault);
             }
         }
@@ -589,14 +589,14 @@
             let Some(proxy) = seat.running.as_ref() else { continue };
             // It may act on this before its answer has arrived.
             if let Some(member) = member.filter(|_| back) {
-                self.0.log.note(What::Hand { proxy: n, member, out: false });
+                self.0.log.record(EventKind::Hand { proxy: n, member, out: false });
             }
             let answer = asked_again(again, IN_TURN_TIMEOUT, || {
                 proxy.call(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
             });
             match member.filter(|_| answer.starts_with("200") && out) {
-                Some(member) => self.0.log.note(What::Hand { proxy: n, member, out }),
-                None => self.0.log.note(What::Fault(format!("p{n} answers {}", answer.trim()))),
+                Some(member) => self.0.log.record(EventKind::Hand { proxy: n, member, out }),
+                None => self.0.log.record(EventKind::Fault(format!("p{n} answers {}", answer.trim()))),
             };
             drop(seat);
             if let Some(version) = version_proposed(&answer) {
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs)]
 
 use linentrail_standins::proxy::Setup;
-use linentrail_standins::rig::events::{End, Event, What};
+use linentrail_standins::rig::events::{Event, EventKind, RequestEnd};
 use linentrail_standins::rig::run::{run, Outcome};
 use linentrail_standins::rig::script::Script;
 use std::collections::BTreeMap;
@@ -36,10 +36,10 @@
     let mut last = BTreeMap::new();
     for Event { what, .. } in &outcome.events {
         match what {
-            What::Acts { proxy, kind, versions, .. } if kind == of => {
+            EventKind::Acts { proxy, kind, versions, .. } if kind == of => {
                 drop(last.insert(*proxy, versions.clone()))
             }
-            What::Exec { proxy } => drop(last.remove(proxy)),
+            EventKind::Exec { proxy } => drop(last.remove(proxy)),
             _ => {}
         }
     }
@@ -52,8 +52,10 @@
     assert_eq!(last.len(), proxies, "{last:?}");
     let one = last.values().next().expect("one");
     assert!(one.len() == 1 && last.values().all(|v| v == one), "{last:?}");
-    let alone = |what: &What| match what {
-        What::Acts { kind: k, versions, .. } if k == kind && versions.len() == 1 => Some(versions[0].clone()),
+    let alone = |what: &EventKind| match what {
+        EventKind::Acts { kind: k, versions, .. } if k == kind && versions.len() == 1 => {
+            Some(versions[0].clone())
+        }
         _ => None,
     };
     let all: std::collections::BTreeSet<String> =
@@ -63,20 +65,21 @@
 
 /// When a step began.
 fn began(outcome: &Outcome, step: &str) -> u64 {
-    let is_it = |e: &&Event| matches!(&e.what, What::Fault(text) if text.starts_with(step));
+    let is_it = |e: &&Event| matches!(&e.what, EventKind::Fault(text) if text.starts_with(step));
     outcome.events.iter().find(is_it).expect("the step was made").at
 }
 
 fn answers(outcome: &Outcome) -> Vec<String> {
-    let said = |what: &What| match what {
-        What::Fault(text) => text.split_once(" answers ").map(|(_, answer)| answer.to_string()),
+    let said = |what: &EventKind| match what {
+        EventKind::Fault(text) => text.split_once(" answers ").map(|(_, answer)| answer.to_string()),
         _ => None,
     };
     outcome.events.iter().filter_map(|e| said(&e.what)).collect()
 }
 
 fn served_since(outcome: &Outcome, from: u64) -> usize {
-    let served = |e: &&Event| e.at > from && matches!(e.what, What::Ended { how: End::Served, .. });
+    let served =
+        |e: &&Event| e.at > from && matches!(e.what, EventKind::Ended { how: RequestEnd::Served, .. });
     outcome.events.iter().filter(served).count()
 }
 
@@ -90,7 +93,7 @@
          at 1500 p4 proposes /limits/max_attempts 3"
     ));
     assert_eq!(all_agree(&outcome, 5, "settings"), 2);
-    let middle = |e: &&Event| matches!(&e.what, What::Acts { versions, .. } if versions.len() == 2);
+    let middle = |e: &&Event| matches!(&e.what, EventKind::Acts { versions, .. } if versions.len() == 2);
     assert_eq!(outcome.events.iter().filter(middle).count(), 5, "each acts by both for a while");
     assert!(answers(&outcome)[0].starts_with("200 settings: version 2"));
 }
@@ -111,7 +114,7 @@
     assert!(answers[1].starts_with("400 no majority"), "{answers:?}");
     // What was taken by the smaller part meanwhile was refused, not lost.
     assert!(outcome.counters.get("agreement_lapses") >= Some(&2), "{:?}", outcome.counters);
-    let refused = |e: &Event| matches!(e.what, What::Ended { how: End::Refused, .. });
+    let refused = |e: &Event| matches!(e.what, EventKind::Ended { how: RequestEnd::Refused, .. });
     assert!(outcome.events.iter().any(refused));
 }
 
@@ -227,9 +230,9 @@
         "{told:?}"
     );
     // Until then nothing was sent.
-    let epoch = outcome.events.iter().find(|e| matches!(&e.what, What::Fault(t) if t.contains("EPOCH")));
+    let epoch = outcome.events.iter().find(|e| matches!(&e.what, EventKind::Fault(t) if t.contains("EPOCH")));
     let epoch = epoch.expect("it was said").at;
-    let given = |e: &Event| matches!(e.what, What::Given { .. }) && e.at > 1_900_000 && e.at < epoch;
+    let given = |e: &Event| matches!(e.what, EventKind::Given { .. }) && e.at > 1_900_000 && e.at < epoch;
     assert!(!outcome.events.iter().any(given));
     assert!(served_since(&outcome, epoch + 2_000_000) > 50);
 }
@@ -246,12 +249,12 @@
     assert_eq!(all_agree(&outcome, 5, "hands"), 3);
     let given = |from: u64, to: u64| {
         let to_it =
-            |e: &&Event| matches!(e.what, What::Given { member: 3, .. }) && (from..to).contains(&e.at);
+            |e: &&Event| matches!(e.what, EventKind::Given { member: 3, .. }) && (from..to).contains(&e.at);
         outcome.events.iter().filter(to_it).count()
     };
     let [out, killed, back] =
         ["Console(These([4])", "Kill(", "Console(These([5])"].map(|s| began(&outcome, s));
-    let asked = |e: &&Event| matches!(e.what, What::Asked { .. });
+    let asked = |e: &&Event| matches!(e.what, EventKind::Asked { .. });
     let last = outcome.events.iter().rfind(asked).expect("requests").at;
     assert!(given(0, out) > 0 && given(last - 1_500_000, u64::MAX) > 0);
     assert_eq!(given(killed, back), 0, "out at all of them");
@@ -264,14 +267,14 @@
          at 1200 p5 link list silent
          at 2000 list does leaving m3"
     ));
-    let asked = |what: &What| match what {
-        What::Asked { id, proxy: 5, .. } => Some(*id),
+    let asked = |what: &EventKind| match what {
+        EventKind::Asked { id, proxy: 5, .. } => Some(*id),
         _ => None,
     };
     let by_it: std::collections::HashSet<u64> =
         outcome.events.iter().filter_map(|e| asked(&e.what)).collect();
     let given = |from: u64, to: u64| {
-        let sent = |e: &&Event| matches!(&e.what, What::Given { member: 3, id } if by_it.contains(id));
+        let sent = |e: &&Event| matches!(&e.what, EventKind::Given { member: 3, id } if by_it.contains(id));
         outcome.events.iter().filter(|e| (from..to).contains(&e.at)).filter(sent).count()
     };
     let leaving = began(&outcome, "Lists(3");
@@ -353,7 +356,7 @@
     );
     // With two of three voters left the one that had to learn is needed.
     let others_back = |e: &&Event| e.at < 8_000_000;
-    let acts = |e: &Event| matches!(&e.what, What::Acts { kind, versions, .. } if kind == "settings" && versions.len() == 2);
+    let acts = |e: &Event| matches!(&e.what, EventKind::Acts { kind, versions, .. } if kind == "settings" && versions.len() == 2);
     assert!(
         outcome.events.iter().filter(others_back).any(acts),
         "the change is under way before the other is back"
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use linentrail_standins::proxy::Setup;
-use linentrail_standins::rig::events::{End, Event, What};
+use linentrail_standins::rig::events::{Event, EventKind, RequestEnd};
 use linentrail_standins::rig::run::{run, Outcome};
 use linentrail_standins::rig::script::Script;
 use std::collections::BTreeMap;
@@ -31,9 +31,9 @@
 
 /// Whether anything asked after the last process had come back was served.
 fn serves_again(outcome: &Outcome) -> bool {
-    let back = |e: &Event| matches!(e.what, What::Serves { .. });
+    let back = |e: &Event| matches!(e.what, EventKind::Serves { .. });
     let since = outcome.events.iter().rposition(back).expect("they serve");
-    let served = |e: &Event| matches!(e.what, What::Ended { how: End::Served, .. });
+    let served = |e: &Event| matches!(e.what, EventKind::Ended { how: RequestEnd::Served, .. });
     outcome.events[since..].iter().filter(|e| served(e)).count() > 10
 }
 
@@ -123,7 +123,7 @@
     let calls: Vec<bool> = outcome
         .events
         .iter()
-        .filter_map(|e| if let What::Called { whole, .. } = e.what { Some(whole) } else { None })
+        .filter_map(|e| if let EventKind::Called { whole, .. } = e.what { Some(whole) } else { None })
         .collect();
     let lists = calls.iter().filter(|whole| **whole).count();
     assert_eq!(lists, 12, "each asks once for the whole list");
@@ -258,11 +258,11 @@
 
 /// How long after the step that ended so each proxy had first been told that a member drains, in ms.
 fn told_after(outcome: &Outcome, drains: u32, step: &str) -> BTreeMap<u32, u64> {
-    let began = |e: &&Event| matches!(&e.what, What::Fault(text) if text.contains(step));
+    let began = |e: &&Event| matches!(&e.what, EventKind::Fault(text) if text.contains(step));
     let began = outcome.events.iter().find(began).expect("the step was taken").at;
     let mut first = BTreeMap::new();
     for event in &outcome.events {
-        if let What::Drains { proxy, member, on: true } = event.what {
+        if let EventKind::Drains { proxy, member, on: true } = event.what {
             if member == drains && event.at >= began {
                 first.entry(proxy).or_insert((event.at - began) / 1000);
             }
@@ -303,6 +303,6 @@
          at 700 list does leaving m3
          at 800 list does well",
     );
-    let told = |e: &&Event| matches!(e.what, What::Drains { member: 3, on: true, .. });
+    let told = |e: &&Event| matches!(e.what, EventKind::Drains { member: 3, on: true, .. });
     assert_eq!(outcome.events.iter().filter(told).count(), 3);
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -6,7 +6,7 @@
 use linentrail_standins::proxy::{self, Proxy, Setup};
 use linentrail_standins::registry::entry;
 use linentrail_standins::rig::checker::Rule;
-use linentrail_standins::rig::events::{End, What};
+use linentrail_standins::rig::events::{EventKind, RequestEnd};
 use linentrail_standins::rig::run::{run, Outcome};
 use linentrail_standins::rig::script::Script;
 use std::path::{Path, PathBuf};
@@ -46,8 +46,8 @@
 
 /// What the operators were told, of calls that change nothing.
 fn answers(outcome: &Outcome) -> Vec<String> {
-    let said = |what: &What| match what {
-        What::Fault(text) => text.split_once(" answers ").map(|(_, answer)| answer.to_string()),
+    let said = |what: &EventKind| match what {
+        EventKind::Fault(text) => text.split_once(" answers ").map(|(_, answer)| answer.to_string()),
         _ => None,
     };
     outcome.events.iter().filter_map(|e| said(&e.what)).collect()
@@ -56,8 +56,8 @@
 /// Requests served after the last process had come back.
 fn served_after(outcome: &Outcome) -> usize {
     let back =
-        outcome.events.iter().rposition(|e| matches!(e.what, What::Serves { .. })).expect("they serve");
-    let served = |what: &What| matches!(what, What::Ended { how: End::Served, .. });
+        outcome.events.iter().rposition(|e| matches!(e.what, EventKind::Serves { .. })).expect("they serve");
+    let served = |what: &EventKind| matches!(what, EventKind::Ended { how: RequestEnd::Served, .. });
     outcome.events[back..].iter().filter(|e| served(&e.what)).count()
 }
 
