--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -104,7 +104,7 @@
                 let file = std::fs::File::create(path).map_err(bad)?;
                 events::write_events(&outcome.events, std::io::BufWriter::new(file)).map_err(bad)?;
             }
-            for took in linentrail_standins::rig::measure::agreed(&outcome.events) {
+            for took in linentrail_standins::rig::measure::change_durations(&outcome.events) {
                 match took {
                     Some(took) => println!(
                         "{proxies} proxies, seed {seed}: a change in force at all after {} ms",
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -37,18 +37,21 @@
 impl Report {
     /// Takes in a run.
     pub fn add(&mut self, program: &str, (proxies, seed): (u32, u64), outcome: &Outcome) {
-        let Outcome { verdict, back, counters, .. } = outcome;
-        let back = back.clone().unwrap_or_default();
+        let Outcome { verdict, recovery, counters, .. } = outcome;
+        let recovery = recovery.clone().unwrap_or_default();
         let [before, after] = verdict.peaks;
         let counts: Value = verdict.counts.iter().map(|(rule, n)| (format!("{rule:?}"), json!(n))).collect();
         // The slowest process by its own word, and the most that its word and its clients' view are apart.
-        let told = outcome.each.values().map(|(_, told)| *told).max();
-        let apart = outcome.each.values().map(|(seen, told)| seen.abs_diff(*told)).max();
-        let each: Vec<Value> =
-            outcome.each.iter().map(|(p, (seen, told))| json!([p, seen / 1000, told / 1000])).collect();
+        let told = outcome.full_service_times.values().map(|(_, told)| *told).max();
+        let apart = outcome.full_service_times.values().map(|(seen, told)| seen.abs_diff(*told)).max();
+        let each: Vec<Value> = outcome
+            .full_service_times
+            .iter()
+            .map(|(p, (seen, told))| json!([p, seen / 1000, told / 1000]))
+            .collect();
         self.rows.push(json!({
-            "proxies": proxies, "seed": seed, "program": program, "asked": verdict.asked, "good_before": back.before,
-            "first_half_second": back.half_second, "full_ms": back.full.map(|t| t as f64 / 1e3),
+            "proxies": proxies, "seed": seed, "program": program, "asked": verdict.asked, "good_before": recovery.share_before,
+            "first_half_second": recovery.share_first_half_second, "full_ms": recovery.time_to_full.map(|t| t as f64 / 1e3),
             "told_ms": told.map(|t| t / 1000), "apart_ms": apart.map(|t| t / 1000), "each_ms": each,
             "opened": [before.opened, after.opened], "probed": [before.probed, after.probed],
             "called": [before.called, after.called], "unanswered": verdict.unanswered,
--- a/crates/standins/src/rig/measure.rs
+++ b/crates/standins/src/rig/measure.rs
@@ -28,13 +28,13 @@
     }
 
     /// When the first second after `began` begins that is as good as before.
-    fn full(&self, began: Micros, before: f64) -> Option<Micros> {
+    fn full(&self, began: Micros, share_before: f64) -> Option<Micros> {
         let first = began.div_ceil(self.step) as usize;
         // The last step is cut off by the run's end.
         let last = self.counts.len().saturating_sub((SECOND / self.step) as usize + 1);
         let full = (first..last).find(|step| {
             let at = *step as Micros * self.step;
-            self.share(at, at + SECOND).is_some_and(|share| share >= FULL * before)
+            self.share(at, at + SECOND).is_some_and(|share| share >= FULL * share_before)
         });
         full.map(|step| (step as Micros * self.step).saturating_sub(began))
     }
@@ -42,15 +42,15 @@
 
 /// What a run has shown of coming back.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Return {
+pub struct Recovery {
     /// When the first process was started after the first fault, or else when that fault came.
     pub began: Micros,
     /// Share of good answers before the first fault.
-    pub before: f64,
+    pub share_before: f64,
     /// In the first half second after the beginning.
-    pub half_second: f64,
+    pub share_first_half_second: f64,
     /// From the beginning to the first second of full service; none: it was never reached.
-    pub full: Option<Micros>,
+    pub time_to_full: Option<Micros>,
 }
 
 /// Good answers over time, a curve for each key that a request's proxy has. A request counts as good that was served within
@@ -82,7 +82,7 @@
 }
 
 /// How service came back after the first fault; `from`: when the run had settled.
-pub fn came_back(events: &[Event], from: Micros) -> Option<Return> {
+pub fn recovery(events: &[Event], from: Micros) -> Option<Recovery> {
     let fault = |e: &&Event| matches!(e.what, EventKind::Fault(_));
     let fault = events.iter().find(fault)?.at;
     let exec = |e: &&Event| e.at >= fault && matches!(e.what, EventKind::Exec { .. });
@@ -91,12 +91,12 @@
     let before = curve.share(from, fault)?;
     let half_second = curve.share(began, began + 500_000).unwrap_or(0.0);
     let full = curve.full(began, before);
-    Some(Return { began, before, half_second, full })
+    Some(Recovery { began, share_before: before, share_first_half_second: half_second, time_to_full: full })
 }
 
 /// From each proxy's last start to its own first second of full service, as its clients see it, which begins no sooner than
 /// it serves; a process knows no share before, so that all are to be good.
-pub fn each(events: &[Event]) -> BTreeMap<u32, Micros> {
+pub fn times_to_full_service(events: &[Event]) -> BTreeMap<u32, Micros> {
     let mut last: BTreeMap<u32, (Micros, Micros)> = BTreeMap::new();
     for event in events {
         match event.what {
@@ -114,7 +114,7 @@
 }
 
 /// Changes that were proposed, and how long after that the last proxy acted by the new version alone; none: not all did.
-pub fn agreed(events: &[Event]) -> Vec<Option<Micros>> {
+pub fn change_durations(events: &[Event]) -> Vec<Option<Micros>> {
     let proposed: Vec<usize> = (0..events.len())
         .filter(|n| matches!(&events[*n].what, EventKind::Fault(text) if text.starts_with("Propose(")))
         .collect();
@@ -175,10 +175,10 @@
         steps.extend([0; 5]);
         steps.extend([5; 5]);
         steps.extend([10; 20]);
-        let back = came_back(&run(&steps, 10, 12), 0).expect("a fault");
-        assert_eq!((back.began, back.before), (1_200_000, 1.0));
-        assert_eq!(back.full, Some(800_000));
-        assert!((back.half_second - 0.2).abs() < 1e-9, "{}", back.half_second);
+        let back = recovery(&run(&steps, 10, 12), 0).expect("a fault");
+        assert_eq!((back.began, back.share_before), (1_200_000, 1.0));
+        assert_eq!(back.time_to_full, Some(800_000));
+        assert!((back.share_first_half_second - 0.2).abs() < 1e-9, "{}", back.share_first_half_second);
     }
 
     #[test]
@@ -189,7 +189,7 @@
         let mut events = run(&steps, 10, 12);
         events.insert(0, Event { at: 0, what: EventKind::Exec { proxy: 1 } });
         events.push(Event { at: 3_400_000, what: EventKind::Exec { proxy: 2 } });
-        let full = each(&events);
+        let full = times_to_full_service(&events);
         // Requests come at the beginning of each 100 ms; the one of 20 that is bad at 1.4 s is in no good second.
         assert_eq!(full.get(&1), Some(&205_000), "{full:?}");
         assert_eq!(full.get(&2), None, "nobody asked it");
@@ -198,7 +198,7 @@
     #[test]
     fn service_that_never_comes_back_has_no_time_and_a_run_without_fault_no_return() {
         let steps = [[10; 10], [9; 10], [9; 10]].concat();
-        assert_eq!(came_back(&run(&steps, 10, 10), 0).expect("a fault").full, None);
-        assert_eq!(came_back(&run(&steps, 99, 99), 0), None);
+        assert_eq!(recovery(&run(&steps, 10, 10), 0).expect("a fault").time_to_full, None);
+        assert_eq!(recovery(&run(&steps, 99, 99), 0), None);
     }
 }
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -3,7 +3,7 @@
 use super::checker::{judge, Rule, Verdict};
 use super::clients;
 use super::events::{Event, EventKind, EventLog, Micros};
-use super::measure::{came_back, each, Return};
+use super::measure::{recovery, times_to_full_service, Recovery};
 use super::run_delay;
 use super::script::{Script, Step};
 use super::world::World;
@@ -28,12 +28,12 @@
     /// The checker's verdict.
     pub verdict: Verdict,
     /// How service came back, where there was a fault.
-    pub back: Option<Return>,
+    pub recovery: Option<Recovery>,
     /// Counters of the proxies that ran at the end, summed up.
     pub counters: BTreeMap<String, u64>,
     /// Each proxy's time to full service after its last start, as its clients saw it and as it tells itself, where both
     /// are known.
-    pub each: BTreeMap<u32, (Micros, Micros)>,
+    pub full_service_times: BTreeMap<u32, (Micros, Micros)>,
     /// The whole log.
     pub events: Vec<Event>,
 }
@@ -150,13 +150,13 @@
     }
     // From when the proxies serve: the load begins then.
     let served = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
-    let back = came_back(&events, served + SETTLES);
+    let back = recovery(&events, served + SETTLES);
     if let (Some(most), Some(back)) = (script.full, &back) {
-        let late = back.full.is_none_or(|full| full > most.as_micros() as Micros);
+        let late = back.time_to_full.is_none_or(|full| full > most.as_micros() as Micros);
         if late {
             let what = format!(
                 "full service after {:?} ms, {} allowed",
-                back.full.map(|t| t / 1000),
+                back.time_to_full.map(|t| t / 1000),
                 most.as_millis()
             );
             verdict.breach(Rule::Full, back.began, what);
@@ -166,6 +166,9 @@
         let counters = by_proxy.get(p).filter(|c| c.contains_key("full_service"))?;
         Some(counters.get("full_service_ms").copied().unwrap_or(0) * 1000)
     };
-    let each = each(&events).into_iter().filter_map(|(p, seen)| Some((p, (seen, told(&p)?)))).collect();
-    Ok(Outcome { verdict, back, counters, each, events })
+    let each = times_to_full_service(&events)
+        .into_iter()
+        .filter_map(|(p, seen)| Some((p, (seen, told(&p)?))))
+        .collect();
+    Ok(Outcome { verdict, recovery: back, counters, full_service_times: each, events })
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -148,7 +148,7 @@
     let count = |name: &str| outcome.counters.get(name).copied();
     assert!(count("pg_requests") > Some(20), "{:?}", outcome.counters);
     assert_eq!((count("served"), count("full_service")), (None, None), "{:?}", outcome.counters);
-    assert!(outcome.each.is_empty(), "{:?}", outcome.each);
+    assert!(outcome.full_service_times.is_empty(), "{:?}", outcome.full_service_times);
 }
 
 #[test]
