--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -82,7 +82,7 @@
 pub async fn run(options: &Options, stop: &Stop) -> Result<(), Failure> {
     let mut script = read(&options.scenario)?;
     let sizes = if options.proxies.is_empty() { vec![script.proxies] } else { options.proxies.clone() };
-    let as_many = script.told == script.proxies;
+    let as_many = script.announced_proxies == script.proxies;
     let mut programs = vec![("new", program(options.program.as_ref())?)];
     if let Some(old) = &options.against {
         programs.insert(0, ("old", program(Some(old))?));
@@ -96,7 +96,8 @@
                 break;
             }
             (script.seed, script.proxies) = (seed, proxies);
-            script.told = options.told.unwrap_or(if as_many { proxies } else { script.told });
+            script.announced_proxies =
+                options.told.unwrap_or(if as_many { proxies } else { script.announced_proxies });
             eprintln!("{proxies} proxies, seed {seed}, {name}");
             let outcome = play(&script, program, stop, options.seeds == 1 && sizes.len() == 1).await?;
             if let Some(path) = &options.log {
@@ -149,7 +150,7 @@
     let events = events::read_events(std::io::BufReader::new(file)).map_err(bad)?;
     let verdict = checker::judge(&events, 0, &script.bounds);
     verdict.breaches.iter().for_each(|b| println!("{}", report::line(b)));
-    if !verdict.kept() {
+    if !verdict.passed() {
         return Err(Failure::Broken("a rule was broken".to_string()));
     }
     println!("{} requests, all rules kept", verdict.asked);
--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -40,7 +40,7 @@
     /// Idle clients fill the descriptors: a new connection may be shut unread.
     pub crowded: bool,
     /// The operators' word on a member outlasts the process that it was said to.
-    pub hands_kept: bool,
+    pub suspensions_kept: bool,
     /// Added to all limits on time that no other bound sets: for machines of any speed.
     pub patience: Micros,
     /// A cold member gets at most so many times what it can do.
@@ -52,7 +52,7 @@
     /// Calls that discovery could not answer.
     pub unanswered: Option<u64>,
     /// Calls of one process for the whole list.
-    pub whole: Option<u64>,
+    pub whole_lists: Option<u64>,
 }
 
 impl Default for Bounds {
@@ -62,13 +62,13 @@
             late: 500_000,
             drain: 500_000,
             crowded: false,
-            hands_kept: false,
+            suspensions_kept: false,
             patience: 0,
             cold: 4.0,
             opened: None,
             probed: None,
             unanswered: None,
-            whole: None,
+            whole_lists: None,
         }
     }
 }
@@ -164,7 +164,7 @@
     }
 
     /// Whether all rules were kept.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.counts.is_empty()
     }
 }
@@ -457,7 +457,7 @@
                 let of = self.proxies.entry(*proxy).or_default();
                 of.whole += u64::from(*whole);
                 let n = of.whole;
-                if *whole && bounds.whole.is_some_and(|most| n > most) {
+                if *whole && bounds.whole_lists.is_some_and(|most| n > most) {
                     let what = format!("proxy {proxy} asks for the whole list for the {n}. time");
                     self.verdict.breach(Rule::Whole, at, what);
                 }
@@ -491,7 +491,7 @@
                 of.acts = BTreeMap::new();
                 // What discovery told the last process, this one has to hear anew.
                 of.draining.clear();
-                if !bounds.hands_kept {
+                if !bounds.suspensions_kept {
                     of.out.clear();
                 }
             }
--- a/crates/standins/src/rig/checker_tests.rs
+++ b/crates/standins/src/rig/checker_tests.rs
@@ -54,7 +54,7 @@
     let plot = sound().ask(10, 1, None, ReadGuarantee::Session).told(20, 1, RequestEnd::Served, 1);
     assert_eq!(plot.broken(), []);
     let verdict = judge(&plot.0, 0, &Bounds::default());
-    assert!(verdict.kept());
+    assert!(verdict.passed());
     assert_eq!(verdict.asked, 2);
 }
 
@@ -302,7 +302,7 @@
     assert_eq!(give(again.clone(), 600), []);
     let asked =
         again.ask(600, 600, None, ReadGuarantee::Any).at(600, EventKind::Given { member: 3, id: 600 });
-    let kept = Bounds { hands_kept: true, ..Bounds::default() };
+    let kept = Bounds { suspensions_kept: true, ..Bounds::default() };
     assert_eq!(asked.told(601, 600, RequestEnd::Served, 1).rules(&kept), [Rule::Hand]);
 }
 
@@ -320,13 +320,18 @@
     };
     let flood = run(2);
     assert_eq!(flood.counts.get(&Rule::Cold), Some(&1), "a stretch over the budget is one breach");
-    assert!(run(100).kept());
+    assert!(run(100).passed());
 }
 
 #[test]
 fn sums_over_their_bounds_are_breaches_once_a_fault_has_come() {
-    let bounds =
-        Bounds { opened: Some(3), probed: Some(2), unanswered: Some(1), whole: Some(1), ..Bounds::default() };
+    let bounds = Bounds {
+        opened: Some(3),
+        probed: Some(2),
+        unanswered: Some(1),
+        whole_lists: Some(1),
+        ..Bounds::default()
+    };
     let burst = |plot: Plot, at: Micros, each: Micros| {
         (0..4).fold(plot, |plot, n| plot.at(at + n * each, EventKind::Opened { member: 2 }))
     };
@@ -354,7 +359,7 @@
     assert_eq!(sound().at(20, EventKind::Given { member: 1, id: 9 }).broken(), [Rule::Log]);
     assert_eq!(sound().at(0, EventKind::Exec { proxy: 2 }).broken(), [Rule::Log]);
     assert_eq!(sound().write(30, 100, 1).broken().first(), Some(&Rule::Once));
-    assert!(!judge(&sound().0, 3, &Bounds::default()).kept());
+    assert!(!judge(&sound().0, 3, &Bounds::default()).passed());
 }
 
 fn acts(plot: Plot, proxy: u32, ms: u64, versions: &[&str]) -> Plot {
--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -115,7 +115,7 @@
     let ask = Ask { class: name, key: key.clone(), value: None, wait_ms, after: None };
     let (id, log) = (request_id(), world.log().clone());
     let number = u64::from_str_radix(&id, 16).unwrap_or(0);
-    let group = n % world.script().make.groups + 1;
+    let group = n % world.script().member_setup.groups + 1;
     tokio::time::sleep(way).await;
     let (aim, wait) = (aim * 1000, wait_ms * 1000);
     let effect = Some(world.script().effects[SURGE_CLASS]);
@@ -214,7 +214,7 @@
 
     /// After how long it leaves before it has its answer, where this request is one of those.
     fn leaves(&mut self) -> Option<Duration> {
-        let leaves = self.rng.u32(0..100) < self.world.script().leaving;
+        let leaves = self.rng.u32(0..100) < self.world.script().leaving_percent;
         leaves.then(|| Duration::from_millis(self.rng.u64(1..LEAVES_WITHIN_MS)))
     }
 
@@ -257,7 +257,7 @@
     /// Asks once, under an id of its own; none: no answer.
     async fn ask(&mut self, class: usize, value: Option<u64>, again: bool) -> Option<Told> {
         let (name, aim, wait_ms) = CLASSES[class];
-        let group = self.n % self.world.script().make.groups + 1;
+        let group = self.n % self.world.script().member_setup.groups + 1;
         let key = format!("c{}", self.n);
         let carried = self.world.script().sessions_carried;
         let after = if class == 1 && carried { self.world.group(group).committed(&key) } else { None };
--- a/crates/standins/src/rig/harm.rs
+++ b/crates/standins/src/rig/harm.rs
@@ -1,6 +1,6 @@
 //! What comes to the folder in which a process keeps its state, while the process is down.
 
-use super::script::Harm;
+use super::script::StoreDamage;
 use std::fs;
 use std::io::{Error, ErrorKind, Result};
 use std::os::unix::fs::PermissionsExt;
@@ -47,26 +47,26 @@
 ///
 /// # Errors
 /// When it cannot be done, as where there is nothing to harm.
-pub fn carry_out(folder: &Path, harm: Harm) -> Result<()> {
+pub fn damage_store(folder: &Path, harm: StoreDamage) -> Result<()> {
     let aside = folder.with_extension("kept");
     let mode = |mode| fs::set_permissions(folder, fs::Permissions::from_mode(mode));
     match harm {
-        Harm::Wiped => fs::remove_dir_all(folder),
-        Harm::Kept => copy(folder, &aside),
-        Harm::RolledBack => copy(&aside, folder),
-        Harm::Torn(part) => {
+        StoreDamage::Wiped => fs::remove_dir_all(folder),
+        StoreDamage::Kept => copy(folder, &aside),
+        StoreDamage::RolledBack => copy(&aside, folder),
+        StoreDamage::Torn(part) => {
             let file = fs::OpenOptions::new().write(true).open(newest(folder)?)?;
             file.set_len(file.metadata()?.len() * u64::from(part) / 1000)
         }
-        Harm::Flipped => {
+        StoreDamage::Flipped => {
             let path = newest(folder)?;
             let mut bytes = fs::read(&path)?;
             let middle = bytes.len() / 2;
             bytes[middle] ^= 1;
             fs::write(path, bytes)
         }
-        Harm::ReadOnly => mode(0o555),
-        Harm::Writable => mode(0o755),
+        StoreDamage::ReadOnly => mode(0o555),
+        StoreDamage::Writable => mode(0o755),
     }
 }
 
@@ -81,7 +81,7 @@
         fs::create_dir_all(&folder).expect("a folder");
         fs::write(folder.join("snapshot"), [0; 100]).expect("a file");
         fs::write(folder.join("snapshot.new"), [0; 50]).expect("a file");
-        carry_out(&folder, Harm::Torn(500)).expect("a file");
+        damage_store(&folder, StoreDamage::Torn(500)).expect("a file");
         let length = |name: &str| fs::metadata(folder.join(name)).expect("a file").len();
         assert_eq!((length("snapshot"), length("snapshot.new")), (50, 50));
         fs::remove_dir_all(&folder).expect("the folder");
@@ -102,7 +102,7 @@
                     fs::rename(folder.join("snapshot.new"), folder.join("snapshot")).expect("a file");
                 }
             });
-            let copied = (0..2_000).try_for_each(|_| carry_out(&folder, Harm::Kept));
+            let copied = (0..2_000).try_for_each(|_| damage_store(&folder, StoreDamage::Kept));
             ends.store(true, std::sync::atomic::Ordering::Relaxed);
             copied.expect("a copy each time");
         });
@@ -117,21 +117,21 @@
         let folder = std::env::temp_dir().join(format!("linentrail-harm-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
-        assert!(carry_out(&folder, Harm::Torn(500)).is_err(), "there is nothing to tear");
+        assert!(damage_store(&folder, StoreDamage::Torn(500)).is_err(), "there is nothing to tear");
         let file = folder.join("a");
         let read = || fs::read(&file).expect("a file");
         fs::write(&file, [0; 100]).expect("a file");
-        carry_out(&folder, Harm::Kept).expect("a copy");
-        carry_out(&folder, Harm::Torn(250)).expect("a file");
+        damage_store(&folder, StoreDamage::Kept).expect("a copy");
+        damage_store(&folder, StoreDamage::Torn(250)).expect("a file");
         assert_eq!(read().len(), 25);
-        carry_out(&folder, Harm::Flipped).expect("a file");
+        damage_store(&folder, StoreDamage::Flipped).expect("a file");
         assert_eq!(read().iter().map(|b| b.count_ones()).sum::<u32>(), 1);
-        carry_out(&folder, Harm::RolledBack).expect("the copy");
+        damage_store(&folder, StoreDamage::RolledBack).expect("the copy");
         assert_eq!(read(), [0; 100]);
-        carry_out(&folder, Harm::ReadOnly).expect("a folder");
+        damage_store(&folder, StoreDamage::ReadOnly).expect("a folder");
         assert_eq!(fs::metadata(&folder).expect("a folder").permissions().mode() & 0o777, 0o555);
-        carry_out(&folder, Harm::Writable).expect("a folder");
-        carry_out(&folder, Harm::Wiped).expect("a folder");
+        damage_store(&folder, StoreDamage::Writable).expect("a folder");
+        damage_store(&folder, StoreDamage::Wiped).expect("a folder");
         assert!(!folder.exists());
         fs::remove_dir_all(folder.with_extension("kept")).expect("the copy");
     }
--- a/crates/standins/src/rig/relay.rs
+++ b/crates/standins/src/rig/relay.rs
@@ -135,7 +135,7 @@
     }
 
     /// From now on it does this.
-    pub fn does(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
 }
--- a/crates/standins/src/rig/relay_tests.rs
+++ b/crates/standins/src/rig/relay_tests.rs
@@ -69,14 +69,14 @@
         let relay = Relay::tcp(echo(), 1);
         let mut stream = connect(&relay);
         says(&mut stream, b"before").expect("it is well");
-        relay.does(fault(cut));
+        relay.set_fault(fault(cut));
         stream.write_all(b"within").expect("the kernel takes it");
         assert!(silent(&stream), "{cut}");
         // One that connects meanwhile hears nothing either.
         let mut later = connect(&relay);
         later.write_all(b"later").expect("the kernel takes it");
         assert!(silent(&later), "{cut}");
-        relay.does(Fault::default());
+        relay.set_fault(Fault::default());
         let mut back = [0; 6];
         stream.read_exact(&mut back).expect("the cut has ended");
         assert_eq!(&back, b"within", "{cut}");
@@ -91,7 +91,7 @@
     let mut stream = connect(&relay);
     says(&mut stream, &[1; 100]).expect("it is well");
     // 200 bytes have passed, both ways.
-    relay.does(fault("reset 500"));
+    relay.set_fault(fault("reset 500"));
     says(&mut stream, &[2; 100]).expect("400 of 500");
     let began = Clock::now();
     while says(&mut stream, &[3; 100]).is_ok() {
@@ -99,14 +99,14 @@
     }
     let mut fresh = connect(&relay);
     says(&mut fresh, &[4; 100]).expect("each connection counts for itself");
-    relay.does(fault("late 30"));
+    relay.set_fault(fault("late 30"));
     assert!(fresh.read(&mut [0]).is_err(), "it is reset, not closed");
 }
 
 #[test]
 fn a_delay_holds_back_and_keeps_the_order() {
     let relay = Relay::tcp(echo(), 1);
-    relay.does(fault("delay 40 30"));
+    relay.set_fault(fault("delay 40 30"));
     let mut stream = connect(&relay);
     let began = Clock::now();
     for n in 0..3u8 {
@@ -118,7 +118,7 @@
 #[test]
 fn a_narrow_link_takes_its_time() {
     let relay = Relay::tcp(echo(), 1);
-    relay.does(fault("rate 10000"));
+    relay.set_fault(fault("rate 10000"));
     let mut stream = connect(&relay);
     let began = Clock::now();
     says(&mut stream, &[7; 1000]).expect("it only takes longer");
@@ -159,7 +159,7 @@
     server.send_to(b"down", back).expect("sent");
     let n = client.recv(&mut buffer).expect("it passes");
     assert_eq!(&buffer[..n], b"down");
-    relay.does(fault("silent down"));
+    relay.set_fault(fault("silent down"));
     server.send_to(b"lost", back).expect("sent");
     client.set_read_timeout(Some(WHILE)).expect("a time limit");
     assert!(client.recv(&mut buffer).is_err());
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -108,7 +108,7 @@
             }
             said(&format!("{:6} ms  {step:?}", at.as_millis()));
             // Only what comes to a folder depends on whether its process has ended.
-            let touched = if harms { world.lives_touched_by(step) } else { Vec::new() };
+            let touched = if harms { world.processes_changed_by(step) } else { Vec::new() };
             let (world, turn) = (&world, turns.next(&touched));
             let handle = scope.spawn(move || {
                 turn.wait();
@@ -151,7 +151,7 @@
     // From when the proxies serve: the load begins then.
     let served = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
     let back = recovery(&events, served + SETTLES);
-    if let (Some(most), Some(back)) = (script.full, &back) {
+    if let (Some(most), Some(back)) = (script.full_service_max, &back) {
         let late = back.time_to_full.is_none_or(|full| full > most.as_micros() as Micros);
         if late {
             let what = format!(
--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -45,7 +45,7 @@
 
 /// What is done to the folder in which a proxy keeps its state, while the proxy is down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum StoreDamage {
     /// All of it is gone.
     Wiped,
     /// A copy is put aside ...
@@ -78,7 +78,7 @@
     /// Processes read their configuration again.
     Hup(Who, Duration),
     /// What is kept of their state comes to harm.
-    Harm(Who, Harm),
+    Harm(Who, StoreDamage),
     /// Operators call.
     Console(Who, String),
     /// Links between proxies and members.
@@ -126,7 +126,7 @@
 
 /// A member's make.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Make {
+pub struct MemberSetup {
     /// How many.
     pub members: u32,
     /// In how many groups.
@@ -138,7 +138,7 @@
     /// Work of a new connection.
     pub handshake: Duration,
     /// Most connections; 0: any number.
-    pub most: usize,
+    pub max_connections: usize,
     /// Share of its capacity at a start, and how long until it is warm.
     pub cold: Option<(f64, Duration)>,
     /// Lag of replicas.
@@ -155,13 +155,13 @@
     /// How many proxies.
     pub proxies: u32,
     /// How many they believe there are.
-    pub told: u32,
+    pub announced_proxies: u32,
     /// The members.
-    pub make: Make,
+    pub member_setup: MemberSetup,
     /// Calls that discovery answers a second, and those that may wait; rate 0: any number.
-    pub list: (f64, usize),
+    pub list_capacity: (f64, usize),
     /// Whether a start finds the list in the configuration.
-    pub known: bool,
+    pub list_configured: bool,
     /// Least time between two snapshots of the proxies' stores; none: nothing is stored.
     pub store: Option<Duration>,
     /// The proxies agree on their rules, and so many of them vote; 0: they do not.
@@ -175,7 +175,7 @@
     /// Requests a second, and clients that ask them.
     pub load: (f64, u32),
     /// Of a hundred requests so many whose clients leave before the answer.
-    pub leaving: u32,
+    pub leaving_percent: u32,
     /// Clients that begin what they do not end.
     pub bad_clients: u32,
     /// Clients that connect and ask nothing.
@@ -189,7 +189,7 @@
     /// What must hold.
     pub bounds: Bounds,
     /// Longest time to full service; none: it is told and not judged.
-    pub full: Option<Duration>,
+    pub full_service_max: Option<Duration>,
     /// The time line, in its order.
     pub steps: Vec<(Duration, Step)>,
 }
@@ -200,34 +200,34 @@
         Script {
             seed: 1,
             proxies: 3,
-            told: 0,
-            make: Make {
+            announced_proxies: 0,
+            member_setup: MemberSetup {
                 members: 4,
                 groups: 1,
                 slots: 4,
                 work: (ms(20), ms(40)),
                 handshake: ms(15),
-                most: 0,
+                max_connections: 0,
                 cold: None,
                 lag: ms(5),
                 positions: Positions::default(),
             },
-            list: (0.0, 64),
-            known: true,
+            list_capacity: (0.0, 64),
+            list_configured: true,
             store: None,
             voters: 0,
             calls: Vec::new(),
             effects: [Effect::Safe, Effect::Safe, Effect::Safe, Effect::Unsafe],
             sessions_carried: true,
             load: (60.0, 24),
-            leaving: 0,
+            leaving_percent: 0,
             bad_clients: 0,
             idle_clients: 0,
             surge_clients: 0,
             sockets: 1024,
             end: ms(5_000),
             bounds: Bounds::default(),
-            full: None,
+            full_service_max: None,
             steps: Vec::new(),
         }
     }
@@ -235,14 +235,14 @@
 
 /// What is wrong with a scenario, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ScriptError {
     /// The line's number, from 1.
     pub line: usize,
     /// What.
     pub what: String,
 }
 
-impl Display for Wrong {
+impl Display for ScriptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.what)
     }
@@ -301,20 +301,20 @@
     ///
     /// # Errors
     /// All that is wrong with it, by line.
-    pub fn read(text: &str) -> Result<Self, Vec<Wrong>> {
+    pub fn read(text: &str) -> Result<Self, Vec<ScriptError>> {
         let (mut script, mut wrong) = (Script::default(), Vec::new());
         for (n, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             let words: Vec<&str> = line.split_whitespace().collect();
             if let Err(what) = script.line(&words) {
-                wrong.push(Wrong { line: n + 1, what });
+                wrong.push(ScriptError { line: n + 1, what });
             }
         }
-        if script.told == 0 {
-            script.told = script.proxies;
+        if script.announced_proxies == 0 {
+            script.announced_proxies = script.proxies;
         }
         if let Err(what) = script.fits() {
-            wrong.push(Wrong { line: text.lines().count(), what });
+            wrong.push(ScriptError { line: text.lines().count(), what });
         }
         script.steps.sort_by_key(|(at, _)| *at);
         if wrong.is_empty() {
@@ -330,15 +330,17 @@
             ["at", at, rest @ ..] => self.steps.push((ms(at)?, step(rest)?)),
             ["seed", n] => self.seed = number(n)?,
             ["proxies", n] => self.proxies = number(n)?,
-            ["proxies", n, "told", told] => (self.proxies, self.told) = (number(n)?, number(told)?),
+            ["proxies", n, "told", told] => {
+                (self.proxies, self.announced_proxies) = (number(n)?, number(told)?)
+            }
             ["members", n, rest @ ..] => {
-                self.make.members = number(n)?;
-                self.make.describe(rest)?;
+                self.member_setup.members = number(n)?;
+                self.member_setup.describe(rest)?;
             }
-            ["list", "rate", rate] => self.list.0 = number(rate)?,
-            ["list", "rate", rate, "queue", queue] => self.list = (number(rate)?, number(queue)?),
-            ["known", "old"] => self.known = true,
-            ["known", "lost"] => self.known = false,
+            ["list", "rate", rate] => self.list_capacity.0 = number(rate)?,
+            ["list", "rate", rate, "queue", queue] => self.list_capacity = (number(rate)?, number(queue)?),
+            ["known", "old"] => self.list_configured = true,
+            ["known", "lost"] => self.list_configured = false,
             ["store", "every", span] => self.store = Some(ms(span)?),
             ["agree", "voters", n] => self.voters = number(n)?,
             ["class", name, effect @ ..] => self.effects[read_class(name)?] = self::effect(effect)?,
@@ -346,7 +348,7 @@
             ["sessions", "remembered"] => self.sessions_carried = false,
             ["load", rate, "clients", n] => self.load = (number(rate)?, number(n)?),
             ["calls", name, "1", "in", every] => self.calls.push((call(name)?, number(every)?)),
-            ["clients", "leave", percent] => self.leaving = number(percent)?,
+            ["clients", "leave", percent] => self.leaving_percent = number(percent)?,
             ["clients", "idle", n] => {
                 self.idle_clients = number(n)?;
                 self.bounds.crowded |= self.idle_clients > 0;
@@ -358,9 +360,9 @@
             ["sockets", n] => self.sockets = number(n)?,
             ["clients", "bad", n] => self.bad_clients = number(n)?,
             ["end", at] => self.end = ms(at)?,
-            ["bound", "full", span] => self.full = Some(ms(span)?),
+            ["bound", "full", span] => self.full_service_max = Some(ms(span)?),
             ["bound", what, n] => self.bound(what, n)?,
-            ["hands", "kept"] => self.bounds.hands_kept = true,
+            ["hands", "kept"] => self.bounds.suspensions_kept = true,
             _ => return Err(format!("no such step: '{}'", words.join(" "))),
         }
         Ok(())
@@ -376,14 +378,14 @@
             "opened" => bounds.opened = Some(number(n)?),
             "probed" => bounds.probed = Some(number(n)?),
             "unanswered" => bounds.unanswered = Some(number(n)?),
-            "whole" => bounds.whole = Some(number(n)?),
+            "whole" => bounds.whole_lists = Some(number(n)?),
             _ => return Err(format!("there is no bound '{what}'")),
         }
         Ok(())
     }
 
     fn fits(&self) -> Result<(), String> {
-        let Make { members, groups, slots, work, .. } = self.make;
+        let MemberSetup { members, groups, slots, work, .. } = self.member_setup;
         for (fine, what) in [
             ((1..=PROXIES_MAX).contains(&self.proxies), format!("1 to {PROXIES_MAX} proxies can run")),
             ((1..=MEMBERS_MAX).contains(&members), format!("1 to {MEMBERS_MAX} members can run")),
@@ -430,7 +432,7 @@
     }
 }
 
-impl Make {
+impl MemberSetup {
     fn describe(&mut self, words: &[&str]) -> Result<(), String> {
         let rest = match words {
             [] => return Ok(()),
@@ -451,7 +453,7 @@
                 rest
             }
             ["most", n, rest @ ..] => {
-                self.most = number(n)?;
+                self.max_connections = number(n)?;
                 rest
             }
             ["cold", share, warm, rest @ ..] => {
@@ -564,18 +566,18 @@
     Call::ALL.into_iter().find(|call| call.name() == name).ok_or_else(|| format!("there is no call '{name}'"))
 }
 
-fn harm(words: &[&str]) -> Result<Harm, String> {
+fn harm(words: &[&str]) -> Result<StoreDamage, String> {
     Ok(match words {
-        ["wiped"] => Harm::Wiped,
-        ["kept"] => Harm::Kept,
-        ["back"] => Harm::RolledBack,
+        ["wiped"] => StoreDamage::Wiped,
+        ["kept"] => StoreDamage::Kept,
+        ["back"] => StoreDamage::RolledBack,
         ["torn", part] => match number(part)? {
-            part @ 0..=1000 => Harm::Torn(part),
+            part @ 0..=1000 => StoreDamage::Torn(part),
             _ => return Err(format!("'{part}' is over 1000")),
         },
-        ["flipped"] => Harm::Flipped,
-        ["readonly"] => Harm::ReadOnly,
-        ["writable"] => Harm::Writable,
+        ["flipped"] => StoreDamage::Flipped,
+        ["readonly"] => StoreDamage::ReadOnly,
+        ["writable"] => StoreDamage::Writable,
         _ => return Err(format!("no store comes to '{}'", words.join(" "))),
     })
 }
@@ -588,7 +590,7 @@
     fn a_world_of_1200_proxies_and_members_can_be_described() {
         for n in [1_200, PROXIES_MAX] {
             let read = Script::read(&format!("proxies {n}\nmembers {n}\n")).expect("a world");
-            assert_eq!((read.proxies, read.make.members), (n, n));
+            assert_eq!((read.proxies, read.member_setup.members), (n, n));
         }
         assert!(Script::read(&format!("proxies {}\n", PROXIES_MAX + 1)).is_err());
         assert!(Script::read(&format!("members {}\n", MEMBERS_MAX + 1)).is_err());
@@ -619,11 +621,17 @@
             at 3970 p4 does stop 5000
             at 3980 clients link p2 delay 10 5";
         let script = Script::read(text).expect("it is sound");
-        assert_eq!((script.seed, script.proxies, script.told, script.known), (7, 24, 96, false));
-        assert_eq!((script.make.groups, script.make.most, script.list), (2, 64, (20.0, 100)));
-        assert_eq!(script.make.cold, Some((0.2, Duration::from_millis(9000))));
-        assert_eq!((script.bounds.opened, script.bounds.hands_kept), (Some(12), true));
-        assert_eq!(script.full, Some(Duration::from_millis(1300)));
+        assert_eq!(
+            (script.seed, script.proxies, script.announced_proxies, script.list_configured),
+            (7, 24, 96, false)
+        );
+        assert_eq!(
+            (script.member_setup.groups, script.member_setup.max_connections, script.list_capacity),
+            (2, 64, (20.0, 100))
+        );
+        assert_eq!(script.member_setup.cold, Some((0.2, Duration::from_millis(9000))));
+        assert_eq!((script.bounds.opened, script.bounds.suspensions_kept), (Some(12), true));
+        assert_eq!(script.full_service_max, Some(Duration::from_millis(1300)));
         let ms = Duration::from_millis;
         assert_eq!(script.steps.len(), 11);
         assert_eq!(script.steps[0], (ms(3000), Step::Kill(Who::Share(75), ms(50))));
@@ -640,8 +648,9 @@
             class yard-board keyed cell 400";
         let script = Script::read(text).expect("it is sound");
         let waits = WhenBehind::Waits(Duration::from_millis(30));
-        assert_eq!(script.make.positions, Positions { when_behind: waits, tells: Tells::Nothing });
-        let tells_role = Script::read("members 4 tells role behind off").expect("it is sound").make.positions;
+        assert_eq!(script.member_setup.positions, Positions { when_behind: waits, tells: Tells::Nothing });
+        let tells_role =
+            Script::read("members 4 tells role behind off").expect("it is sound").member_setup.positions;
         assert_eq!(tells_role, Positions { when_behind: WhenBehind::Answers, tells: Tells::Role });
         let keyed = Effect::Keyed { scope: KeyScope::Cell, window: 400_000 };
         assert_eq!(script.effects, [keyed, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -3,7 +3,7 @@
 
 use super::events::{Effect, EventKind, EventLog, KeyScope};
 use super::relay::{Fault, Relay};
-use super::script::{Harm, Script, Step, Who};
+use super::script::{Script, Step, StoreDamage, Who};
 use crate::group::Group;
 use crate::member::{Capacity, Member, Tells, WhenBehind};
 use crate::proxy::{self, signal_all, Proxy, Setup};
@@ -100,13 +100,13 @@
 fn settings(script: &Script) -> Value {
     let mut settings = proxy::settings();
     settings["discovery"] = "subscribe".into();
-    settings["instances"] = script.told.into();
+    settings["instances"] = script.announced_proxies.into();
     settings["services"] = proxy::classes(1);
     for (n, effect) in script.effects.iter().enumerate() {
         repeats(&mut settings["services"][n], *effect);
     }
     let family = &mut settings["family_info"];
-    let positions = script.make.positions;
+    let positions = script.member_setup.positions;
     let (when_behind, patience) = match positions.when_behind {
         WhenBehind::Answers => ("off", Duration::ZERO),
         WhenBehind::Refuses => ("refuse", Duration::ZERO),
@@ -116,7 +116,7 @@
     family["catch_up_wait_us"] = (patience.as_micros() as u64).into();
     family["tells_position"] = (positions.tells == Tells::All).into();
     family["session_marks"] = if script.sessions_carried { "carried" } else { "remembered" }.into();
-    if let Some((share, warm)) = script.make.cold {
+    if let Some((share, warm)) = script.member_setup.cold {
         settings["rules"]["cold_share"] = share.into();
         settings["rules"]["warm_after_us"] = (warm.as_micros() as u64).into();
     }
@@ -154,7 +154,7 @@
         more: impl Fn(&mut Setup, u32, &Path),
     ) -> Result<Self> {
         let world = WORLDS.fetch_add(1, Ordering::Relaxed);
-        let make = script.make;
+        let make = script.member_setup;
         let groups: Vec<Group> = (0..make.groups).map(|_| Group::default()).collect();
         let capacity = Capacity {
             slots: make.slots,
@@ -162,7 +162,7 @@
             service: make.work,
             cold: make.cold,
             handshake: make.handshake,
-            most: make.most,
+            most: make.max_connections,
         };
         let lag = make.lag.as_millis() as u64;
         let member = |n: u32| {
@@ -180,7 +180,7 @@
         };
         let members: Vec<Member> = (0..make.members).map(member).collect();
         let list: Vec<Value> = members.iter().enumerate().map(|(n, m)| listed(n, m, make.groups)).collect();
-        let registry = Registry::bounded(script.list.0, script.list.1);
+        let registry = Registry::bounded(script.list_capacity.0, script.list_capacity.1);
         registry.lists(list.clone().into());
         let folder = std::env::temp_dir().join(format!("linentrail-rig-{}-{world}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -231,13 +231,13 @@
                 front = relay.address();
                 client_links.insert(n, relay);
             }
-            let known = if script.known { known } else { Vec::new() };
+            let known = if script.list_configured { known } else { Vec::new() };
             let mut config = proxy::config(&door.to_string(), &known, settings(script), script.sockets, 192);
             config["name"] = format!("p{n}").into();
             config["listen"] = listen.to_string().into();
             config["console"] = "127.0.0.1:0".into();
             config["seed"] = format!("{:x}", script.seed.wrapping_mul(1_000_003) + u64::from(n)).into();
-            if !script.known {
+            if !script.list_configured {
                 config["known"] = Value::Null;
             }
             let still_coming = Some(Duration::from_millis(550));
@@ -334,7 +334,7 @@
     }
 
     fn members(&self, who: &Who) -> Vec<u32> {
-        who.of(self.0.script.make.members, self.0.script.seed)
+        who.of(self.0.script.member_setup.members, self.0.script.seed)
     }
 
     /// Those of them that run, with the ids of their processes.
@@ -404,7 +404,7 @@
     }
 
     /// The proxies whose process, or its folder, a step starts, ends or changes.
-    pub fn lives_touched_by(&self, step: &Step) -> Vec<u32> {
+    pub fn processes_changed_by(&self, step: &Step) -> Vec<u32> {
         match step {
             Step::Kill(who, _) | Step::Term(who, _) | Step::End(who, _) | Step::Start(who, _) => {
                 self.proxies(who)
@@ -488,8 +488,8 @@
             Step::Hup(who, span) => self.signal(&self.ids(who), "HUP", *span),
             Step::Harm(who, harm) => {
                 for n in self.proxies(who) {
-                    super::harm::carry_out(&self.0.folder.join(format!("linentrail-p{n}")), *harm)?;
-                    if matches!(harm, Harm::Wiped) {
+                    super::harm::damage_store(&self.0.folder.join(format!("linentrail-p{n}")), *harm)?;
+                    if matches!(harm, StoreDamage::Wiped) {
                         self.0.log.record(EventKind::Wiped { proxy: n });
                     }
                 }
@@ -498,16 +498,16 @@
             Step::Link(who, members, fault) => self.link(who, members, *fault),
             Step::ListLink(who, fault) => {
                 let relays = self.proxies(who).into_iter().filter_map(|n| self.0.list_links.get(&n));
-                relays.for_each(|relay| relay.does(*fault));
+                relays.for_each(|relay| relay.set_fault(*fault));
             }
             Step::ClientLink(who, fault) => {
                 let relays = self.proxies(who).into_iter().filter_map(|n| self.0.client_links.get(&n));
-                relays.for_each(|relay| relay.does(*fault));
+                relays.for_each(|relay| relay.set_fault(*fault));
             }
             Step::Speak(who, to, fault) => {
                 let to = self.proxies(to);
                 for pair in self.proxies(who).into_iter().flat_map(|p| to.iter().map(move |q| (p, *q))) {
-                    self.0.speech.get(&pair).iter().for_each(|relay| relay.does(*fault));
+                    self.0.speech.get(&pair).iter().for_each(|relay| relay.set_fault(*fault));
                 }
             }
             Step::Propose(who, place, value) => {
@@ -556,14 +556,14 @@
         for p in self.proxies(who) {
             for (member, relay) in members.iter().filter_map(|m| Some((*m, self.0.links.get(&(p, *m))?))) {
                 self.0.log.record(EventKind::Link { proxy: p, member, well: fault == Fault::default() });
-                relay.does(fault);
+                relay.set_fault(fault);
             }
         }
     }
 
     /// The member is primary from now on, all others of its group replicas.
     fn primary(&self, new: u32) {
-        let (make, lag) = (self.0.script.make, self.0.script.make.lag.as_millis() as u64);
+        let (make, lag) = (self.0.script.member_setup, self.0.script.member_setup.lag.as_millis() as u64);
         for (n, member) in self.0.members.iter().enumerate() {
             let same = n as u32 % make.groups == (new - 1) % make.groups;
             if same && n as u32 + 1 != new {
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -22,7 +22,7 @@
     let script = Script::read(&format!("bound late 20000\n{text}")).expect("a sound scenario");
     let program = Path::new(env!("CARGO_BIN_EXE_linentrail"));
     let outcome = run(&script, program, more, |_| {}, &AtomicBool::new(false)).expect("it runs to its end");
-    assert!(outcome.verdict.kept(), "{:#?}", outcome.verdict.breaches);
+    assert!(outcome.verdict.passed(), "{:#?}", outcome.verdict.breaches);
     assert!(outcome.verdict.asked > 50, "{} requests", outcome.verdict.asked);
     outcome
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,7 +17,7 @@
 fn play_with(text: &str, more: impl Fn(&mut Setup, u32, &Path)) -> Outcome {
     let outcome = judged(text, more);
     let Outcome { verdict, .. } = &outcome;
-    assert!(verdict.kept(), "{:#?}", verdict.breaches);
+    assert!(verdict.passed(), "{:#?}", verdict.breaches);
     assert!(verdict.asked > 50, "{} requests", verdict.asked);
     outcome
 }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -39,7 +39,7 @@
 /// The same, of a run that keeps all rules and serves again at its end.
 fn sound(text: &str, store: Option<&str>) -> Outcome {
     let outcome = play(text, store);
-    assert!(outcome.verdict.kept(), "{:#?}", outcome.verdict.breaches);
+    assert!(outcome.verdict.passed(), "{:#?}", outcome.verdict.breaches);
     assert!(served_after(&outcome) > 10);
     outcome
 }
@@ -90,7 +90,7 @@
          at 2900 p4 console CONFIRM"
     );
     let outcome = play(&script, Some(" confirm_s = 600\n"));
-    assert!(outcome.verdict.kept(), "{:#?}", outcome.verdict.breaches);
+    assert!(outcome.verdict.passed(), "{:#?}", outcome.verdict.breaches);
     let answers = answers(&outcome);
     let begins = [
         "400 what was said by hand may be lost",
