--- a/crates/standins/src/rig/events.rs
+++ b/crates/standins/src/rig/events.rs
@@ -1,5 +1,5 @@
-//! The one event log of a run: clients, members, discovery and whoever deals out faults write into it, each what it has
-//! itself seen or done. It can be written out and read back, a JSON object a line, so that a run can be judged again.
+//! The event log of a run. Clients, members, discovery and the fault injection all record in it what they themselves
+//! saw or did. The log is written and read as JSON lines, so that the checker can judge a recorded run again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -8,147 +8,150 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Microseconds since the log began.
+/// Microseconds since the start of the log.
 pub type Micros = u64;
 
-/// Most events of one run: enough for 200 proxies over some minutes; what comes beyond that is counted, and a run with
-/// such a loss is not judged.
-const MOST: usize = 8_000_000;
+/// Maximum number of events in one run: enough for 200 proxies over some minutes. Further events are only counted,
+/// and a run that lost events fails the `Log` rule.
+const EVENTS_MAX: usize = 8_000_000;
 
-/// How a client's request ended, as the client was told.
+/// How a request ended, as seen by its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestEnd {
-    /// A value.
+    /// Answered with a value.
     Served,
-    /// Refused; trying again is harmless.
+    /// Refused; a retry is harmless.
     Refused,
-    /// Failed, with no word on its effect.
+    /// Failed; the request may have had its effect.
     Failed,
     /// The connection ended without an answer.
     Broken,
-    /// The client's time was over and more.
+    /// No answer came until well after the client's deadline.
     Silent,
 }
 
-/// What data a read must show.
+/// How recent the data must be that a read returns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadGuarantee {
-    /// Any.
+    /// Any committed data.
     Any,
-    /// What its session has written.
+    /// All acknowledged writes of its session.
     Session,
-    /// What its session has written at the same process.
+    /// All writes of its session that the same proxy process acknowledged.
     SessionAtProcess,
-    /// All that was committed so many us before it was asked.
+    /// All commits that are older than this when the read is sent.
     Within(Micros),
 }
 
-/// Which members discard repeats of a keyed request.
+/// Which members discard duplicates of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyScope {
-    /// All of them.
+    /// All members.
     All,
-    /// Those of the zone in which it ran first.
+    /// The members of the zone in which the request ran first.
     Zone,
-    /// Those of its group.
+    /// The members of its group.
     Cell,
 }
 
-/// What running a request once more may do.
+/// The effect of running a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing.
+    /// Harmless.
     Safe,
-    /// Harm: it may run once at most.
+    /// Harmful: the request may run at most once.
     Unsafe,
-    /// Nothing, while members remember its key.
+    /// Harmless while members remember its key.
     Keyed {
-        /// Which members do.
+        /// Which members remember the key.
         scope: KeyScope,
-        /// For how long since the first attempt that may have run.
+        /// How long they remember the key after the first attempt that may have run.
         window: Micros,
     },
 }
 
 impl Effect {
-    /// Whether a client may be told to try again although an attempt may have run.
+    /// Whether a request may be refused, which invites a retry, although an attempt of it may have run.
     pub fn may_be_refused_after_a_run(self) -> bool {
         matches!(self, Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. })
     }
 }
 
-/// What happened.
+/// The kinds of events with their data.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EventKind {
-    /// A client asks a proxy for the first time, or again under a new id.
+    /// A client sends a request to a proxy. A retry has a new id.
     Asked {
         /// The request's id.
         id: u64,
-        /// Whom.
+        /// The proxy that is asked.
         proxy: u32,
         /// The key.
         key: String,
-        /// Number of the value that a write brings; none: a read.
+        /// The number of the value to write; `None` for a read.
         writes: Option<u64>,
-        /// What a read must show.
+        /// How recent the data of a read must be.
         shows: ReadGuarantee,
-        /// What a repeat may do; none, as in logs of earlier builds: only runs of writes are judged.
+        /// The effect of a repeat. `None` in logs that lack this field: only the runs of writes are judged then.
         #[serde(default)]
         effect: Option<Effect>,
-        /// An answer is good within this.
+        /// Target latency: a later answer does not count as good.
         aim: Micros,
-        /// How long the client waits.
+        /// How long the client waits for the answer.
         wait: Micros,
     },
-    /// The last byte of the request has been written, to a connection that the proxy's machine has accepted.
+    /// The last byte of the request has been written to a connection that the kernel of the proxy's machine has
+    /// accepted.
     Sent {
         /// The request's id.
         id: u64,
-        /// Nothing was answered on that connection before: a close is no answer there, whoever has read what.
+        /// It is the first request of its connection. A close then never counts as an answer, even if the proxy has
+        /// read nothing.
         #[serde(default)]
         first: bool,
     },
-    /// Its client has closed the connection and waits for nothing any more.
+    /// The client of the request has closed its connection and expects no answer.
     Left {
         /// The request's id.
         id: u64,
     },
-    /// A bad client has begun something that it does not end: it is owed an error or a close.
+    /// A bad client has started a message or handshake that it does not complete. The proxy must answer with an
+    /// error or close the connection.
     Begun {
-        /// The client's number, like a request's id.
+        /// The client's number, from the same range as request ids.
         id: u64,
-        /// At which proxy.
+        /// The proxy it is connected to.
         proxy: u32,
     },
-    /// It has got that.
+    /// A bad client has received its error or close.
     Closed {
         /// The client's number.
         id: u64,
     },
-    /// It is told, with the number of the value that it got.
+    /// A client has the outcome of its request.
     Ended {
         /// The request's id.
         id: u64,
-        /// How.
+        /// How it ended.
         how: RequestEnd,
-        /// The value's number; 0: the key was unknown.
+        /// The number of the value in the answer; 0 when the key was unknown.
         value: u64,
     },
-    /// A statement reached a member.
+    /// A member has received the statement of a request.
     Given {
         /// The member.
         member: u32,
         /// The request's id.
         id: u64,
     },
-    /// How long the statement that was given says that its proxy waits.
+    /// The time limit that is written in a received statement.
     Allowed {
         /// The request's id.
         id: u64,
-        /// So long.
+        /// How long the proxy waits for the member.
         wait: Micros,
     },
-    /// A member has run a write, as its group's next commit.
+    /// A member has run a write, which is the next commit of its group.
     Ran {
         /// The member.
         member: u32,
@@ -166,155 +169,157 @@
         /// The request's id.
         id: u64,
     },
-    /// A member has turned a statement away before it ran, and is about to say so.
+    /// A member has refused a statement without running it and is about to send the refusal.
     TurnedAway {
         /// The member.
         member: u32,
         /// The request's id.
         id: u64,
     },
-    /// A new connection at a member.
+    /// A new connection was opened to a member.
     Opened {
         /// The member.
         member: u32,
     },
-    /// A member was asked for its report.
+    /// A member was probed for its status report.
     Probed {
         /// The member.
         member: u32,
     },
-    /// A member starts with this share of its capacity, in parts of 1,000, and is warm after a span.
+    /// A member has started cold, with only a part of its capacity.
     Cold {
         /// The member.
         member: u32,
-        /// Share of capacity at the start.
+        /// Share of its capacity at the start, in parts of 1,000.
         share: u64,
-        /// When it is warm.
+        /// How long until it is warm.
         warm: Micros,
-        /// Statements a second when warm.
+        /// Statements per second when warm.
         rate: u64,
     },
-    /// A call reached discovery.
+    /// Discovery has received a call.
     Called {
-        /// Whose.
+        /// The proxy that calls.
         proxy: u32,
-        /// For the whole list.
+        /// The call asks for the whole list.
         whole: bool,
     },
     /// Discovery could not answer a call.
     Unanswered {
-        /// Whose.
+        /// The proxy that called.
         proxy: u32,
     },
-    /// Discovery has told a proxy that this member is draining, or that it serves again.
+    /// Discovery has reported to a proxy that a member is draining, or that it serves again.
     Drains {
         /// The proxy.
         proxy: u32,
         /// The member.
         member: u32,
-        /// Draining, or serving.
+        /// `true`: draining; `false`: serving.
         on: bool,
     },
-    /// A proxy has said yes to leaving a member out, or to using it again.
+    /// A proxy has accepted an operator's call to suspend or restore a member.
     Hand {
         /// The proxy.
         proxy: u32,
         /// The member.
         member: u32,
-        /// Out, or back.
+        /// `true`: suspended; `false`: restored.
         out: bool,
     },
-    /// A proxy has been told to end, and is killed later; clients go on using what they have open there.
+    /// A proxy has received SIGTERM and will be killed later. Clients go on using the connections they have open to
+    /// it.
     Ending {
         /// The proxy.
         proxy: u32,
     },
-    /// A proxy's process is started.
+    /// A proxy process was started.
     Exec {
         /// The proxy.
         proxy: u32,
     },
-    /// It says that it serves.
+    /// A proxy has reported that it serves clients.
     Serves {
         /// The proxy.
         proxy: u32,
     },
-    /// It was killed, told to end, or stopped for a while: what it held may get no answer, or a late one.
+    /// A proxy was killed, terminated, or stopped for a while. Its open requests may get a late answer or none.
     Down {
         /// The proxy.
         proxy: u32,
-        /// Stopped: the same process goes on later.
+        /// Stopped by SIGSTOP: the same process continues later.
         stopped: bool,
     },
-    /// The whole machine stood still for so long up to now, or was too busy to let the rig run.
+    /// The whole machine stalled until now, or was too busy to let the rig run.
     Stall {
-        /// How long.
+        /// For how long.
         us: Micros,
     },
-    /// In all so long since shortly before now a process was ready to run, and the machine did not let it.
+    /// A process was ready to run, and the machine did not schedule it, since the last check.
     Delayed {
-        /// The proxy; none: a thread of the rig.
+        /// The proxy; `None` for a thread of the rig.
         proxy: Option<u32>,
-        /// How long.
+        /// For how long in total.
         us: Micros,
     },
-    /// From now on the link between a proxy and a member may hold back what is sent on it, or no longer does.
+    /// The link between a proxy and a member starts or stops holding back what is sent on it.
     Link {
         /// The proxy.
         proxy: u32,
         /// The member.
         member: u32,
-        /// It passes all on at once.
+        /// `true`: the link forwards everything at once.
         well: bool,
     },
-    /// A process says by which versions it acts from a moment on; none: by nothing that is agreed on.
+    /// A process has reported which versions of an agreed document it applies, and since when.
     Acts {
         /// The proxy.
         proxy: u32,
-        /// Of what.
+        /// The kind of document.
         kind: String,
-        /// The versions: by a decision all of them are kept.
+        /// The versions. With several, each decision satisfies all of them; with none, nothing agreed is applied.
         versions: Vec<String>,
-        /// From when on.
+        /// The start of this state.
         since: Micros,
     },
-    /// A process says until when it may act by them.
+    /// A process has reported its lease, which is how long it may apply the agreed documents.
     Leased {
         /// The proxy.
         proxy: u32,
-        /// Said then.
+        /// When the lease was reported.
         from: Micros,
-        /// Until then.
+        /// When the lease ends.
         until: Micros,
     },
-    /// What it kept is lost.
+    /// The store of a proxy was deleted.
     Wiped {
         /// The proxy.
         proxy: u32,
     },
-    /// A stopped one goes on.
+    /// A stopped proxy continues.
     Resumed {
         /// The proxy.
         proxy: u32,
     },
-    /// A fault, in the scenario's words.
+    /// A step of the scenario, or the answer of a proxy to a console call, as text.
     Fault(String),
 }
 
-/// Something that happened, and when.
+/// An event with its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Since the log began.
+    /// Time since the start of the log.
     pub at: Micros,
-    /// What.
+    /// What happened.
     pub what: EventKind,
 }
 
-/// Between two looks at whether the machine keeps up, and how late one may be.
-const TICK: Duration = Duration::from_millis(10);
-const STALL: Micros = 20_000;
+/// Sleep time of the thread that detects stalls of the machine.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// A sleep that takes longer than requested by more than this is recorded as a stall.
+const STALL_MIN: Micros = 20_000;
 
-/// Watches the machine until it is dropped.
+/// Handle of the thread that detects stalls of the machine. The thread ends when the handle is dropped.
 pub struct StallWatch(Arc<AtomicBool>);
 
 impl Drop for StallWatch {
@@ -324,23 +329,23 @@
 }
 
 #[derive(Default)]
-struct Inner {
+struct EventBuffer {
     events: Vec<Event>,
     lost: u64,
 }
 
-/// The log. Copies write into the same one.
+/// The event log. Clones share the same events.
 #[derive(Clone)]
 pub struct EventLog {
     began: Instant,
-    /// The same moment in Unix time, in us: processes tell times by that.
+    /// The same moment as Unix time in us. Processes report times in Unix time.
     unix: u64,
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<EventBuffer>>,
 }
 
 impl std::fmt::Debug for EventLog {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "a log since {}", self.unix)
+        write!(f, "EventLog since {}", self.unix)
     }
 }
 
@@ -351,17 +356,17 @@
 }
 
 impl EventLog {
-    /// Microseconds since it began.
+    /// Microseconds since the start of the log.
     pub fn now(&self) -> Micros {
         self.began.elapsed().as_micros() as Micros
     }
 
-    /// Writes down what happens now; when that was.
+    /// Records an event with the current time and returns that time.
     pub fn record(&self, what: EventKind) -> Micros {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        // Taken under the lock: the log is in the order of its times.
+        // The time is taken under the lock, so that the events are ordered by their times.
         let at = self.now();
-        if inner.events.len() < MOST {
+        if inner.events.len() < EVENTS_MAX {
             inner.events.push(Event { at, what });
         } else {
             inner.lost += 1;
@@ -369,33 +374,33 @@
         at
     }
 
-    /// A moment that a process tells, in us of Unix time, on this log's clock.
-    pub fn from_unix(&self, unix: u64) -> Micros {
+    /// Converts a Unix time in us, as processes report it, to the clock of this log.
+    pub fn log_time(&self, unix: u64) -> Micros {
         unix.saturating_sub(self.unix)
     }
 
-    /// Takes in a line of a process's log, where it tells by which rules it acts.
+    /// Records a line of a process's log if it reports a lease or the versions that the process applies.
     pub fn record_rules_line(&self, proxy: u32, line: &str) {
-        let Some((_, told)) = line.split_once(" rules] ") else { return };
+        let Some((_, report)) = line.split_once(" rules] ") else { return };
         let number = |name: &str| {
-            told.split(' ').find_map(|word| word.strip_prefix(name)).and_then(|n| n.parse::<u64>().ok())
+            report.split(' ').find_map(|field| field.strip_prefix(name)).and_then(|n| n.parse::<u64>().ok())
         };
         let Some(us) = number("us=") else { return };
         if let Some(until) = number("until=") {
-            self.record(EventKind::Leased { proxy, from: self.from_unix(us), until: self.from_unix(until) });
+            self.record(EventKind::Leased { proxy, from: self.log_time(us), until: self.log_time(until) });
             return;
         }
         let Some(kind) =
-            told.split(' ').next().filter(|_| told.contains("version") || told.contains("nothing"))
+            report.split(' ').next().filter(|_| report.contains("version") || report.contains("nothing"))
         else {
             return;
         };
-        // `version 3 (hash)` or `between version 3 (hash) and 4 (hash)`: hashes tell versions apart.
-        let versions = told.split(['(', ')']).skip(1).step_by(2).map(str::to_string).collect();
-        self.record(EventKind::Acts { proxy, kind: kind.to_string(), versions, since: self.from_unix(us) });
+        // The line has `version 3 (hash)` or `between version 3 (hash) and 4 (hash)`; the hash identifies a version.
+        let versions = report.split(['(', ')']).skip(1).step_by(2).map(str::to_string).collect();
+        self.record(EventKind::Acts { proxy, kind: kind.to_string(), versions, since: self.log_time(us) });
     }
 
-    /// How many proxies say that they act by this version of a kind alone.
+    /// The number of proxies that report this version as the only one of its kind that they apply.
     pub fn proxies_acting_alone_by(&self, kind: &str, version: &str) -> usize {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let mut last = HashMap::new();
@@ -411,16 +416,16 @@
         last.into_values().filter(|versions| versions[..] == [version]).count()
     }
 
-    /// Watches from now on how the machine keeps up, until it is dropped.
+    /// Starts recording stalls of the machine, until the returned handle is dropped.
     pub fn watch_stalls(&self) -> StallWatch {
         let (log, stop) = (self.clone(), Arc::new(AtomicBool::new(false)));
-        let ends = stop.clone();
+        let stopped = stop.clone();
         std::thread::spawn(move || {
-            while !ends.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 let began = Instant::now();
-                std::thread::sleep(TICK);
-                let us = began.elapsed().saturating_sub(TICK).as_micros() as Micros;
-                if us > STALL {
+                std::thread::sleep(STALL_CHECK_INTERVAL);
+                let us = began.elapsed().saturating_sub(STALL_CHECK_INTERVAL).as_micros() as Micros;
+                if us > STALL_MIN {
                     log.record(EventKind::Stall { us });
                 }
             }
@@ -428,17 +433,17 @@
         StallWatch(stop)
     }
 
-    /// All so far, and how many found no room.
+    /// All events so far, and the number of events that were lost because the log was full.
     pub fn events(&self) -> (Vec<Event>, u64) {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         (inner.events.clone(), inner.lost)
     }
 }
 
-/// Writes events out.
+/// Writes events as JSON lines.
 ///
 /// # Errors
-/// When they cannot be written.
+/// If writing fails.
 pub fn write_events(events: &[Event], mut to: impl Write) -> io::Result<()> {
     for event in events {
         serde_json::to_writer(&mut to, event)?;
@@ -447,10 +452,10 @@
     to.flush()
 }
 
-/// Reads them back.
+/// Reads events from JSON lines.
 ///
 /// # Errors
-/// With the number of the line that cannot be read.
+/// Names the number of the line that cannot be read.
 pub fn read_events(from: impl BufRead) -> Result<Vec<Event>, String> {
     let line = |(n, line): (usize, io::Result<String>)| {
         let text = line.map_err(|e| format!("line {}: {e}", n + 1))?;
@@ -464,7 +469,7 @@
     use super::*;
 
     #[test]
-    fn what_was_noted_is_in_order_and_comes_back_from_a_file() {
+    fn events_are_ordered_and_survive_a_round_trip_through_json() {
         let log = EventLog::default();
         log.record(EventKind::Exec { proxy: 1 });
         log.clone().record(EventKind::Ended { id: 7, how: RequestEnd::Refused, value: 0 });
@@ -472,14 +477,14 @@
         assert_eq!((events.len(), lost), (2, 0));
         assert!(events[0].at <= events[1].at);
         let mut text = Vec::new();
-        write_events(&events, &mut text).expect("memory");
+        write_events(&events, &mut text).expect("writing to a Vec");
         assert_eq!(read_events(&text[..]), Ok(events));
         let cut = &text[..text.len() - 5];
-        assert!(read_events(cut).expect_err("cut off").starts_with("line 2: "));
+        assert!(read_events(cut).expect_err("the last line is truncated").starts_with("line 2: "));
     }
 
     #[test]
-    fn a_log_of_an_earlier_build_that_tells_no_effect_of_repeats_can_be_read() {
+    fn a_log_without_the_effect_field_can_be_read() {
         let text = r#"{"at":1,"what":{"Asked":{"id":7,"proxy":1,"key":"k","writes":null,"shows":"Any","aim":2,"wait":3}}}"#;
         let (shows, effect) = (ReadGuarantee::Any, None);
         let what = EventKind::Asked {
--- a/crates/standins/src/rig/mod.rs
+++ b/crates/standins/src/rig/mod.rs
@@ -1,5 +1,6 @@
-//! The rig of many processes: one log of what all parties do, a checker that knows nothing of the proxy's code, a
-//! fault plane between any two parties, and the scenarios that say what happens when (`docs/rig.md`).
+//! The rig: a test harness that runs many proxy processes. It has one event log for all parties, a checker that is
+//! independent of the proxy's code, fault injection between any two parties, and a scenario language that says what
+//! happens when (`docs/rig.md`).
 
 pub mod checker;
 pub mod clients;
