--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -1,62 +1,64 @@
-//! Judges a run by its log alone: whatever the proxies are made of, these rules hold or they do not. One pass over the
-//! events in their order; what is measured on the way is told beside the breaches.
+//! The checker: judges a run by its event log alone, independently of how the proxies are implemented. It makes one
+//! pass over the events in order and reports the breaches of the rules, with some measurements.
 
 use super::events::{Effect, Event, EventKind, Micros, ReadGuarantee, RequestEnd};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Span in which new connections at one member are counted.
+/// Sliding window over which new connections to one member are counted.
 pub const OPENED_SPAN: Micros = 250_000;
-/// Span in which probes of all members are counted.
+/// Sliding window over which probes of all members are counted.
 pub const PROBED_SPAN: Micros = 4_000_000;
-/// A cold member's work counts together over this.
+/// Sliding window over which the statements that reach a cold member are counted.
 pub const COLD_SPAN: Micros = 1_500_000;
-/// Statements that a cold member may have in a span whatever its rate: single trials.
-const COLD_FEW: f64 = 4.0;
-/// When the machine stands still for so long, time limits run out that no party has let run out.
-const STANDSTILL: Micros = 1_000_000;
-/// What clocks of one machine may be apart, and how long a statement may be on its way to a member.
-const CLOCKS: Micros = 10_000;
-const ON_THE_WAY: Micros = 150_000;
-/// An attempt may begin so long after its client has closed its connection.
+/// Statements that a cold member may get in a window whatever its rate, so that single trial requests pass.
+const COLD_ALLOWANCE: f64 = 4.0;
+/// After a stall of this length, time limits have expired through no fault of any party, and a connection that breaks
+/// without an answer is no breach.
+const LONG_STALL_MIN: Micros = 1_000_000;
+/// Maximum difference between the clocks of processes on one machine.
+const CLOCK_TOLERANCE: Micros = 10_000;
+/// Maximum time that a statement travels from a proxy to a member.
+const TRANSIT_MAX: Micros = 150_000;
+/// An attempt may start at most this long after its client has closed the connection.
 const LEFT_MAX: Micros = 100_000;
-/// The time that a statement names may be so much longer than what its client has left.
+/// The time limit in a statement may exceed the time that its client has left by this much.
 const DEADLINE_SLACK: Micros = 150_000;
-/// A client that begins something and does not end it gets an error or a close within this, and what clocks and a busy
-/// machine may add.
+/// A client that does not complete a message gets an error or a close within this time.
 const UNFINISHED_MAX: Micros = 3_000_000;
+/// Added to `UNFINISHED_MAX` for clock differences and a busy machine.
 const UNFINISHED_SLACK: Micros = 1_000_000;
-/// What comes to a process later than this after it was told to end must have its answer before the kill.
-const TAKEN_AFTER_END: Micros = 700_000;
-/// Breaches told of each rule; the others are counted.
-const TOLD: usize = 5;
+/// A request that reaches a process later than this after SIGTERM must have its answer before the kill.
+const ANSWER_DUE_AFTER_TERM: Micros = 700_000;
+/// Breaches that are reported in detail for each rule; further ones are only counted.
+const DETAILED_BREACHES_MAX: usize = 5;
 
-/// What must hold, as numbers.
+/// The limits of the rules.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// A final answer may come so long after the client's time.
+    /// How long after the client's deadline the final answer may come.
     pub late: Micros,
-    /// Nothing new reaches a member so long after it was told to be draining or said to be out.
+    /// How long new statements may reach a member after its draining was reported or its suspension accepted.
     pub drain: Micros,
-    /// Idle clients fill the descriptors: a new connection may be shut unread.
+    /// Idle or surging clients exhaust the descriptors, so that a connection may be closed between requests.
     pub crowded: bool,
-    /// The operators' word on a member outlasts the process that it was said to.
+    /// A member's suspension outlasts the process that accepted it.
     pub suspensions_kept: bool,
-    /// Added to all limits on time that no other bound sets: for machines of any speed.
+    /// Added to all time limits that no other bound sets, to allow for slow machines.
     pub patience: Micros,
-    /// A cold member gets at most so many times what it can do.
+    /// A cold member gets at most this multiple of what it can process.
     pub cold: f64,
-    /// New connections at one member in any 250 ms after the first fault.
+    /// Maximum number of new connections to one member in any 250 ms after the first fault.
     pub opened: Option<u64>,
-    /// Probes of all members in any 4 s after the first fault.
+    /// Maximum number of probes of all members in any 4 s after the first fault.
     pub probed: Option<u64>,
-    /// Calls that discovery could not answer.
+    /// Maximum number of calls that discovery could not answer.
     pub unanswered: Option<u64>,
-    /// Calls of one process for the whole list.
+    /// Maximum number of calls of one process for the whole list.
     pub whole_lists: Option<u64>,
 }
 
 impl Default for Bounds {
-    /// The rules of the platform, and no bounds on sums.
+    /// The limits of the platform, without limits on counts.
     fn default() -> Self {
         Bounds {
             late: 500_000,
@@ -73,92 +75,93 @@
     }
 }
 
-/// The rules, each by the name that scenarios and reports have for it.
+/// The rules. Reports print the variant names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// One final answer each, in time.
+    /// Each request gets exactly one final answer, in time.
     Answer,
-    /// Nothing runs more often than its class allows, or is told as refused when that promises too much.
+    /// No request runs more often than its class allows, and none is reported as refused if it may have run and a
+    /// retry would do harm.
     Once,
-    /// No read older than its class allows.
+    /// No read returns older data than its class allows.
     Stale,
-    /// Nothing new to a draining member.
+    /// No new statement reaches a draining member.
     Drain,
-    /// Nothing new to a member that is out by hand.
+    /// No new statement reaches a suspended member.
     Hand,
-    /// No cold member pushed over.
+    /// No cold member gets more statements than it can process.
     Cold,
-    /// New connections at one member.
+    /// Limit on new connections to one member.
     Opened,
-    /// Probes.
+    /// Limit on probes.
     Probed,
-    /// Calls that discovery could not answer.
+    /// Limit on calls that discovery could not answer.
     Unanswered,
-    /// Whole lists.
+    /// Limit on calls for the whole list.
     Whole,
-    /// Nothing begins for a client that has gone.
+    /// No attempt starts for a client that has disconnected.
     Left,
-    /// No member is told of more time than the client has.
+    /// No statement has a longer time limit than its client has left.
     Deadline,
-    /// Who does not end what it began gets an error or a close in time.
+    /// A client that does not complete a message gets an error or a close in time.
     Unfinished,
-    /// A process has found that a decision of its own would have broken a rule.
+    /// A process has detected that one of its own decisions would have broken a rule.
     Invariant,
-    /// A process ends by itself.
+    /// A process ended without being told to.
     Crash,
-    /// Full service comes too late.
+    /// Full service was reached too late.
     Full,
-    /// Two act by versions that contradict each other.
+    /// Two proxies apply contradictory versions at the same time.
     Agree,
-    /// A statement comes from one whose lease has run out.
+    /// A proxy sends a statement without a valid lease.
     Lease,
-    /// The log itself cannot be true, or is not whole.
+    /// The log is inconsistent or incomplete.
     Log,
 }
 
-/// One breach.
+/// A breach of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Breach {
-    /// Of which rule.
+    /// The rule.
     pub rule: Rule,
-    /// When it was seen.
+    /// When the breach was seen.
     pub at: Micros,
-    /// What was seen.
+    /// A description.
     pub what: String,
 }
 
-/// The most that was seen, before the first fault and after it.
+/// Maximum counts, kept separately for the time before and after the first fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Peaks {
-    /// New connections at one member in 250 ms.
+    /// New connections to one member in 250 ms.
     pub opened: u64,
     /// Probes of all members in 4 s.
     pub probed: u64,
-    /// Calls at discovery in a second.
+    /// Calls to discovery in a second.
     pub called: u64,
 }
 
-/// What a run has shown.
+/// The verdict on a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Verdict {
-    /// The first breaches of each rule.
+    /// The first breaches of each rule, in detail.
     pub breaches: Vec<Breach>,
-    /// How many there were, by rule.
+    /// The number of breaches by rule.
     pub counts: BTreeMap<Rule, u64>,
-    /// Peaks before the first fault, and after.
+    /// Peaks before and after the first fault.
     pub peaks: [Peaks; 2],
     /// Calls that discovery could not answer.
     pub unanswered: u64,
-    /// Requests asked.
+    /// Number of requests that were sent.
     pub asked: u64,
 }
 
 impl Verdict {
-    /// Takes in a breach.
+    /// Adds a breach.
     pub(super) fn breach(&mut self, rule: Rule, at: Micros, what: String) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
-        if *count <= TOLD as u64 {
+        if *count <= DETAILED_BREACHES_MAX as u64 {
             self.breaches.push(Breach { rule, at, what });
         }
     }
@@ -169,30 +172,31 @@
     }
 }
 
-struct Asked {
+struct RequestState {
     at: Micros,
     proxy: u32,
     key: String,
     writes: Option<u64>,
     shows: ReadGuarantee,
     wait: Micros,
-    /// When its last byte was written, and when its client went.
+    /// When its last byte was written.
     sent: Option<Micros>,
-    /// It is the first on its connection.
+    /// It is the first request on its connection.
     first: bool,
+    /// When its client disconnected.
     left: Option<Micros>,
     ended: Option<Micros>,
-    /// A member has got it, so that its proxy has read it.
+    /// A member has received it, which proves that its proxy has read it.
     given: bool,
-    /// What a repeat may do; none where the log does not tell.
+    /// The effect of a repeat; `None` where the log lacks it.
     effect: Option<Effect>,
-    /// Attempts that members have got and not turned away, in their order.
+    /// Attempts that members have received and not refused, in order.
     may_have_run: Vec<Attempt>,
-    /// Its client was told to try again.
+    /// The client was told that the request was refused.
     refused: bool,
 }
 
-/// An attempt that a member has got.
+/// An attempt that a member has received.
 #[derive(Clone, Copy)]
 struct Attempt {
     member: u32,
@@ -201,16 +205,16 @@
     ran: bool,
 }
 
-impl Asked {
-    /// What the first attempt that may have run has done, for a breach.
+impl RequestState {
+    /// Describes the first attempt that may have run, for a breach.
     fn first_run(&self) -> Option<String> {
         let Attempt { member, at, ran } = *self.may_have_run.first()?;
         let what = if ran { "ran" } else { "may have run" };
         let ms = at.saturating_sub(self.at) / 1000;
-        Some(format!("{} {what} at member {member}, given {ms} ms after it was asked", self.described()))
+        Some(format!("{} {what} at member {member}, received {ms} ms after it was sent", self.description()))
     }
 
-    fn described(&self) -> &'static str {
+    fn description(&self) -> &'static str {
         match self.effect {
             Some(Effect::Unsafe) => "an unsafe request that",
             Some(Effect::Keyed { .. }) => "a keyed request that",
@@ -219,73 +223,80 @@
     }
 }
 
-/// A span in which a proxy was not there.
+/// A span in which a proxy was not available.
 struct Gap {
     from: Micros,
-    /// `Us::MAX` while it lasts.
+    /// `Micros::MAX` while the gap lasts.
     to: Micros,
-    /// Stopped, so that the same process goes on later.
+    /// The proxy was stopped, so that the same process continues later.
     stopped: bool,
 }
 
 #[derive(Default)]
 struct Proxy {
     up: bool,
-    /// When its process was started.
+    /// When its current process was started.
     began: Micros,
-    /// When it was told to end, with a kill to come; and the kills.
+    /// When it received SIGTERM, if the kill is still to come.
     ending: Option<Micros>,
+    /// Earlier shutdowns: the times of SIGTERM and of the kill.
     ended: Vec<(Micros, Micros)>,
     gaps: Vec<Gap>,
+    /// Calls of the current process for the whole list.
     whole: u64,
-    /// Members whose link holds back what is sent, and those whose link has done so up to a moment.
+    /// Members whose link holds back what is sent, with the time when it stopped doing so (`None`: it still does).
     held: HashMap<u32, Option<Micros>>,
-    /// By which versions it acts, by kind and since when.
+    /// The versions it applies, by kind of document, and since when.
     acts: BTreeMap<String, (Vec<String>, Micros)>,
+    /// Draining members, with the time when that was reported.
     draining: HashMap<u32, Micros>,
+    /// Suspended members, with the time of the suspension.
     out: HashMap<u32, Micros>,
 }
 
+/// A member that is still cold.
 struct Cold {
     since: Micros,
     share: f64,
     warm: Micros,
     rate: f64,
     given: VecDeque<Micros>,
-    told: bool,
+    /// The current excess was already reported.
+    reported: bool,
 }
 
 #[derive(Default)]
-struct Key {
-    /// Writes that ran, in the order of their commits.
+struct KeyHistory {
+    /// Writes that ran, in commit order.
     ran: Vec<(Micros, u64)>,
-    /// Those that a client was told of, in the order of the telling.
-    told: Vec<Told>,
+    /// Acknowledged writes, in the order of their acknowledgements.
+    acknowledged: Vec<Acknowledged>,
 }
 
-/// A write that a client was told of.
-struct Told {
+/// A write that was acknowledged to its client.
+struct Acknowledged {
     at: Micros,
-    /// By which proxy.
+    /// The proxy that acknowledged it.
     proxy: u32,
-    /// Its place in the order of the commits.
+    /// Its index in the commit order.
     commit: usize,
 }
 
-impl Key {
-    /// How many commits a read asked at a moment must show, by those told before it that count.
-    fn told_before(&self, since: Micros, counts: impl Fn(&Told) -> bool) -> usize {
-        let before = self.told.iter().filter(|told| told.at < since && counts(told));
-        before.map(|told| told.commit + 1).max().unwrap_or(0)
+impl KeyHistory {
+    /// The number of commits that a read sent at `since` must reflect, given the acknowledged writes that `counts`
+    /// selects.
+    fn commits_due(&self, since: Micros, counts: impl Fn(&Acknowledged) -> bool) -> usize {
+        let before = self.acknowledged.iter().filter(|write| write.at < since && counts(write));
+        before.map(|write| write.commit + 1).max().unwrap_or(0)
     }
 }
 
-/// A sliding count.
+/// Counts events in a sliding time window.
 #[derive(Default)]
-struct Window(VecDeque<Micros>);
+struct SlidingCount(VecDeque<Micros>);
 
-impl Window {
-    fn see(&mut self, at: Micros, span: Micros) -> u64 {
+impl SlidingCount {
+    fn add(&mut self, at: Micros, span: Micros) -> u64 {
         self.0.push_back(at);
         while self.0.front().is_some_and(|t| *t + span <= at) {
             self.0.pop_front();
@@ -295,32 +306,33 @@
 }
 
 #[derive(Default)]
-struct Judge {
+struct Checker {
     verdict: Verdict,
-    asked: HashMap<u64, Asked>,
+    asked: HashMap<u64, RequestState>,
     proxies: HashMap<u32, Proxy>,
     ran: HashMap<u64, u32>,
-    keys: HashMap<String, Key>,
+    keys: HashMap<String, KeyHistory>,
     cold: HashMap<u32, Cold>,
-    opened: HashMap<u32, Window>,
-    probed: Window,
-    called: Window,
-    /// Over one bound a stretch of events is one breach, not one for each of them.
+    opened: HashMap<u32, SlidingCount>,
+    probed: SlidingCount,
+    called: SlidingCount,
+    /// Limits that are exceeded now. Consecutive events over one limit are one breach.
     over: HashSet<(Rule, u32)>,
     faulted: bool,
-    /// Spans in which a proxy went by versions, with a lease or without: kind, proxy, versions, from, to.
+    /// Spans in which a proxy applied versions, with or without a lease: kind, proxy, versions, from, to.
     acted: Vec<(String, u32, Vec<String>, Micros, Micros)>,
-    /// When each proxy that acts by leases could, by its own word: spans that do not touch.
+    /// Lease spans that each proxy has reported, merged so that they do not touch.
     leases: HashMap<u32, Vec<(Micros, Micros)>>,
-    /// Bad clients that are owed a close: where, and since when.
+    /// Bad clients that must still get a close: their proxy, and since when.
     begun: HashMap<u64, (u32, Micros)>,
-    /// When the machine stood still, from and to.
+    /// Stalls of the machine: from, to.
     stalls: Vec<(Micros, Micros)>,
-    /// When a proxy, or a thread of the rig (none), was ready to run and did not, from and to; spans do not overlap.
+    /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not scheduled.
+    /// The spans of a party do not overlap.
     delays: HashMap<Option<u32>, Vec<(Micros, Micros)>>,
 }
 
-/// When each party was delayed. One that was delayed again before it could be noted has one span for both.
+/// The delays of each party. A delay that reaches back into an earlier one is counted from the end of that one.
 fn delays(events: &[Event]) -> HashMap<Option<u32>, Vec<(Micros, Micros)>> {
     let mut delays: HashMap<Option<u32>, Vec<(Micros, Micros)>> = HashMap::new();
     for event in events {
@@ -336,28 +348,29 @@
     delays
 }
 
+/// How much of `from..to` lies within the spans.
 fn overlap(spans: &[(Micros, Micros)], from: Micros, to: Micros) -> Micros {
     let of = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
     let first = spans.partition_point(|span| span.1 <= from);
     spans[first..].iter().take_while(|span| span.0 < to).map(of).sum()
 }
 
-/// Judges a whole run; `lost` events found no room in the log.
+/// Judges a whole run; `lost` is the number of events that did not fit in the log.
 pub fn judge(events: &[Event], lost: u64, bounds: &Bounds) -> Verdict {
-    // All of them first: who wakes from a standstill notes what it did in it before the rig notes that there was one.
+    // Stalls are collected first: after a stall, a party may record events before the rig records the stall itself.
     let stall = |e: &Event| match e.what {
         EventKind::Stall { us } => Some((e.at.saturating_sub(us), e.at)),
         _ => None,
     };
-    let mut judge = Judge {
+    let mut checker = Checker {
         stalls: events.iter().filter_map(stall).collect(),
         delays: delays(events),
-        ..Judge::default()
+        ..Checker::default()
     };
-    // These too: what a process says is read by another thread than what members see.
+    // Leases too: the thread that reads a process's log may record a lease after a member recorded its use.
     for event in events {
         if let EventKind::Leased { proxy, from, until } = event.what {
-            let spans = judge.leases.entry(proxy).or_default();
+            let spans = checker.leases.entry(proxy).or_default();
             match spans.last_mut().filter(|(_, end)| from <= *end) {
                 Some(last) => last.1 = last.1.max(until),
                 None => spans.push((from, until)),
@@ -367,25 +380,25 @@
     let mut last = 0;
     for event in events {
         if event.at < last {
-            judge.verdict.breach(Rule::Log, event.at, "an event is older than the one before it".into());
+            checker.verdict.breach(Rule::Log, event.at, "an event is older than its predecessor".into());
         }
         last = event.at;
-        judge.take(event.at, &event.what, bounds);
+        checker.apply(event.at, &event.what, bounds);
     }
     if lost > 0 {
-        judge.verdict.breach(Rule::Log, last, format!("{lost} events found no room"));
+        checker.verdict.breach(Rule::Log, last, format!("{lost} events did not fit in the log"));
     }
-    judge.agree();
-    judge.end(last, bounds);
-    judge.verdict
+    checker.check_agreement();
+    checker.check_end(last, bounds);
+    checker.verdict
 }
 
-impl Judge {
-    fn take(&mut self, at: Micros, what: &EventKind, bounds: &Bounds) {
+impl Checker {
+    fn apply(&mut self, at: Micros, what: &EventKind, bounds: &Bounds) {
         match what {
             EventKind::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
                 self.verdict.asked += 1;
-                let asked = Asked {
+                let asked = RequestState {
                     at,
                     proxy: *proxy,
                     key: key.clone(),
@@ -402,7 +415,7 @@
                     refused: false,
                 };
                 if self.asked.insert(*id, asked).is_some() {
-                    self.verdict.breach(Rule::Log, at, format!("request {id} is asked twice"));
+                    self.verdict.breach(Rule::Log, at, format!("request id {id} is used twice"));
                 }
             }
             EventKind::Sent { id, first } => {
@@ -415,13 +428,13 @@
                     .into_iter()
                     .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
             }
-            EventKind::Allowed { id, wait } => self.allowed(at, *id, *wait, bounds.patience),
+            EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.patience),
             EventKind::Begun { id, proxy } => drop(self.begun.insert(*id, (*proxy, at))),
             EventKind::Closed { id } => self.closed(at, *id, bounds.patience),
             EventKind::Ended { id, how, value } => self.ended(at, *id, *how, *value, bounds),
             EventKind::Given { member, id } => self.given(at, *member, *id, bounds),
             EventKind::Ran { member, id, key, value } => {
-                self.ran_at(*member, *id);
+                self.mark_run(*member, *id);
                 let runs = self.ran.entry(*id).or_default();
                 *runs += 1;
                 if *runs > 1 {
@@ -430,41 +443,42 @@
                 }
                 self.keys.entry(key.clone()).or_default().ran.push((at, *value));
             }
-            EventKind::ReadRan { member, id } => self.ran_at(*member, *id),
-            EventKind::TurnedAway { member, id } => self.turned_away(*member, *id),
+            EventKind::ReadRan { member, id } => self.mark_run(*member, *id),
+            EventKind::TurnedAway { member, id } => self.remove_attempt(*member, *id),
             EventKind::Opened { member } => {
-                let seen = self.opened.entry(*member).or_default().see(at, OPENED_SPAN);
+                let seen = self.opened.entry(*member).or_default().add(at, OPENED_SPAN);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].opened;
                 *peak = seen.max(*peak);
                 let text = || format!("{seen} new connections at member {member} in 250 ms");
                 self.bound(Rule::Opened, *member, at, seen, bounds.opened, text);
             }
             EventKind::Probed { .. } => {
-                let seen = self.probed.see(at, PROBED_SPAN);
+                let seen = self.probed.add(at, PROBED_SPAN);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].probed;
                 *peak = seen.max(*peak);
                 self.bound(Rule::Probed, 0, at, seen, bounds.probed, || format!("{seen} probes in 4 s"));
             }
             EventKind::Cold { member, share, warm, rate } => {
                 let (share, rate) = (*share as f64 / 1e3, *rate as f64);
-                let cold = Cold { since: at, share, warm: *warm, rate, given: VecDeque::new(), told: false };
+                let cold =
+                    Cold { since: at, share, warm: *warm, rate, given: VecDeque::new(), reported: false };
                 self.cold.insert(*member, cold);
             }
             EventKind::Called { proxy, whole } => {
-                let seen = self.called.see(at, 1_000_000);
+                let seen = self.called.add(at, 1_000_000);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].called;
                 *peak = seen.max(*peak);
                 let of = self.proxies.entry(*proxy).or_default();
                 of.whole += u64::from(*whole);
                 let n = of.whole;
-                if *whole && bounds.whole_lists.is_some_and(|most| n > most) {
-                    let what = format!("proxy {proxy} asks for the whole list for the {n}. time");
+                if *whole && bounds.whole_lists.is_some_and(|limit| n > limit) {
+                    let what = format!("proxy {proxy} called for the whole list {n} times");
                     self.verdict.breach(Rule::Whole, at, what);
                 }
             }
             EventKind::Unanswered { proxy } => {
                 self.verdict.unanswered += 1;
-                if bounds.unanswered.is_some_and(|most| self.verdict.unanswered > most) {
+                if bounds.unanswered.is_some_and(|limit| self.verdict.unanswered > limit) {
                     let what = format!("discovery could not answer proxy {proxy}");
                     self.verdict.breach(Rule::Unanswered, at, what);
                 }
@@ -477,10 +491,10 @@
                 }
             }
             EventKind::Hand { proxy, member, out } => {
-                let hands = &mut self.proxies.entry(*proxy).or_default().out;
+                let suspended = &mut self.proxies.entry(*proxy).or_default().out;
                 match out {
-                    true => drop(hands.entry(*member).or_insert(at)),
-                    false => drop(hands.remove(member)),
+                    true => drop(suspended.entry(*member).or_insert(at)),
+                    false => drop(suspended.remove(member)),
                 }
             }
             EventKind::Exec { proxy } => {
@@ -489,7 +503,7 @@
                 of.began = at;
                 of.whole = 0;
                 of.acts = BTreeMap::new();
-                // What discovery told the last process, this one has to hear anew.
+                // Discovery reports draining members to each new process again.
                 of.draining.clear();
                 if !bounds.suspensions_kept {
                     of.out.clear();
@@ -527,62 +541,66 @@
                 let gap = Gap { from: at, to: Micros::MAX, stopped: *stopped };
                 self.proxies.entry(*proxy).or_default().gaps.push(gap);
             }
-            // Taken in before all else.
+            // Collected before this pass.
             EventKind::Stall { .. } | EventKind::Delayed { .. } | EventKind::Leased { .. } => {}
-            // Nobody can keep to a word that is lost.
+            // A proxy whose store was deleted cannot know of earlier suspensions.
             EventKind::Wiped { proxy } => self.proxies.entry(*proxy).or_default().out.clear(),
             EventKind::Fault(_) => self.faulted = true,
         }
     }
 
-    /// A process that was told to end is killed, or has ended: what was sent to it long after it was told, and what it read, must
-    /// have had its answer.
+    /// A process that received SIGTERM was killed or has ended. Requests that were sent more than `TAKEN_AFTER_END`
+    /// after SIGTERM, and that it has read, must have had their answers.
     fn killed(&mut self, at: Micros, proxy: u32) {
         let Some(of) = self.proxies.get_mut(&proxy) else { return };
-        let Some(told) = of.ending.take() else { return };
-        of.ended.push((told, at));
-        let late = |a: &Asked| {
+        let Some(term) = of.ending.take() else { return };
+        of.ended.push((term, at));
+        let late = |a: &RequestState| {
             (a.given || a.first)
                 && a.ended.is_none()
-                && a.sent.is_some_and(|sent| sent > told + TAKEN_AFTER_END)
+                && a.sent.is_some_and(|sent| sent > term + ANSWER_DUE_AFTER_TERM)
         };
         let found = self
             .asked
             .iter()
             .filter(|(_, a)| a.proxy == proxy && late(a))
             .map(|(id, a)| (*id, a.sent.unwrap_or(at)));
-        let mut found: Vec<(u64, Micros)> = found.filter(|(_, sent)| self.stood(*sent, at) == 0).collect();
+        let mut found: Vec<(u64, Micros)> = found.filter(|(_, sent)| self.stalled(*sent, at) == 0).collect();
         found.sort_unstable();
         for (id, sent) in found {
-            let what = format!("the kill finds request {id} at proxy {proxy} unanswered, sent {} ms after it was told to end", (sent - told) / 1000);
+            let what = format!(
+                "request {id} at proxy {proxy} was unanswered at the kill, sent {} ms after SIGTERM",
+                (sent - term) / 1000
+            );
             self.verdict.breach(Rule::Answer, at, what);
         }
     }
 
-    /// A sum over its bound, once the first fault has come; told anew only after it was within it again.
+    /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only after
+    /// the count was within it.
     fn bound(
         &mut self,
         rule: Rule,
         of: u32,
         at: Micros,
         seen: u64,
-        most: Option<u64>,
+        limit: Option<u64>,
         text: impl FnOnce() -> String,
     ) {
-        let Some(most) = most.filter(|_| self.faulted) else { return };
-        if seen <= most {
+        let Some(limit) = limit.filter(|_| self.faulted) else { return };
+        if seen <= limit {
             self.over.remove(&(rule, of));
         } else if self.over.insert((rule, of)) {
             self.verdict.breach(rule, at, text());
         }
     }
 
-    /// For how long of a span the machine stood still: no proxy can be blamed for that.
-    fn stood(&self, from: Micros, to: Micros) -> Micros {
+    /// How much of a span the machine was stalled; no proxy is blamed for that time.
+    fn stalled(&self, from: Micros, to: Micros) -> Micros {
         overlap(&self.stalls, from, to)
     }
 
-    /// For how long of a span the machine kept the rig, and then the proxy, from running.
+    /// How much of a span the machine did not schedule the rig, plus the same for the proxy.
     fn delayed(&self, proxy: u32, from: Micros, to: Micros) -> Micros {
         let of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
         of(None) + of(Some(proxy))
@@ -590,32 +608,32 @@
 
     fn ended(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
         let since = self.asked.get(&id).map_or(at, |a| a.at);
-        let stood = self.stood(since, at);
+        let stalled = self.stalled(since, at);
         let Some(asked) = self.asked.get_mut(&id) else {
-            self.verdict.breach(Rule::Log, at, format!("request {id} ends, and nobody asked it"));
+            self.verdict.breach(Rule::Log, at, format!("request {id} ended but was never sent"));
             return;
         };
         if asked.ended.replace(at).is_some() {
             self.verdict.breach(Rule::Answer, at, format!("request {id} got two answers"));
             return;
         }
-        let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stood);
+        let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stalled);
         asked.refused = how == RequestEnd::Refused;
         let harmless = asked.effect.is_none_or(Effect::may_be_refused_after_a_run);
         if let Some(run) = asked.first_run().filter(|_| asked.refused && !harmless) {
-            let what = format!("request {id} at proxy {proxy} is told as refused: {run}");
+            let what = format!("request {id} at proxy {proxy} was reported as refused: {run}");
             self.verdict.breach(Rule::Once, at, what);
         }
-        // A connection that is closed between requests, at a process that ends or that lacks descriptors, is no answer owed: its
-        // client sends the request once more. What a member has got was read, and the first request of a connection stands
-        // between no two.
+        // A process that shuts down or lacks descriptors may close a connection between requests without answering;
+        // the client then retries. That does not cover a request that reached a member, as the proxy has read it,
+        // nor the first request of a connection, as it does not follow another one.
         let ends = self.proxies.get(&proxy).is_some_and(|p| p.ends_within(since, at));
         let between = !asked.given && !asked.first;
         let unread = how == RequestEnd::Broken && between && (ends || bounds.crowded);
-        let unanswered =
-            how == RequestEnd::Broken && stood < STANDSTILL || how == RequestEnd::Silent && stood == 0;
+        let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
+            || how == RequestEnd::Silent && stalled == 0;
         let unanswered = unanswered && !unread;
-        if (unanswered || at > until) && !gone(self.proxies.get(&proxy), since, at) {
+        if (unanswered || at > until) && !unavailable(self.proxies.get(&proxy), since, at) {
             let what = format!("request {id} at proxy {proxy}: {how:?} after {} ms", (at - since) / 1000);
             self.verdict.breach(Rule::Answer, at, what);
         }
@@ -626,20 +644,20 @@
         let key = self.keys.entry(asked.key.clone()).or_default();
         if let Some(value) = asked.writes {
             match key.ran.iter().position(|(_, ran)| *ran == value) {
-                Some(commit) => key.told.push(Told { at, proxy, commit }),
+                Some(commit) => key.acknowledged.push(Acknowledged { at, proxy, commit }),
                 None => {
-                    let what = format!("write {id} was told as served, and no member ran it");
+                    let what = format!("write {id} was reported as served but no member ran it");
                     self.verdict.breach(Rule::Once, at, what);
                 }
             }
             return;
         }
-        // Of each write, how many commits of its key a read must show.
-        let least = match asked.shows {
+        // The number of commits of its key that the read must reflect.
+        let due = match asked.shows {
             ReadGuarantee::Any => 0,
-            ReadGuarantee::Session => key.told_before(since, |_| true),
+            ReadGuarantee::Session => key.commits_due(since, |_| true),
             ReadGuarantee::SessionAtProcess => {
-                key.told_before(since, |told| told.proxy == proxy && told.at >= began)
+                key.commits_due(since, |write| write.proxy == proxy && write.at >= began)
             }
             ReadGuarantee::Within(age) => key.ran.partition_point(|(t, _)| *t + age < since),
         };
@@ -649,18 +667,18 @@
         };
         match shown {
             None => {
-                let what = format!("read {id} of {} shows a value that no write brought", asked.key);
+                let what = format!("read {id} of {} returned a value that was never written", asked.key);
                 self.verdict.breach(Rule::Stale, at, what);
             }
-            Some(shown) if shown < least => {
-                let what = format!("read {id} of {} shows commit {shown}, {least} due", asked.key);
+            Some(shown) if shown < due => {
+                let what = format!("read {id} of {} reflects {shown} commits, must reflect {due}", asked.key);
                 self.verdict.breach(Rule::Stale, at, what);
             }
             Some(_) => {}
         }
     }
 
-    /// What a proxy has acted by up to now, of one kind or of all, is over.
+    /// Ends the spans of the versions that a proxy has applied so far, of one kind or of all kinds.
     fn close(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
         let of = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
@@ -671,11 +689,11 @@
         }
     }
 
-    /// No two may have acted at one moment by versions that have none in common.
-    fn agree(&mut self) {
+    /// Checks that no two proxies applied, at the same time, sets of versions that have none in common.
+    fn check_agreement(&mut self) {
         let proxies: Vec<u32> = self.proxies.keys().copied().collect();
         proxies.into_iter().for_each(|proxy| self.close(proxy, None, Micros::MAX));
-        // Without a lease it acted by nothing.
+        // Without a lease a proxy applies no version.
         let mut acted = Vec::new();
         for (kind, proxy, versions, from, to) in std::mem::take(&mut self.acted) {
             for (begun, until) in self.leases.get(&proxy).into_iter().flatten() {
@@ -687,12 +705,12 @@
         }
         acted.sort_by_key(|(_, _, _, from, _)| *from);
         for (n, (kind, proxy, versions, from, to)) in acted.iter().enumerate() {
-            let then = acted[n + 1..].iter().take_while(|other| other.3 + CLOCKS < *to);
+            let then = acted[n + 1..].iter().take_while(|other| other.3 + CLOCK_TOLERANCE < *to);
             for (_, other, theirs, since, _) in then.filter(|other| other.0 == *kind && other.1 != *proxy) {
                 if !versions.iter().any(|v| theirs.contains(v)) {
                     let span = (*to - since.max(from)) / 1000;
                     let what = format!(
-                        "{kind}: proxies {proxy} and {other} act by {versions:?} and {theirs:?}, {span} ms"
+                        "{kind}: proxies {proxy} and {other} applied {versions:?} and {theirs:?} at once for {span} ms"
                     );
                     self.verdict.breach(Rule::Agree, *since, what);
                 }
@@ -702,18 +720,22 @@
 
     fn given(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
         let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
-            self.verdict.breach(Rule::Log, at, format!("member {member} got {id}, and nobody asked it"));
+            self.verdict.breach(
+                Rule::Log,
+                at,
+                format!("member {member} got request {id}, which was never sent"),
+            );
             return;
         };
         self.asked.get_mut(&id).into_iter().for_each(|asked| asked.given = true);
-        self.attempted(at, member, id, bounds.patience);
-        self.for_nobody(at, member, id, bounds.patience);
-        let stood = self.stood(at.saturating_sub(bounds.drain), at);
+        self.check_attempt(at, member, id, bounds.patience);
+        self.check_client_present(at, member, id, bounds.patience);
+        let stalled = self.stalled(at.saturating_sub(bounds.drain), at);
         let of = self.proxies.entry(proxy).or_default();
-        // What a link held back may have been sent at any time since it was asked for.
+        // A statement that a link held back may have been sent at any time since the request was sent.
         let held = of.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= asked));
         for (rule, since) in [(Rule::Drain, of.draining.get(&member)), (Rule::Hand, of.out.get(&member))] {
-            if let Some(since) = since.filter(|t| !held && at > **t + bounds.drain + stood) {
+            if let Some(since) = since.filter(|t| !held && at > **t + bounds.drain + stalled) {
                 let what = format!(
                     "member {member} got request {id} from proxy {proxy} after {} ms",
                     (at - since) / 1000
@@ -721,10 +743,10 @@
                 self.verdict.breach(rule, at, what);
             }
         }
-        let late = ON_THE_WAY + stood;
+        let late = TRANSIT_MAX + stalled;
         let covers = |(from, until): &(Micros, Micros)| *from <= at && at <= *until + late;
         if self.leases.get(&proxy).is_some_and(|all| !held && !all.iter().any(covers)) {
-            let what = format!("proxy {proxy} sends {id} to member {member} without a lease");
+            let what = format!("proxy {proxy} sent request {id} to member {member} without a lease");
             self.verdict.breach(Rule::Lease, at, what);
         }
         let Some(cold) = self.cold.get_mut(&member) else { return };
@@ -740,22 +762,23 @@
         let warmth = cold.share + (1.0 - cold.share) * age as f64 / cold.warm as f64;
         let can = cold.rate * warmth * age.min(COLD_SPAN) as f64 / 1e6;
         let given = cold.given.len();
-        let over = given as f64 > bounds.cold * can + COLD_FEW;
-        if over && !cold.told {
-            let what = format!("cold member {member} got {given} in 1.5 s and can do {can:.1}");
+        let over = given as f64 > bounds.cold * can + COLD_ALLOWANCE;
+        if over && !cold.reported {
+            let what =
+                format!("cold member {member} got {given} statements in 1.5 s and can process {can:.1}");
             self.verdict.breach(Rule::Cold, at, what);
         }
-        cold.told = over;
+        cold.reported = over;
     }
 
-    /// A member has got a request: whether what became of it before allows that.
-    fn attempted(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
+    /// Checks whether the earlier attempts and answers of a request allow that a member receives it.
+    fn check_attempt(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
         if asked.refused && !effect.may_be_refused_after_a_run() {
             let what = format!(
-                "member {member} got request {id} from proxy {proxy}, {} it had told as refused",
-                asked.described()
+                "member {member} got request {id} from proxy {proxy}, {} the proxy had reported as refused",
+                asked.description()
             );
             self.verdict.breach(Rule::Once, at, what);
         }
@@ -763,9 +786,9 @@
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some(first)) => {
-                // The window counts from the sending of the first, and each may be on its way for a while.
-                let slack = DEADLINE_SLACK + ON_THE_WAY + patience + self.stood(first.at, at);
-                at > first.at + window + slack && !self.holds_back(proxy, member, first.at)
+                // The window starts when the first attempt is sent, and each attempt may be in transit for a while.
+                let slack = DEADLINE_SLACK + TRANSIT_MAX + patience + self.stalled(first.at, at);
+                at > first.at + window + slack && !self.link_holds_back(proxy, member, first.at)
             }
         };
         if let Some(run) = asked.first_run().filter(|_| late) {
@@ -776,78 +799,80 @@
         self.asked.get_mut(&id).into_iter().for_each(|asked| asked.may_have_run.push(attempt));
     }
 
-    /// A member has run an attempt that it got.
-    fn ran_at(&mut self, member: u32, id: u64) {
+    /// A member has run an attempt that it received.
+    fn mark_run(&mut self, member: u32, id: u64) {
         let attempts = self.asked.get_mut(&id).map(|asked| &mut asked.may_have_run);
         let its = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
         its.into_iter().for_each(|attempt| attempt.ran = true);
     }
 
-    /// A member has turned an attempt away: that one never ran.
-    fn turned_away(&mut self, member: u32, id: u64) {
+    /// A member has refused an attempt, which therefore never ran.
+    fn remove_attempt(&mut self, member: u32, id: u64) {
         let Some(asked) = self.asked.get_mut(&id) else { return };
         if let Some(n) = asked.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
             asked.may_have_run.remove(n);
         }
     }
 
-    /// Whether something began for a client that had gone.
-    fn for_nobody(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
+    /// Checks that no attempt starts for a client that has disconnected.
+    fn check_client_present(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
         let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
-        let allowed = LEFT_MAX + ON_THE_WAY + patience + self.stood(left, at);
-        let held = self.holds_back(proxy, member, left);
-        if late > allowed && !held && !gone(self.proxies.get(&proxy), left, at) {
+        let allowed = LEFT_MAX + TRANSIT_MAX + patience + self.stalled(left, at);
+        let held = self.link_holds_back(proxy, member, left);
+        if late > allowed && !held && !unavailable(self.proxies.get(&proxy), left, at) {
             let what = format!(
-                "member {member} got request {id} from proxy {proxy} {} ms after its client had gone",
+                "member {member} got request {id} from proxy {proxy} {} ms after its client had disconnected",
                 late / 1000
             );
             self.verdict.breach(Rule::Left, at, what);
         }
     }
 
-    /// Whether the link between them may hold back what was sent since.
-    fn holds_back(&self, proxy: u32, member: u32, since: Micros) -> bool {
+    /// Whether the link between them may have held back what was sent at or after `since`.
+    fn link_holds_back(&self, proxy: u32, member: u32, since: Micros) -> bool {
         let held = self.proxies.get(&proxy).and_then(|p| p.held.get(&member));
         held.is_some_and(|until| until.is_none_or(|t| t >= since))
     }
 
-    /// A member was told how long its proxy waits.
-    fn allowed(&mut self, at: Micros, id: u64, wait: Micros, patience: Micros) {
+    /// Checks the time limit in a statement against the time that the client has left.
+    fn check_time_limit(&mut self, at: Micros, id: u64, wait: Micros, patience: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (proxy, Some(sent)) = (asked.proxy, asked.sent) else { return };
         let left = (sent + asked.wait).saturating_sub(at);
         let delayed = self.delayed(proxy, sent, at);
-        let slack = DEADLINE_SLACK + ON_THE_WAY + patience + delayed;
+        let slack = DEADLINE_SLACK + TRANSIT_MAX + patience + delayed;
         let links = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
-        if wait > left + slack && !links && !gone(self.proxies.get(&proxy), sent, at) {
+        if wait > left + slack && !links && !unavailable(self.proxies.get(&proxy), sent, at) {
             let [wait, left, delayed] = [wait, left, delayed].map(|us| us / 1000);
             let what =
-                format!("request {id} may take {wait} ms, {left} ms are left; delayed for {delayed} ms");
+                format!("request {id} has a time limit of {wait} ms, its client {left} ms left; delayed for {delayed} ms");
             self.verdict.breach(Rule::Deadline, at, what);
         }
     }
 
-    /// A bad client has got its error or its close.
+    /// Checks that a bad client got its error or close in time.
     fn closed(&mut self, at: Micros, id: u64, patience: Micros) {
         let Some((proxy, since)) = self.begun.remove(&id) else { return };
-        let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + patience + self.stood(since, at);
-        if at > since + allowed && !gone(self.proxies.get(&proxy), since, at) {
+        let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + patience + self.stalled(since, at);
+        if at > since + allowed && !unavailable(self.proxies.get(&proxy), since, at) {
             let what =
-                format!("bad client {id} at proxy {proxy} has its close after {} ms", (at - since) / 1000);
+                format!("bad client {id} at proxy {proxy} got its close after {} ms", (at - since) / 1000);
             self.verdict.breach(Rule::Unfinished, at, what);
         }
     }
 
-    fn end(&mut self, last: Micros, bounds: &Bounds) {
+    /// Checks at the end of the log for answers and closes that are still due.
+    fn check_end(&mut self, last: Micros, bounds: &Bounds) {
         let owed: Vec<u64> = self.begun.keys().copied().collect();
         owed.into_iter().for_each(|id| self.closed(last, id, bounds.patience));
-        let mut open: Vec<(&u64, &Asked)> = self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
+        let mut open: Vec<(&u64, &RequestState)> =
+            self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
         open.sort_unstable_by_key(|(id, _)| **id);
         let mut breaches = Vec::new();
         for (id, asked) in open {
             let until = asked.at + asked.wait + bounds.late;
-            if last >= until && !gone(self.proxies.get(&asked.proxy), asked.at, until) {
+            if last >= until && !unavailable(self.proxies.get(&asked.proxy), asked.at, until) {
                 breaches.push((until, format!("request {id} at proxy {} has no answer", asked.proxy)));
             }
         }
@@ -855,16 +880,16 @@
     }
 }
 
-/// Whether a proxy was not there at some moment of a span.
 impl Proxy {
-    /// Whether it was told to end, or ended so, in this span.
+    /// Whether it was shutting down at some time in this span.
     fn ends_within(&self, from: Micros, to: Micros) -> bool {
-        self.ending.is_some_and(|told| told <= to)
-            || self.ended.iter().any(|(told, end)| *told <= to && *end >= from)
+        self.ending.is_some_and(|term| term <= to)
+            || self.ended.iter().any(|(term, end)| *term <= to && *end >= from)
     }
 }
 
-fn gone(proxy: Option<&Proxy>, from: Micros, to: Micros) -> bool {
+/// Whether a proxy was unavailable at some time in a span.
+fn unavailable(proxy: Option<&Proxy>, from: Micros, to: Micros) -> bool {
     let Some(proxy) = proxy else { return true };
     let within = |gap: &Gap| gap.from <= to && gap.to >= from;
     proxy.gaps.iter().any(within) || !proxy.up && proxy.gaps.is_empty()
--- a/crates/standins/src/rig/checker_tests.rs
+++ b/crates/standins/src/rig/checker_tests.rs
@@ -1,26 +1,26 @@
-//! Each rule's breach planted in a log that is sound without it.
+//! Each test adds a breach of one rule to a log that is otherwise valid, and checks that the rule reports it.
 
 use super::*;
 use crate::rig::events::KeyScope;
 
 const MS: Micros = 1_000;
 
-/// A log under construction; times in ms.
+/// Builder of an event log; times are in ms.
 #[derive(Default, Clone)]
-struct Plot(Vec<Event>);
+struct LogBuilder(Vec<Event>);
 
-impl Plot {
+impl LogBuilder {
     fn at(mut self, ms: Micros, what: EventKind) -> Self {
         self.0.push(Event { at: ms * MS, what });
         self
     }
 
-    fn ask(self, ms: Micros, id: u64, writes: Option<u64>, shows: ReadGuarantee) -> Self {
+    fn asked(self, ms: Micros, id: u64, writes: Option<u64>, shows: ReadGuarantee) -> Self {
         let (key, aim, wait) = ("k".to_string(), 200 * MS, 500 * MS);
         self.at(ms, EventKind::Asked { id, proxy: 1, key, writes, shows, effect: None, aim, wait })
     }
 
-    fn told(self, ms: Micros, id: u64, how: RequestEnd, value: u64) -> Self {
+    fn ended(self, ms: Micros, id: u64, how: RequestEnd, value: u64) -> Self {
         self.at(ms, EventKind::Ended { id, how, value })
     }
 
@@ -29,102 +29,107 @@
     }
 
     fn write(self, ms: Micros, id: u64, value: u64) -> Self {
-        let asked =
-            self.ask(ms, id, Some(value), ReadGuarantee::Any).at(ms + 1, EventKind::Given { member: 1, id });
-        asked.ran(ms + 2, id, value).told(ms + 3, id, RequestEnd::Served, value)
+        let asked = self
+            .asked(ms, id, Some(value), ReadGuarantee::Any)
+            .at(ms + 1, EventKind::Given { member: 1, id });
+        asked.ran(ms + 2, id, value).ended(ms + 3, id, RequestEnd::Served, value)
     }
 
-    fn rules(&self, bounds: &Bounds) -> Vec<Rule> {
+    fn broken_rules_within(&self, bounds: &Bounds) -> Vec<Rule> {
         judge(&self.0, 0, bounds).counts.into_keys().collect()
     }
 
-    fn broken(&self) -> Vec<Rule> {
-        self.rules(&Bounds::default())
+    fn broken_rules(&self) -> Vec<Rule> {
+        self.broken_rules_within(&Bounds::default())
     }
 }
 
-/// A proxy that serves, and a write of value 1 that was told at 4 ms.
-fn sound() -> Plot {
-    let plot = Plot::default().at(0, EventKind::Exec { proxy: 1 }).at(0, EventKind::Serves { proxy: 1 });
-    plot.write(1, 100, 1)
+/// A log with a proxy that serves and a write of value 1 that was acknowledged at 4 ms.
+fn valid_log() -> LogBuilder {
+    let log = LogBuilder::default().at(0, EventKind::Exec { proxy: 1 }).at(0, EventKind::Serves { proxy: 1 });
+    log.write(1, 100, 1)
 }
 
 #[test]
-fn a_sound_log_breaks_nothing() {
-    let plot = sound().ask(10, 1, None, ReadGuarantee::Session).told(20, 1, RequestEnd::Served, 1);
-    assert_eq!(plot.broken(), []);
-    let verdict = judge(&plot.0, 0, &Bounds::default());
+fn a_valid_log_has_no_breach() {
+    let log = valid_log().asked(10, 1, None, ReadGuarantee::Session).ended(20, 1, RequestEnd::Served, 1);
+    assert_eq!(log.broken_rules(), []);
+    let verdict = judge(&log.0, 0, &Bounds::default());
     assert!(verdict.passed());
     assert_eq!(verdict.asked, 2);
 }
 
 #[test]
-fn an_answer_that_is_missing_doubled_broken_or_late_is_a_breach_but_not_of_a_proxy_that_was_gone() {
-    let asked = sound().ask(10, 1, None, ReadGuarantee::Any);
-    assert_eq!(asked.clone().at(1_011, EventKind::Fault("end".into())).broken(), [Rule::Answer]);
-    // Its time is not over yet.
-    assert_eq!(asked.clone().at(900, EventKind::Fault("end".into())).broken(), []);
-    let twice = asked.clone().told(20, 1, RequestEnd::Served, 1).told(21, 1, RequestEnd::Served, 1);
-    assert_eq!(twice.broken(), [Rule::Answer]);
-    assert_eq!(asked.clone().told(20, 1, RequestEnd::Broken, 0).broken(), [Rule::Answer]);
-    assert_eq!(asked.clone().told(1_011, 1, RequestEnd::Refused, 0).broken(), [Rule::Answer]);
-    assert_eq!(asked.clone().told(1_010, 1, RequestEnd::Refused, 0).broken(), []);
+fn a_missing_duplicate_broken_or_late_answer_is_a_breach_unless_the_proxy_was_unavailable() {
+    let asked = valid_log().asked(10, 1, None, ReadGuarantee::Any);
+    assert_eq!(asked.clone().at(1_011, EventKind::Fault("end".into())).broken_rules(), [Rule::Answer]);
+    // The deadline has not passed yet.
+    assert_eq!(asked.clone().at(900, EventKind::Fault("end".into())).broken_rules(), []);
+    let twice = asked.clone().ended(20, 1, RequestEnd::Served, 1).ended(21, 1, RequestEnd::Served, 1);
+    assert_eq!(twice.broken_rules(), [Rule::Answer]);
+    assert_eq!(asked.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules(), [Rule::Answer]);
+    assert_eq!(asked.clone().ended(1_011, 1, RequestEnd::Refused, 0).broken_rules(), [Rule::Answer]);
+    assert_eq!(asked.clone().ended(1_010, 1, RequestEnd::Refused, 0).broken_rules(), []);
     let killed = asked.clone().at(12, EventKind::Down { proxy: 1, stopped: false });
-    assert_eq!(killed.clone().told(20, 1, RequestEnd::Broken, 0).broken(), []);
-    assert_eq!(killed.clone().at(2_000, EventKind::Fault("end".into())).broken(), []);
-    // One that has come back is held to the rule again.
-    let back = killed.told(20, 1, RequestEnd::Broken, 0).at(30, EventKind::Serves { proxy: 1 });
-    let again = back.ask(40, 2, None, ReadGuarantee::Any).told(50, 2, RequestEnd::Broken, 0);
-    assert_eq!(again.broken(), [Rule::Answer]);
+    assert_eq!(killed.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules(), []);
+    assert_eq!(killed.clone().at(2_000, EventKind::Fault("end".into())).broken_rules(), []);
+    // After the proxy serves again, the rule applies again.
+    let back = killed.ended(20, 1, RequestEnd::Broken, 0).at(30, EventKind::Serves { proxy: 1 });
+    let again = back.asked(40, 2, None, ReadGuarantee::Any).ended(50, 2, RequestEnd::Broken, 0);
+    assert_eq!(again.broken_rules(), [Rule::Answer]);
 }
 
 #[test]
-fn one_that_was_stopped_goes_on_unless_it_was_killed_meanwhile() {
+fn a_stopped_proxy_is_available_after_it_is_resumed_unless_it_was_killed_meanwhile() {
     let down = |stopped| EventKind::Down { proxy: 1, stopped };
     let resumed = EventKind::Resumed { proxy: 1 };
-    let ask =
-        |plot: Plot| plot.ask(40, 1, None, ReadGuarantee::Any).told(50, 1, RequestEnd::Broken, 0).broken();
-    let stopped = sound().at(20, down(true));
+    let ask = |log: LogBuilder| {
+        log.asked(40, 1, None, ReadGuarantee::Any).ended(50, 1, RequestEnd::Broken, 0).broken_rules()
+    };
+    let stopped = valid_log().at(20, down(true));
     assert_eq!(ask(stopped.clone()), []);
     assert_eq!(ask(stopped.clone().at(30, resumed.clone())), [Rule::Answer]);
     assert_eq!(ask(stopped.at(25, down(false)).at(30, resumed)), []);
 }
 
 #[test]
-fn what_the_machine_takes_is_nobodys_fault_but_an_answer_is_still_owed() {
-    let asked = sound().ask(10, 1, None, ReadGuarantee::Any);
+fn a_stall_of_the_machine_excuses_a_late_answer_but_not_a_missing_one() {
+    let asked = valid_log().asked(10, 1, None, ReadGuarantee::Any);
     let stall = EventKind::Stall { us: 400 * MS };
-    let late = |plot: Plot| plot.told(1_300, 1, RequestEnd::Refused, 0).broken();
+    let late = |log: LogBuilder| log.ended(1_300, 1, RequestEnd::Refused, 0).broken_rules();
     assert_eq!(late(asked.clone()), [Rule::Answer]);
     assert_eq!(late(asked.clone().at(900, stall.clone())), []);
-    assert_eq!(late(sound().at(9, stall.clone()).ask(10, 1, None, ReadGuarantee::Any)), [Rule::Answer]);
-    // It may be noted only after what came in it.
-    let after = asked.clone().told(1_300, 1, RequestEnd::Refused, 0).at(1_301, stall.clone());
-    assert_eq!(after.broken(), []);
-    assert_eq!(asked.clone().at(900, stall).told(950, 1, RequestEnd::Broken, 0).broken(), [Rule::Answer]);
-    let long = asked.told(2_300, 1, RequestEnd::Broken, 0).at(2_301, EventKind::Stall { us: 1_500 * MS });
-    assert_eq!(long.broken(), []);
+    assert_eq!(late(valid_log().at(9, stall.clone()).asked(10, 1, None, ReadGuarantee::Any)), [Rule::Answer]);
+    // The stall may be recorded after the events that fall into it.
+    let after = asked.clone().ended(1_300, 1, RequestEnd::Refused, 0).at(1_301, stall.clone());
+    assert_eq!(after.broken_rules(), []);
+    assert_eq!(
+        asked.clone().at(900, stall).ended(950, 1, RequestEnd::Broken, 0).broken_rules(),
+        [Rule::Answer]
+    );
+    let long = asked.ended(2_300, 1, RequestEnd::Broken, 0).at(2_301, EventKind::Stall { us: 1_500 * MS });
+    assert_eq!(long.broken_rules(), []);
 }
 
 #[test]
-fn a_write_that_runs_twice_or_was_told_and_never_ran_is_a_breach() {
-    assert_eq!(sound().ran(9, 100, 1).broken(), [Rule::Once]);
-    let told = sound().ask(10, 1, Some(2), ReadGuarantee::Any).told(20, 1, RequestEnd::Served, 2);
-    assert_eq!(told.broken(), [Rule::Once]);
+fn a_write_that_runs_twice_or_is_acknowledged_but_never_ran_is_a_breach() {
+    assert_eq!(valid_log().ran(9, 100, 1).broken_rules(), [Rule::Once]);
+    let base = valid_log().asked(10, 1, Some(2), ReadGuarantee::Any).ended(20, 1, RequestEnd::Served, 2);
+    assert_eq!(base.broken_rules(), [Rule::Once]);
 }
 
-/// A read whose repeats may do this, asked at 10 ms.
-fn asked_with(effect: Effect) -> Plot {
+/// A valid log and a read sent at 10 ms whose repeats have this effect.
+fn asked_with(effect: Effect) -> LogBuilder {
     let (key, shows, aim, wait) = ("k".to_string(), ReadGuarantee::Any, 200 * MS, 500 * MS);
     let effect = Some(effect);
-    sound().at(10, EventKind::Asked { id: 1, proxy: 1, key, writes: None, shows, effect, aim, wait })
+    valid_log().at(10, EventKind::Asked { id: 1, proxy: 1, key, writes: None, shows, effect, aim, wait })
 }
 
 const KEYED_IN_CELL: Effect = Effect::Keyed { scope: KeyScope::Cell, window: 100 * MS };
 const KEYED_EVERYWHERE: Effect = Effect::Keyed { scope: KeyScope::All, window: 100 * MS };
 
 #[test]
-fn an_unsafe_read_that_a_member_ran_and_whose_client_is_told_that_it_was_refused_is_a_breach() {
+fn an_unsafe_read_that_a_member_ran_and_that_is_reported_as_refused_is_a_breach() {
     let given = |effect| asked_with(effect).at(12, EventKind::Given { member: 1, id: 1 });
     let ran = |effect| given(effect).at(14, EventKind::ReadRan { member: 1, id: 1 });
     for (effect, broken) in [
@@ -133,39 +138,47 @@
         (KEYED_EVERYWHERE, &[][..]),
         (Effect::Safe, &[][..]),
     ] {
-        assert_eq!(ran(effect).told(15, 1, RequestEnd::Refused, 0).broken(), broken, "{effect:?}: it ran");
         assert_eq!(
-            given(effect).told(15, 1, RequestEnd::Refused, 0).broken(),
+            ran(effect).ended(15, 1, RequestEnd::Refused, 0).broken_rules(),
             broken,
-            "{effect:?}: it may have"
+            "{effect:?}: it ran"
         );
         assert_eq!(
-            ran(effect).told(15, 1, RequestEnd::Failed, 0).broken(),
+            given(effect).ended(15, 1, RequestEnd::Refused, 0).broken_rules(),
+            broken,
+            "{effect:?}: it may have run"
+        );
+        assert_eq!(
+            ran(effect).ended(15, 1, RequestEnd::Failed, 0).broken_rules(),
             [],
-            "{effect:?}: no word on its effect"
+            "{effect:?}: its effect is unknown"
         );
         let turned_away = given(effect).at(13, EventKind::TurnedAway { member: 1, id: 1 });
-        assert_eq!(turned_away.told(15, 1, RequestEnd::Refused, 0).broken(), [], "{effect:?}: it never ran");
-        let refused = asked_with(effect).told(11, 1, RequestEnd::Refused, 0);
-        assert_eq!(refused.clone().broken(), [], "{effect:?}: no member got it");
         assert_eq!(
-            refused.at(12, EventKind::Given { member: 1, id: 1 }).broken(),
+            turned_away.ended(15, 1, RequestEnd::Refused, 0).broken_rules(),
+            [],
+            "{effect:?}: it never ran"
+        );
+        let refused = asked_with(effect).ended(11, 1, RequestEnd::Refused, 0);
+        assert_eq!(refused.clone().broken_rules(), [], "{effect:?}: no member got it");
+        assert_eq!(
+            refused.at(12, EventKind::Given { member: 1, id: 1 }).broken_rules(),
             broken,
-            "{effect:?}: after that"
+            "{effect:?}: a member got it after the refusal"
         );
     }
 }
 
 #[test]
-fn an_unsafe_read_that_a_member_may_have_run_and_that_is_given_to_a_member_again_is_a_breach() {
+fn an_unsafe_read_that_may_have_run_and_reaches_a_member_again_is_a_breach() {
     let given = asked_with(Effect::Unsafe).at(12, EventKind::Given { member: 1, id: 1 });
-    let again = |plot: Plot| {
-        plot.at(20, EventKind::Given { member: 2, id: 1 }).told(30, 1, RequestEnd::Served, 1).broken()
+    let again = |log: LogBuilder| {
+        log.at(20, EventKind::Given { member: 2, id: 1 }).ended(30, 1, RequestEnd::Served, 1).broken_rules()
     };
-    assert_eq!(again(given.clone()), [Rule::Once], "it may yet run");
+    assert_eq!(again(given.clone()), [Rule::Once], "it may still run");
     assert_eq!(again(given.clone().at(14, EventKind::ReadRan { member: 1, id: 1 })), [Rule::Once], "it ran");
     assert_eq!(again(given.clone().at(14, EventKind::TurnedAway { member: 1, id: 1 })), [], "it never ran");
-    // The word of another member says nothing of the first one's attempt.
+    // A refusal by another member says nothing about the attempt at the first one.
     let other = given
         .at(13, EventKind::Given { member: 2, id: 1 })
         .at(14, EventKind::TurnedAway { member: 2, id: 1 });
@@ -176,17 +189,20 @@
 }
 
 #[test]
-fn a_keyed_read_that_is_given_to_a_member_again_behind_its_window_is_a_breach() {
+fn a_keyed_read_that_reaches_a_member_again_after_its_window_is_a_breach() {
     let again = |effect, ms| {
         let given = asked_with(effect).at(12, EventKind::Given { member: 1, id: 1 });
-        given.at(ms, EventKind::Given { member: 2, id: 1 }).told(ms + 1, 1, RequestEnd::Served, 1).broken()
+        given
+            .at(ms, EventKind::Given { member: 2, id: 1 })
+            .ended(ms + 1, 1, RequestEnd::Served, 1)
+            .broken_rules()
     };
     for effect in [KEYED_IN_CELL, KEYED_EVERYWHERE] {
         assert_eq!(again(effect, 112), [], "within its window");
-        // 150 ms on its way, and 150 ms for a proxy that is held up.
+        // 150 ms in transit, and 150 ms of slack for a delayed proxy.
         assert_eq!(again(effect, 412), []);
         assert_eq!(again(effect, 413), [Rule::Once]);
-        // An attempt that was turned away opens no window.
+        // A refused attempt does not start the window.
         let two = asked_with(effect).at(12, EventKind::Given { member: 1, id: 1 });
         let two = two
             .at(60, EventKind::Given { member: 2, id: 1 })
@@ -194,57 +210,62 @@
         let third = |ms| {
             two.clone()
                 .at(ms, EventKind::Given { member: 3, id: 1 })
-                .told(ms, 1, RequestEnd::Served, 1)
-                .broken()
+                .ended(ms, 1, RequestEnd::Served, 1)
+                .broken_rules()
         };
         assert_eq!((third(460), third(461)), (vec![], vec![Rule::Once]));
     }
 }
 
 #[test]
-fn logs_that_do_not_tell_what_repeats_may_do_are_judged_by_runs_of_writes_alone() {
-    let read = sound().ask(10, 1, None, ReadGuarantee::Any).at(12, EventKind::Given { member: 1, id: 1 });
-    assert_eq!(read.told(15, 1, RequestEnd::Refused, 0).broken(), []);
+fn without_the_effect_of_repeats_only_the_runs_of_writes_are_judged() {
+    let read =
+        valid_log().asked(10, 1, None, ReadGuarantee::Any).at(12, EventKind::Given { member: 1, id: 1 });
+    assert_eq!(read.ended(15, 1, RequestEnd::Refused, 0).broken_rules(), []);
 }
 
 #[test]
-fn a_session_that_its_proxy_remembers_counts_what_that_process_has_told_and_no_more() {
-    let two = sound().write(10, 101, 2);
-    let read = |plot: Plot, value| {
-        plot.ask(40, 1, None, ReadGuarantee::SessionAtProcess).told(45, 1, RequestEnd::Served, value)
+fn a_session_that_its_proxy_remembers_covers_only_acknowledgements_of_that_process() {
+    let two = valid_log().write(10, 101, 2);
+    let read = |log: LogBuilder, value| {
+        log.asked(40, 1, None, ReadGuarantee::SessionAtProcess).ended(45, 1, RequestEnd::Served, value)
     };
-    assert_eq!(read(two.clone(), 2).broken(), []);
-    assert_eq!(read(two.clone(), 1).broken(), [Rule::Stale]);
+    assert_eq!(read(two.clone(), 2).broken_rules(), []);
+    assert_eq!(read(two.clone(), 1).broken_rules(), [Rule::Stale]);
     let started = two.at(20, EventKind::Exec { proxy: 1 }).at(21, EventKind::Serves { proxy: 1 });
-    assert_eq!(read(started, 1).broken(), []);
+    assert_eq!(read(started, 1).broken_rules(), []);
 }
 
 #[test]
-fn a_session_read_that_shows_less_than_was_told_to_its_session_is_a_breach() {
-    let two = sound().write(10, 101, 2);
-    let read = |plot: Plot, value| {
-        plot.ask(20, 1, None, ReadGuarantee::Session).told(25, 1, RequestEnd::Served, value).broken()
+fn a_session_read_that_misses_an_acknowledged_write_of_its_session_is_a_breach() {
+    let two = valid_log().write(10, 101, 2);
+    let read = |log: LogBuilder, value| {
+        log.asked(20, 1, None, ReadGuarantee::Session).ended(25, 1, RequestEnd::Served, value).broken_rules()
     };
     assert_eq!(read(two.clone(), 2), []);
     assert_eq!(read(two.clone(), 1), [Rule::Stale]);
     assert_eq!(read(two.clone(), 0), [Rule::Stale]);
     assert_eq!(read(two.clone(), 9), [Rule::Stale]);
-    // A write of which nobody was told may show or not.
+    // A write that was not acknowledged may be visible or not.
     let third =
-        two.ask(14, 102, Some(3), ReadGuarantee::Any).ran(15, 102, 3).told(16, 102, RequestEnd::Failed, 0);
+        two.asked(14, 102, Some(3), ReadGuarantee::Any).ran(15, 102, 3).ended(16, 102, RequestEnd::Failed, 0);
     assert_eq!(read(third.clone(), 2), []);
     assert_eq!(read(third, 3), []);
-    // Nor one that was told only after the read was asked.
-    let later =
-        sound().ask(10, 1, None, ReadGuarantee::Session).write(11, 101, 2).told(25, 1, RequestEnd::Served, 1);
-    assert_eq!(later.broken(), []);
+    // The same holds for a write that was acknowledged only after the read was sent.
+    let later = valid_log().asked(10, 1, None, ReadGuarantee::Session).write(11, 101, 2).ended(
+        25,
+        1,
+        RequestEnd::Served,
+        1,
+    );
+    assert_eq!(later.broken_rules(), []);
 }
 
 #[test]
-fn a_bounded_read_that_is_older_than_its_bound_is_a_breach() {
+fn a_bounded_read_with_data_older_than_its_bound_is_a_breach() {
     let read = |at: Micros, value| {
-        let plot = sound().write(100, 101, 2).ask(at, 1, None, ReadGuarantee::Within(50 * MS));
-        plot.told(at + 5, 1, RequestEnd::Served, value).broken()
+        let log = valid_log().write(100, 101, 2).asked(at, 1, None, ReadGuarantee::Within(50 * MS));
+        log.ended(at + 5, 1, RequestEnd::Served, value).broken_rules()
     };
     assert_eq!(read(140, 1), []);
     assert_eq!(read(160, 1), [Rule::Stale]);
@@ -252,28 +273,29 @@
 }
 
 #[test]
-fn what_reaches_a_draining_member_or_one_out_by_hand_after_its_time_is_a_breach() {
+fn a_statement_that_reaches_a_draining_or_suspended_member_too_late_is_a_breach() {
     let drains = |on| EventKind::Drains { proxy: 1, member: 3, on };
     let hand = |out| EventKind::Hand { proxy: 1, member: 3, out };
-    let give = |plot: Plot, ms| {
-        let asked = plot.ask(ms, ms, None, ReadGuarantee::Any).at(ms, EventKind::Given { member: 3, id: ms });
-        asked.told(ms + 1, ms, RequestEnd::Served, 1).broken()
+    let give = |log: LogBuilder, ms| {
+        let asked =
+            log.asked(ms, ms, None, ReadGuarantee::Any).at(ms, EventKind::Given { member: 3, id: ms });
+        asked.ended(ms + 1, ms, RequestEnd::Served, 1).broken_rules()
     };
     for (what, back, rule) in
         [(drains(true), drains(false), Rule::Drain), (hand(true), hand(false), Rule::Hand)]
     {
-        let told = sound().at(10, what);
-        assert_eq!(give(told.clone(), 510), []);
-        assert_eq!(give(told.clone(), 511), [rule]);
-        assert_eq!(give(told.clone().at(20, back), 600), []);
-        // What a link holds back may have been sent before; what was asked for after it healed was not.
+        let base = valid_log().at(10, what);
+        assert_eq!(give(base.clone(), 510), []);
+        assert_eq!(give(base.clone(), 511), [rule]);
+        assert_eq!(give(base.clone().at(20, back), 600), []);
+        // A held-back statement may have been sent in time, but not one whose request came after the link recovered.
         let link = |well| EventKind::Link { proxy: 1, member: 3, well };
-        let cut = told.clone().at(20, link(false));
+        let cut = base.clone().at(20, link(false));
         assert_eq!(give(cut.clone(), 600), []);
         assert_eq!(give(cut.clone().at(599, link(true)), 600), [rule]);
-        assert_eq!(give(told.clone().at(599, link(true)), 600), [rule], "it was well all the time");
-        // Another proxy was not told.
-        let other = told.clone().at(20, EventKind::Exec { proxy: 2 }).at(21, EventKind::Serves { proxy: 2 });
+        assert_eq!(give(base.clone().at(599, link(true)), 600), [rule], "the link never held anything back");
+        // Discovery and operators have reported nothing to the other proxy.
+        let other = base.clone().at(20, EventKind::Exec { proxy: 2 }).at(21, EventKind::Serves { proxy: 2 });
         let (key, shows) = ("k".to_string(), ReadGuarantee::Any);
         let ask = EventKind::Asked {
             id: 9,
@@ -285,46 +307,50 @@
             aim: MS,
             wait: 500 * MS,
         };
-        let other = other.at(600, ask).at(600, EventKind::Given { member: 3, id: 9 }).told(
+        let other = other.at(600, ask).at(600, EventKind::Given { member: 3, id: 9 }).ended(
             601,
             9,
             RequestEnd::Served,
             1,
         );
-        assert_eq!(other.broken(), []);
+        assert_eq!(other.broken_rules(), []);
     }
-    // The operators' word outlasts a process where that is asked for.
-    let again = sound()
+    // A suspension outlasts the process where the scenario demands it.
+    let again = valid_log()
         .at(10, hand(true))
         .at(15, EventKind::Down { proxy: 1, stopped: false })
         .at(20, EventKind::Exec { proxy: 1 });
     let again = again.at(25, EventKind::Serves { proxy: 1 });
     assert_eq!(give(again.clone(), 600), []);
     let asked =
-        again.ask(600, 600, None, ReadGuarantee::Any).at(600, EventKind::Given { member: 3, id: 600 });
+        again.asked(600, 600, None, ReadGuarantee::Any).at(600, EventKind::Given { member: 3, id: 600 });
     let kept = Bounds { suspensions_kept: true, ..Bounds::default() };
-    assert_eq!(asked.told(601, 600, RequestEnd::Served, 1).rules(&kept), [Rule::Hand]);
+    assert_eq!(asked.ended(601, 600, RequestEnd::Served, 1).broken_rules_within(&kept), [Rule::Hand]);
 }
 
 #[test]
-fn a_cold_member_that_gets_more_than_its_budget_is_a_breach_of_its_own() {
+fn a_cold_member_that_gets_too_many_statements_is_a_breach() {
     let run = |each: Micros| {
         let cold = EventKind::Cold { member: 3, share: 100, warm: 10_000 * MS, rate: 100 };
-        let mut plot = sound().at(10, cold);
+        let mut log = valid_log().at(10, cold);
         for n in 0..60 {
             let (at, id) = (20 + n * each, 1_000 + n);
-            plot = plot.ask(at, id, None, ReadGuarantee::Any).at(at, EventKind::Given { member: 3, id });
-            plot = plot.told(at, id, RequestEnd::Served, 1);
+            log = log.asked(at, id, None, ReadGuarantee::Any).at(at, EventKind::Given { member: 3, id });
+            log = log.ended(at, id, RequestEnd::Served, 1);
         }
-        judge(&plot.0, 0, &Bounds::default())
+        judge(&log.0, 0, &Bounds::default())
     };
     let flood = run(2);
-    assert_eq!(flood.counts.get(&Rule::Cold), Some(&1), "a stretch over the budget is one breach");
+    assert_eq!(
+        flood.counts.get(&Rule::Cold),
+        Some(&1),
+        "consecutive statements over the limit are one breach"
+    );
     assert!(run(100).passed());
 }
 
 #[test]
-fn sums_over_their_bounds_are_breaches_once_a_fault_has_come() {
+fn counts_over_their_limits_are_breaches_after_the_first_fault() {
     let bounds = Bounds {
         opened: Some(3),
         probed: Some(2),
@@ -332,91 +358,98 @@
         whole_lists: Some(1),
         ..Bounds::default()
     };
-    let burst = |plot: Plot, at: Micros, each: Micros| {
-        (0..4).fold(plot, |plot, n| plot.at(at + n * each, EventKind::Opened { member: 2 }))
+    let burst = |log: LogBuilder, at: Micros, each: Micros| {
+        (0..4).fold(log, |log, n| log.at(at + n * each, EventKind::Opened { member: 2 }))
     };
-    assert_eq!(burst(sound(), 10, 1).rules(&bounds), []);
-    let fault = sound().at(20, EventKind::Fault("kill".into()));
-    assert_eq!(burst(fault.clone(), 21, 1).rules(&bounds), [Rule::Opened]);
-    assert_eq!(burst(fault.clone(), 21, 84).rules(&bounds), []);
+    assert_eq!(burst(valid_log(), 10, 1).broken_rules_within(&bounds), []);
+    let fault = valid_log().at(20, EventKind::Fault("kill".into()));
+    assert_eq!(burst(fault.clone(), 21, 1).broken_rules_within(&bounds), [Rule::Opened]);
+    assert_eq!(burst(fault.clone(), 21, 84).broken_rules_within(&bounds), []);
     let peaks =
-        judge(&burst(burst(sound(), 1, 1).at(20, EventKind::Fault("x".into())), 700, 1).0, 0, &bounds).peaks;
+        judge(&burst(burst(valid_log(), 1, 1).at(20, EventKind::Fault("x".into())), 700, 1).0, 0, &bounds)
+            .peaks;
     assert_eq!(peaks.map(|p| p.opened), [4, 4]);
     let probes = (0..3).fold(fault.clone(), |p, n| p.at(30 + n, EventKind::Probed { member: n as u32 }));
-    assert_eq!(probes.rules(&bounds), [Rule::Probed]);
+    assert_eq!(probes.broken_rules_within(&bounds), [Rule::Probed]);
     let no = EventKind::Unanswered { proxy: 1 };
-    assert_eq!(sound().at(10, no.clone()).rules(&bounds), []);
-    assert_eq!(sound().at(10, no.clone()).at(11, no).rules(&bounds), [Rule::Unanswered]);
+    assert_eq!(valid_log().at(10, no.clone()).broken_rules_within(&bounds), []);
+    assert_eq!(valid_log().at(10, no.clone()).at(11, no).broken_rules_within(&bounds), [Rule::Unanswered]);
     let whole = EventKind::Called { proxy: 1, whole: true };
-    assert_eq!(sound().at(10, whole.clone()).at(11, whole.clone()).rules(&bounds), [Rule::Whole]);
-    let restarted = sound().at(10, whole.clone()).at(12, EventKind::Exec { proxy: 1 }).at(13, whole);
-    assert_eq!(restarted.rules(&bounds), []);
+    assert_eq!(
+        valid_log().at(10, whole.clone()).at(11, whole.clone()).broken_rules_within(&bounds),
+        [Rule::Whole]
+    );
+    let restarted = valid_log().at(10, whole.clone()).at(12, EventKind::Exec { proxy: 1 }).at(13, whole);
+    assert_eq!(restarted.broken_rules_within(&bounds), []);
 }
 
 #[test]
-fn a_log_that_cannot_be_true_or_is_not_whole_is_no_verdict() {
-    assert_eq!(sound().told(20, 9, RequestEnd::Served, 1).broken(), [Rule::Log]);
-    assert_eq!(sound().at(20, EventKind::Given { member: 1, id: 9 }).broken(), [Rule::Log]);
-    assert_eq!(sound().at(0, EventKind::Exec { proxy: 2 }).broken(), [Rule::Log]);
-    assert_eq!(sound().write(30, 100, 1).broken().first(), Some(&Rule::Once));
-    assert!(!judge(&sound().0, 3, &Bounds::default()).passed());
+fn an_inconsistent_or_incomplete_log_is_a_breach() {
+    assert_eq!(valid_log().ended(20, 9, RequestEnd::Served, 1).broken_rules(), [Rule::Log]);
+    assert_eq!(valid_log().at(20, EventKind::Given { member: 1, id: 9 }).broken_rules(), [Rule::Log]);
+    assert_eq!(valid_log().at(0, EventKind::Exec { proxy: 2 }).broken_rules(), [Rule::Log]);
+    assert_eq!(valid_log().write(30, 100, 1).broken_rules().first(), Some(&Rule::Once));
+    assert!(!judge(&valid_log().0, 3, &Bounds::default()).passed());
 }
 
-fn acts(plot: Plot, proxy: u32, ms: u64, versions: &[&str]) -> Plot {
+fn acts(log: LogBuilder, proxy: u32, ms: u64, versions: &[&str]) -> LogBuilder {
     let versions = versions.iter().map(|v| v.to_string()).collect();
-    plot.at(ms, EventKind::Acts { proxy, kind: "settings".into(), versions, since: ms * MS })
+    log.at(ms, EventKind::Acts { proxy, kind: "settings".into(), versions, since: ms * MS })
 }
 
-fn leased(plot: Plot, proxy: u32, ms: u64, until: u64) -> Plot {
-    plot.at(ms, EventKind::Leased { proxy, from: ms * MS, until: until * MS })
+fn leased(log: LogBuilder, proxy: u32, ms: u64, until: u64) -> LogBuilder {
+    log.at(ms, EventKind::Leased { proxy, from: ms * MS, until: until * MS })
 }
 
 #[test]
-fn two_that_act_at_one_moment_by_versions_with_none_in_common_are_a_breach() {
-    // One goes on by version a under its lease up to 1,000 ms.
-    let one = acts(sound(), 1, 10, &["a"]).at(10, EventKind::Leased { proxy: 1, from: 0, until: 1_000 * MS });
+fn two_proxies_that_apply_disjoint_versions_at_the_same_time_are_a_breach() {
+    // Proxy 1 applies version a under its lease until 1,000 ms.
+    let one =
+        acts(valid_log(), 1, 10, &["a"]).at(10, EventKind::Leased { proxy: 1, from: 0, until: 1_000 * MS });
     let then = |at: u64, versions: &[&str]| leased(acts(one.clone(), 2, at, versions), 2, at, at + 800);
-    assert_eq!(then(500, &["b"]).broken(), [Rule::Agree]);
-    assert_eq!(then(985, &["b"]).broken(), [Rule::Agree]);
-    assert_eq!(then(500, &["a", "b"]).broken(), [], "it keeps to both");
-    assert_eq!(then(1_001, &["b"]).broken(), [], "the lease of the first has run out");
-    // A lease that is prolonged meanwhile counts to its new end.
+    assert_eq!(then(500, &["b"]).broken_rules(), [Rule::Agree]);
+    assert_eq!(then(985, &["b"]).broken_rules(), [Rule::Agree]);
+    assert_eq!(then(500, &["a", "b"]).broken_rules(), [], "proxy 2 satisfies both versions");
+    assert_eq!(then(1_001, &["b"]).broken_rules(), [], "the lease of proxy 1 has expired");
+    // A lease that is extended meanwhile counts until its new end.
     let longer = leased(one.clone(), 1, 900, 1_900);
-    assert_eq!(leased(acts(longer, 2, 1_200, &["b"]), 2, 1_200, 2_000).broken(), [Rule::Agree]);
-    // The first has gone through the middle, and the second acts by the new one alone.
+    assert_eq!(leased(acts(longer, 2, 1_200, &["b"]), 2, 1_200, 2_000).broken_rules(), [Rule::Agree]);
+    // Proxy 1 satisfies the old and the new version, and proxy 2 applies the new one alone.
     let middle = leased(acts(one.clone(), 1, 600, &["a", "b"]), 1, 600, 1_400);
-    assert_eq!(leased(acts(middle.clone(), 2, 1_000, &["b"]), 2, 1_000, 1_800).broken(), []);
-    assert_eq!(leased(acts(middle, 2, 1_000, &["c"]), 2, 1_000, 1_800).broken(), [Rule::Agree]);
-    // Of another kind, or by the same process, nothing contradicts.
-    let hands =
+    assert_eq!(leased(acts(middle.clone(), 2, 1_000, &["b"]), 2, 1_000, 1_800).broken_rules(), []);
+    assert_eq!(leased(acts(middle, 2, 1_000, &["c"]), 2, 1_000, 1_800).broken_rules(), [Rule::Agree]);
+    // Versions of another kind, or of the same process, do not contradict each other.
+    let suspensions =
         EventKind::Acts { proxy: 2, kind: "hands".into(), versions: vec!["b".into()], since: 500 * MS };
-    assert_eq!(leased(one.clone().at(500, hands), 2, 500, 1_300).broken(), []);
-    assert_eq!(acts(one, 1, 500, &["b"]).broken(), []);
+    assert_eq!(leased(one.clone().at(500, suspensions), 2, 500, 1_300).broken_rules(), []);
+    assert_eq!(acts(one, 1, 500, &["b"]).broken_rules(), []);
 }
 
 #[test]
-fn a_statement_from_one_whose_lease_has_run_out_is_a_breach() {
-    let told = acts(sound(), 1, 10, &["a"]).at(10, EventKind::Leased { proxy: 1, from: 0, until: 800 * MS });
-    let give = |plot: Plot, ms: u64| {
-        let asked = plot.ask(ms, ms, None, ReadGuarantee::Any).at(ms, EventKind::Given { member: 3, id: ms });
-        asked.told(ms + 1, ms, RequestEnd::Served, 1).broken()
+fn a_statement_from_a_proxy_whose_lease_has_expired_is_a_breach() {
+    let base =
+        acts(valid_log(), 1, 10, &["a"]).at(10, EventKind::Leased { proxy: 1, from: 0, until: 800 * MS });
+    let give = |log: LogBuilder, ms: u64| {
+        let asked =
+            log.asked(ms, ms, None, ReadGuarantee::Any).at(ms, EventKind::Given { member: 3, id: ms });
+        asked.ended(ms + 1, ms, RequestEnd::Served, 1).broken_rules()
     };
-    assert_eq!(give(told.clone(), 799), []);
-    assert_eq!(give(told.clone(), 940), [], "it may have been on its way");
-    assert_eq!(give(told.clone(), 960), [Rule::Lease]);
-    assert_eq!(give(leased(told.clone(), 1, 955, 1_700), 960), []);
-    // One that has nothing to do with leases is not held to any.
-    assert_eq!(give(sound(), 960), []);
-    // A new process has no lease before it is told of one.
+    assert_eq!(give(base.clone(), 799), []);
+    assert_eq!(give(base.clone(), 940), [], "it may have been in transit");
+    assert_eq!(give(base.clone(), 960), [Rule::Lease]);
+    assert_eq!(give(leased(base.clone(), 1, 955, 1_700), 960), []);
+    // A proxy without leases needs none.
+    assert_eq!(give(valid_log(), 960), []);
+    // A new process has no lease until it reports one.
     let again =
-        told.at(900, EventKind::Down { proxy: 1, stopped: false }).at(905, EventKind::Exec { proxy: 1 });
+        base.at(900, EventKind::Down { proxy: 1, stopped: false }).at(905, EventKind::Exec { proxy: 1 });
     let again = again.at(910, EventKind::Serves { proxy: 1 });
     assert_eq!(give(again.clone(), 990), [Rule::Lease]);
-    // What the process says may be read after what a member saw.
+    // A report of the process may be recorded after the event at the member.
     let leased_late =
-        again.ask(990, 7, None, ReadGuarantee::Any).at(990, EventKind::Given { member: 3, id: 7 });
+        again.asked(990, 7, None, ReadGuarantee::Any).at(990, EventKind::Given { member: 3, id: 7 });
     let leased_late = leased_late.at(995, EventKind::Leased { proxy: 1, from: 985 * MS, until: 1_700 * MS });
-    assert_eq!(leased_late.told(996, 7, RequestEnd::Served, 1).broken(), []);
+    assert_eq!(leased_late.ended(996, 7, RequestEnd::Served, 1).broken_rules(), []);
 }
 
 fn request(id: u64) -> EventKind {
@@ -424,7 +457,7 @@
     EventKind::Asked { id, proxy: 1, key, writes: None, shows, effect: None, aim: 100_000, wait: 500_000 }
 }
 
-/// A proxy that serves from the start, and what happened after that.
+/// The rules broken by a log with a proxy that serves from the start, followed by these events.
 fn verdict(events: Vec<(Micros, EventKind)>, bounds: &Bounds) -> Vec<Rule> {
     let first = [(0, EventKind::Exec { proxy: 1 }), (0, EventKind::Serves { proxy: 1 })];
     let all: Vec<Event> = first.into_iter().chain(events).map(|(at, what)| Event { at, what }).collect();
@@ -432,7 +465,7 @@
 }
 
 #[test]
-fn what_begins_for_a_client_that_has_gone_is_a_breach() {
+fn an_attempt_for_a_disconnected_client_is_a_breach() {
     let play = |given: Micros| {
         vec![
             (1_000, request(7)),
@@ -448,7 +481,7 @@
 }
 
 #[test]
-fn a_member_that_is_told_of_more_time_than_the_client_has_is_a_breach() {
+fn a_statement_with_a_longer_time_limit_than_its_client_has_left_is_a_breach() {
     let play = |wait: Micros| {
         vec![
             (1_000, request(7)),
@@ -463,7 +496,7 @@
 }
 
 #[test]
-fn a_statement_that_the_machine_delayed_is_late_by_no_more_than_that() {
+fn a_delay_by_the_machine_extends_the_time_limit_by_no_more_than_the_delay() {
     let play = |wait: Micros, delays: &[(Micros, Option<u32>, Micros)]| {
         let mut events = vec![
             (1_000, request(7)),
@@ -483,14 +516,14 @@
         assert_eq!(play(600_000, &[(250_000, party, 120_000)]), []);
         assert_eq!(play(600_000, &[(250_000, party, 50_000)]), [Rule::Deadline]);
     }
-    assert_eq!(play(600_000, &[(250_000, Some(2), 120_000)]), [Rule::Deadline], "another proxy's");
-    assert_eq!(play(600_000, &[(120_000, Some(1), 200_000)]), [], "a part of it");
-    // The same time is not counted twice.
+    assert_eq!(play(600_000, &[(250_000, Some(2), 120_000)]), [Rule::Deadline], "the delay of another proxy");
+    assert_eq!(play(600_000, &[(120_000, Some(1), 200_000)]), [], "only a part of the delay is needed");
+    // Overlapping delays are not counted twice.
     assert_eq!(play(600_000, &[(250_000, None, 50_000), (255_000, None, 55_000)]), [Rule::Deadline]);
 }
 
 #[test]
-fn a_bad_client_that_gets_no_close_is_a_breach_also_at_the_end() {
+fn a_bad_client_that_gets_no_close_is_a_breach_even_at_the_end_of_the_log() {
     let begun = (1_000, EventKind::Begun { id: 9, proxy: 1 });
     let end = |at: Micros| (at, EventKind::Fault("the end".into()));
     assert_eq!(
@@ -502,65 +535,73 @@
 }
 
 #[test]
-fn what_a_proxy_has_read_is_owed_an_answer_though_it_ends_and_what_it_has_not_read_is_none() {
-    let ending = sound()
+fn during_shutdown_requests_that_the_proxy_has_read_must_be_answered() {
+    let ending = valid_log()
         .at(10, EventKind::Ending { proxy: 1 })
-        .ask(900, 1, None, ReadGuarantee::Any)
+        .asked(900, 1, None, ReadGuarantee::Any)
         .at(901, EventKind::Sent { id: 1, first: false });
     let given = ending.clone().at(905, EventKind::Given { member: 1, id: 1 });
-    assert_eq!(ending.clone().told(910, 1, RequestEnd::Broken, 0).broken(), [], "closed between requests");
-    assert_eq!(given.clone().told(910, 1, RequestEnd::Broken, 0).broken(), [Rule::Answer]);
-    assert_eq!(ending.clone().told(1_950, 1, RequestEnd::Silent, 0).broken(), [Rule::Answer]);
-    let kill = |plot: &Plot| plot.clone().at(1_200, EventKind::Down { proxy: 1, stopped: false });
     assert_eq!(
-        kill(&given).told(1_201, 1, RequestEnd::Broken, 0).broken(),
+        ending.clone().ended(910, 1, RequestEnd::Broken, 0).broken_rules(),
+        [],
+        "closed between requests"
+    );
+    assert_eq!(given.clone().ended(910, 1, RequestEnd::Broken, 0).broken_rules(), [Rule::Answer]);
+    assert_eq!(ending.clone().ended(1_950, 1, RequestEnd::Silent, 0).broken_rules(), [Rule::Answer]);
+    let kill = |log: &LogBuilder| log.clone().at(1_200, EventKind::Down { proxy: 1, stopped: false });
+    assert_eq!(
+        kill(&given).ended(1_201, 1, RequestEnd::Broken, 0).broken_rules(),
         [Rule::Answer],
-        "the kill finds it"
+        "it is unanswered at the kill"
     );
-    assert_eq!(kill(&given.clone().told(950, 1, RequestEnd::Served, 1)).broken(), []);
-    let early = sound()
+    assert_eq!(kill(&given.clone().ended(950, 1, RequestEnd::Served, 1)).broken_rules(), []);
+    let early = valid_log()
         .at(10, EventKind::Ending { proxy: 1 })
-        .ask(600, 1, None, ReadGuarantee::Any)
+        .asked(600, 1, None, ReadGuarantee::Any)
         .at(601, EventKind::Sent { id: 1, first: false });
     assert_eq!(
         kill(&early.at(605, EventKind::Given { member: 1, id: 1 }))
-            .told(1_201, 1, RequestEnd::Broken, 0)
-            .broken(),
+            .ended(1_201, 1, RequestEnd::Broken, 0)
+            .broken_rules(),
         []
     );
 }
 
 #[test]
-fn in_a_crowd_a_connection_may_be_shut_unread_and_no_other() {
+fn when_descriptors_run_out_only_a_connection_with_unread_requests_may_be_closed() {
     let crowded = Bounds { crowded: true, ..Bounds::default() };
-    let asked = sound().ask(10, 1, None, ReadGuarantee::Any);
-    assert_eq!(asked.clone().told(20, 1, RequestEnd::Broken, 0).rules(&crowded), []);
+    let asked = valid_log().asked(10, 1, None, ReadGuarantee::Any);
+    assert_eq!(asked.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&crowded), []);
     let given = asked.at(12, EventKind::Given { member: 1, id: 1 });
-    assert_eq!(given.told(20, 1, RequestEnd::Broken, 0).rules(&crowded), [Rule::Answer]);
+    assert_eq!(given.ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&crowded), [Rule::Answer]);
 }
 
 #[test]
-fn the_first_request_of_a_connection_is_owed_an_answer_in_a_crowd_and_at_an_end_too() {
+fn the_first_request_of_a_connection_must_be_answered_even_in_overload_and_shutdown() {
     let crowded = Bounds { crowded: true, ..Bounds::default() };
-    let ending = sound().at(5, EventKind::Ending { proxy: 1 });
-    for (plot, bounds) in [(sound(), &crowded), (ending, &Bounds::default())] {
+    let ending = valid_log().at(5, EventKind::Ending { proxy: 1 });
+    for (log, bounds) in [(valid_log(), &crowded), (ending, &Bounds::default())] {
         for (first, broken) in [(false, &[][..]), (true, &[Rule::Answer][..])] {
             let sent =
-                plot.clone().ask(10, 1, None, ReadGuarantee::Any).at(11, EventKind::Sent { id: 1, first });
+                log.clone().asked(10, 1, None, ReadGuarantee::Any).at(11, EventKind::Sent { id: 1, first });
             assert_eq!(
-                sent.clone().told(20, 1, RequestEnd::Broken, 0).rules(bounds),
+                sent.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(bounds),
                 broken,
                 "first: {first}"
             );
-            assert_eq!(sent.told(20, 1, RequestEnd::Refused, 0).rules(bounds), [], "first: {first}");
+            assert_eq!(
+                sent.ended(20, 1, RequestEnd::Refused, 0).broken_rules_within(bounds),
+                [],
+                "first: {first}"
+            );
         }
     }
-    let late = sound().at(10, EventKind::Ending { proxy: 1 }).ask(900, 1, None, ReadGuarantee::Any);
+    let late = valid_log().at(10, EventKind::Ending { proxy: 1 }).asked(900, 1, None, ReadGuarantee::Any);
     let killed = |first| {
         let sent = late.clone().at(901, EventKind::Sent { id: 1, first });
         sent.at(1_200, EventKind::Down { proxy: 1, stopped: false })
-            .told(1_201, 1, RequestEnd::Broken, 0)
-            .broken()
+            .ended(1_201, 1, RequestEnd::Broken, 0)
+            .broken_rules()
     };
     assert_eq!((killed(false), killed(true)), (vec![], vec![Rule::Answer]));
 }
