--- a/crates/standins/src/rig/harm.rs
+++ b/crates/standins/src/rig/harm.rs
@@ -1,4 +1,4 @@
-//! What comes to the folder in which a process keeps its state, while the process is down.
+//! Damages the folder in which a process stores its state, while the process is down.
 
 use super::script::StoreDamage;
 use std::fs;
@@ -6,27 +6,31 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// The ending of a file that was still being written when its process was killed. No start reads it.
-const UNFINISHED: &str = "new";
+/// Extension of a file that was still being written when its process was killed. No process reads such a file.
+const UNFINISHED_EXTENSION: &str = "new";
 
-/// The newest whole file of a folder that is not empty.
+/// The newest completely written and non-empty file of a folder.
 fn newest(folder: &Path) -> Result<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder)? {
-        let (entry, told) = entry.and_then(|e| e.metadata().map(|m| (e, m)))?;
-        if told.is_file() && told.len() > 0 && !is_unfinished(&entry.path()) {
-            files.push((told.modified()?, entry.path()));
+        let (entry, metadata) = entry.and_then(|e| e.metadata().map(|m| (e, m)))?;
+        if metadata.is_file() && metadata.len() > 0 && !is_unfinished(&entry.path()) {
+            files.push((metadata.modified()?, entry.path()));
         }
     }
     files.sort();
-    files.pop().map(|(_, path)| path).ok_or_else(|| Error::other(format!("{} is empty", folder.display())))
+    files
+        .pop()
+        .map(|(_, path)| path)
+        .ok_or_else(|| Error::other(format!("{} has no file to damage", folder.display())))
 }
 
 fn is_unfinished(path: &Path) -> bool {
-    path.extension().is_some_and(|ending| ending == UNFINISHED)
+    path.extension().is_some_and(|extension| extension == UNFINISHED_EXTENSION)
 }
 
-/// Copies a folder whose process may be writing to it: files that are unfinished or go meanwhile are left out.
+/// Copies a folder whose process may be writing to it. Skips files that are not completely written or that disappear
+/// meanwhile.
 fn copy(from: &Path, to: &Path) -> Result<()> {
     let _ = fs::remove_dir_all(to);
     fs::create_dir_all(to)?;
@@ -43,17 +47,17 @@
     Ok(())
 }
 
-/// Does it to a folder.
+/// Applies the damage to a folder.
 ///
 /// # Errors
-/// When it cannot be done, as where there is nothing to harm.
-pub fn damage_store(folder: &Path, harm: StoreDamage) -> Result<()> {
-    let aside = folder.with_extension("kept");
+/// If that fails, for instance because there is no file to damage.
+pub fn damage_store(folder: &Path, damage: StoreDamage) -> Result<()> {
+    let copy_path = folder.with_extension("kept");
     let mode = |mode| fs::set_permissions(folder, fs::Permissions::from_mode(mode));
-    match harm {
+    match damage {
         StoreDamage::Wiped => fs::remove_dir_all(folder),
-        StoreDamage::Kept => copy(folder, &aside),
-        StoreDamage::RolledBack => copy(&aside, folder),
+        StoreDamage::Kept => copy(folder, &copy_path),
+        StoreDamage::RolledBack => copy(&copy_path, folder),
         StoreDamage::Torn(part) => {
             let file = fs::OpenOptions::new().write(true).open(newest(folder)?)?;
             file.set_len(file.metadata()?.len() * u64::from(part) / 1000)
@@ -75,7 +79,7 @@
     use super::*;
 
     #[test]
-    fn a_file_that_was_still_being_written_is_not_the_one_that_comes_to_harm() {
+    fn a_file_that_is_not_completely_written_is_never_damaged() {
         let folder = std::env::temp_dir().join(format!("linentrail-harm-new-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
@@ -88,22 +92,22 @@
     }
 
     #[test]
-    fn a_file_that_is_being_written_while_its_folder_is_kept_is_left_out() {
+    fn a_copy_of_the_folder_skips_a_file_that_is_being_written() {
         let folder = std::env::temp_dir().join(format!("linentrail-harm-kept-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
         fs::write(folder.join("snapshot"), [0; 100]).expect("a file");
-        let ends = std::sync::atomic::AtomicBool::new(false);
+        let stop = std::sync::atomic::AtomicBool::new(false);
         std::thread::scope(|scope| {
             scope.spawn(|| {
-                // As a store writes: aside, then in its place.
-                while !ends.load(std::sync::atomic::Ordering::Relaxed) {
+                // Like a store: writes a temporary file, then renames it.
+                while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     fs::write(folder.join("snapshot.new"), [0; 100]).expect("a file");
                     fs::rename(folder.join("snapshot.new"), folder.join("snapshot")).expect("a file");
                 }
             });
             let copied = (0..2_000).try_for_each(|_| damage_store(&folder, StoreDamage::Kept));
-            ends.store(true, std::sync::atomic::Ordering::Relaxed);
+            stop.store(true, std::sync::atomic::Ordering::Relaxed);
             copied.expect("a copy each time");
         });
         let kept = folder.with_extension("kept");
@@ -113,11 +117,11 @@
     }
 
     #[test]
-    fn each_harm_is_what_it_says() {
+    fn each_kind_of_damage_has_its_effect() {
         let folder = std::env::temp_dir().join(format!("linentrail-harm-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
-        assert!(damage_store(&folder, StoreDamage::Torn(500)).is_err(), "there is nothing to tear");
+        assert!(damage_store(&folder, StoreDamage::Torn(500)).is_err(), "there is no file to truncate");
         let file = folder.join("a");
         let read = || fs::read(&file).expect("a file");
         fs::write(&file, [0; 100]).expect("a file");
--- a/crates/standins/src/rig/measure.rs
+++ b/crates/standins/src/rig/measure.rs
@@ -1,17 +1,17 @@
-//! What a run's log tells of its service: the share of good answers over time, and the time to full service.
+//! Measures the service of a run from its log: the share of good answers over time, and the time to full service.
 
 use super::events::{Event, EventKind, Micros, RequestEnd};
 use std::collections::{BTreeMap, HashMap};
 
-/// Width of a step of the curve.
-pub const STEP: Micros = 100_000;
-/// Full service: the first second in which the share of good answers reaches this part of the share before.
-const FULL: f64 = 0.98;
-const SECOND: Micros = 1_000_000;
-/// Width of a step of one proxy's curve.
-const FINE: Micros = 5_000;
+/// Step width of the curve over all proxies.
+pub const CURVE_STEP: Micros = 100_000;
+/// Full service is the first second in which the share of good answers reaches this fraction of the share before.
+const FULL_SERVICE_RATIO: f64 = 0.98;
+const FULL_SERVICE_SPAN: Micros = 1_000_000;
+/// Step width of the curve of a single proxy.
+const PROXY_STEP: Micros = 5_000;
 
-/// Requests by the step in which they were asked: all, and those with a good answer.
+/// Counts of all requests and of those with a good answer, by the step in which the requests were sent.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Curve {
     step: Micros,
@@ -19,7 +19,7 @@
 }
 
 impl Curve {
-    /// The share of good answers among those asked in a span; none where none was asked.
+    /// The share of good answers among the requests sent in a span; `None` without requests.
     pub fn share(&self, from: Micros, to: Micros) -> Option<f64> {
         let steps = self.counts.get((from / self.step) as usize..).unwrap_or_default();
         let steps = steps.iter().take(to.saturating_sub(from).div_ceil(self.step) as usize);
@@ -27,34 +27,35 @@
         (asked > 0).then(|| good as f64 / asked as f64)
     }
 
-    /// When the first second after `began` begins that is as good as before.
-    fn full(&self, began: Micros, share_before: f64) -> Option<Micros> {
+    /// The time from `began` to the first second of full service.
+    fn time_to_full(&self, began: Micros, share_before: f64) -> Option<Micros> {
         let first = began.div_ceil(self.step) as usize;
-        // The last step is cut off by the run's end.
-        let last = self.counts.len().saturating_sub((SECOND / self.step) as usize + 1);
+        // The last step is incomplete, as the run ends in it.
+        let last = self.counts.len().saturating_sub((FULL_SERVICE_SPAN / self.step) as usize + 1);
         let full = (first..last).find(|step| {
             let at = *step as Micros * self.step;
-            self.share(at, at + SECOND).is_some_and(|share| share >= FULL * share_before)
+            self.share(at, at + FULL_SERVICE_SPAN)
+                .is_some_and(|share| share >= FULL_SERVICE_RATIO * share_before)
         });
         full.map(|step| (step as Micros * self.step).saturating_sub(began))
     }
 }
 
-/// What a run has shown of coming back.
+/// How the service recovered after the first fault.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Recovery {
-    /// When the first process was started after the first fault, or else when that fault came.
+    /// When the first process was started after the first fault; without a start, the time of the fault.
     pub began: Micros,
     /// Share of good answers before the first fault.
     pub share_before: f64,
-    /// In the first half second after the beginning.
+    /// Share of good answers in the first half second after `began`.
     pub share_first_half_second: f64,
-    /// From the beginning to the first second of full service; none: it was never reached.
+    /// Time from `began` to the first second of full service; `None` if it was never reached.
     pub time_to_full: Option<Micros>,
 }
 
-/// Good answers over time, a curve for each key that a request's proxy has. A request counts as good that was served within
-/// its aim.
+/// Counts requests and good answers over time, with one curve for each value of `key(proxy)`. An answer is good if
+/// the request was served within its aim.
 fn curves(events: &[Event], step: Micros, key: impl Fn(u32) -> u32) -> BTreeMap<u32, Curve> {
     let mut asked: HashMap<u64, (Micros, Micros, u32)> = HashMap::new();
     let mut curves: BTreeMap<u32, Curve> = BTreeMap::new();
@@ -81,21 +82,23 @@
     curves
 }
 
-/// How service came back after the first fault; `from`: when the run had settled.
+/// Measures the recovery after the first fault; the share before the fault is measured from `from`, when the run
+/// has settled.
 pub fn recovery(events: &[Event], from: Micros) -> Option<Recovery> {
     let fault = |e: &&Event| matches!(e.what, EventKind::Fault(_));
     let fault = events.iter().find(fault)?.at;
     let exec = |e: &&Event| e.at >= fault && matches!(e.what, EventKind::Exec { .. });
     let began = events.iter().find(exec).map_or(fault, |e| e.at);
-    let curve = curves(events, STEP, |_| 0).remove(&0)?;
+    let curve = curves(events, CURVE_STEP, |_| 0).remove(&0)?;
     let before = curve.share(from, fault)?;
     let half_second = curve.share(began, began + 500_000).unwrap_or(0.0);
-    let full = curve.full(began, before);
+    let full = curve.time_to_full(began, before);
     Some(Recovery { began, share_before: before, share_first_half_second: half_second, time_to_full: full })
 }
 
-/// From each proxy's last start to its own first second of full service, as its clients see it, which begins no sooner than
-/// it serves; a process knows no share before, so that all are to be good.
+/// The time from the last start of each proxy to its first second of full service as seen by its clients. That
+/// second starts after the proxy reports that it serves. The reference share is 1, as a single process has no share
+/// from before.
 pub fn times_to_full_service(events: &[Event]) -> BTreeMap<u32, Micros> {
     let mut last: BTreeMap<u32, (Micros, Micros)> = BTreeMap::new();
     for event in events {
@@ -105,15 +108,16 @@
             _ => {}
         }
     }
-    let curves = curves(events, FINE, |proxy| proxy);
+    let curves = curves(events, PROXY_STEP, |proxy| proxy);
     let full = |(p, (exec, serves)): (u32, (Micros, Micros))| {
-        let full = curves.get(&p)?.full(serves, 1.0)?;
+        let full = curves.get(&p)?.time_to_full(serves, 1.0)?;
         Some((p, serves - exec + full))
     };
     last.into_iter().filter_map(full).collect()
 }
 
-/// Changes that were proposed, and how long after that the last proxy acted by the new version alone; none: not all did.
+/// For each proposed change, the time until the last proxy applied the new version alone; `None` if not all proxies
+/// did.
 pub fn change_durations(events: &[Event]) -> Vec<Option<Micros>> {
     let proposed: Vec<usize> = (0..events.len())
         .filter(|n| matches!(&events[*n].what, EventKind::Fault(text) if text.starts_with("Propose(")))
@@ -142,11 +146,11 @@
     use super::*;
     use crate::rig::events::ReadGuarantee;
 
-    /// Ten requests a step, `good` of ten answered in time at each.
+    /// A log with ten requests in each step, of which the given number is answered in time.
     fn run(steps: &[u64], fault: usize, exec: usize) -> Vec<Event> {
         let mut events = Vec::new();
         for (n, good) in steps.iter().enumerate() {
-            let at = n as Micros * STEP;
+            let at = n as Micros * CURVE_STEP;
             if n == fault {
                 events.push(Event { at, what: EventKind::Fault("kill".into()) });
             }
@@ -170,7 +174,7 @@
     }
 
     #[test]
-    fn full_service_is_the_first_second_as_good_as_before() {
+    fn full_service_is_the_first_second_with_the_share_from_before_the_fault() {
         let mut steps = vec![10; 10];
         steps.extend([0; 5]);
         steps.extend([5; 5]);
@@ -190,13 +194,14 @@
         events.insert(0, Event { at: 0, what: EventKind::Exec { proxy: 1 } });
         events.push(Event { at: 3_400_000, what: EventKind::Exec { proxy: 2 } });
         let full = times_to_full_service(&events);
-        // Requests come at the beginning of each 100 ms; the one of 20 that is bad at 1.4 s is in no good second.
+        // Requests are sent at the start of each 100 ms; a second of full service must not contain the bad ones at
+        // 1.4 s.
         assert_eq!(full.get(&1), Some(&205_000), "{full:?}");
-        assert_eq!(full.get(&2), None, "nobody asked it");
+        assert_eq!(full.get(&2), None, "it got no requests");
     }
 
     #[test]
-    fn service_that_never_comes_back_has_no_time_and_a_run_without_fault_no_return() {
+    fn service_that_never_recovers_has_no_time_and_a_run_without_fault_has_no_recovery() {
         let steps = [[10; 10], [9; 10], [9; 10]].concat();
         assert_eq!(recovery(&run(&steps, 10, 10), 0).expect("a fault").time_to_full, None);
         assert_eq!(recovery(&run(&steps, 99, 99), 0), None);
--- a/crates/standins/src/rig/run_delay.rs
+++ b/crates/standins/src/rig/run_delay.rs
@@ -1,4 +1,4 @@
-//! How long processes were ready to run and the machine did not let them, as the kernel counts it (`/proc/PID/schedstat`).
+//! Measures how long processes were ready to run but not scheduled, as counted by the kernel (`/proc/PID/schedstat`).
 
 use super::events::{EventKind, EventLog, Micros};
 use super::world::World;
@@ -8,56 +8,57 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Between two looks at the kernel's counts.
+/// Interval between two reads of the kernel's counters.
 const INTERVAL: Duration = Duration::from_millis(50);
-/// Delays below this are not noted.
-const NOTED_MIN: Micros = 10_000;
+/// Shorter delays are not recorded.
+const RECORDED_MIN: Micros = 10_000;
 
-/// Watches until it is dropped, which waits for the watch to end: nothing may hold the world, and its processes, behind it.
-pub struct Watch {
+/// Handle of the thread that records delays. Dropping it stops and joins the thread, so that the thread does not
+/// keep the world and its processes alive any longer.
+pub struct DelayWatch {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Drop for Watch {
+impl Drop for DelayWatch {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// Notes in the world's log from now on when the rig's own threads, or a proxy, were delayed.
-pub fn watch(world: &World) -> Watch {
+/// Starts recording the delays of the rig's own threads and of the proxies in the world's log.
+pub fn watch(world: &World) -> DelayWatch {
     let stop = Arc::new(AtomicBool::new(false));
-    let (world, ends) = (world.clone(), stop.clone());
+    let (world, stopped) = (world.clone(), stop.clone());
     let thread = std::thread::spawn(move || {
-        let mut delays = Delays::default();
-        while !ends.load(Ordering::Relaxed) {
+        let mut delays = RunDelays::default();
+        while !stopped.load(Ordering::Relaxed) {
             let rig = delays.of_rig();
-            note(world.log(), None, rig);
+            record(world.log(), None, rig);
             for (proxy, id) in world.process_ids() {
-                let delayed = delays.grown(&format!("/proc/{id}/schedstat"));
-                note(world.log(), Some(proxy), delayed);
+                let delayed = delays.increase(&format!("/proc/{id}/schedstat"));
+                record(world.log(), Some(proxy), delayed);
             }
             std::thread::sleep(INTERVAL);
         }
     });
-    Watch { stop, thread: Some(thread) }
+    DelayWatch { stop, thread: Some(thread) }
 }
 
-fn note(log: &EventLog, proxy: Option<u32>, us: Micros) {
-    if us >= NOTED_MIN {
+fn record(log: &EventLog, proxy: Option<u32>, us: Micros) {
+    if us >= RECORDED_MIN {
         log.record(EventKind::Delayed { proxy, us });
     }
 }
 
-/// The counts at the last look, by file.
+/// The counters at the last read, by file.
 #[derive(Default)]
-struct Delays(HashMap<String, Micros>);
+struct RunDelays(HashMap<String, Micros>);
 
-impl Delays {
-    /// By how much a count has grown since the last look; 0 at the first one.
-    fn grown(&mut self, file: &str) -> Micros {
+impl RunDelays {
+    /// The increase of a counter since the last read; 0 at the first read.
+    fn increase(&mut self, file: &str) -> Micros {
         let Some(now) = std::fs::read_to_string(file).ok().and_then(|text| run_delay(&text)) else {
             return 0;
         };
@@ -65,15 +66,15 @@
         before.map_or(0, |before| now.saturating_sub(before))
     }
 
-    /// That of the thread of this process that was delayed most.
+    /// The largest increase among the threads of this process.
     fn of_rig(&mut self) -> Micros {
         let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
         let files = threads.map(|thread| thread.path().join("schedstat").display().to_string());
-        files.map(|file| self.grown(&file)).max().unwrap_or(0)
+        files.map(|file| self.increase(&file)).max().unwrap_or(0)
     }
 }
 
-/// The second of three numbers: ns spent waiting for a processor.
+/// The second of three numbers in `schedstat`: ns spent waiting for a processor.
 fn run_delay(schedstat: &str) -> Option<Micros> {
     schedstat.split_whitespace().nth(1)?.parse::<Micros>().ok().map(|ns| ns / 1_000)
 }
