--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -1,5 +1,5 @@
-//! Scenarios of many processes in the project's one scenario language: a step a line, `who verb what`. What stands before
-//! the first `at` describes the world; each `at MS` is a step on the time line. `docs/rig.md` lists all of it.
+//! Parses scenarios in the scenario language: one statement per line, as `who verb what`. Lines without `at`
+//! describe the world; each line with `at MS` is a step on the time line. `docs/rig.md` lists all statements.
 
 use super::checker::Bounds;
 use super::events::{Effect, KeyScope};
@@ -11,23 +11,24 @@
 use std::fmt::{self, Display};
 use std::time::Duration;
 
-/// Most processes of a scenario, and most members; the machine bounds them sooner.
+/// Maximum number of proxies in a scenario. The machine usually allows fewer.
 pub const PROXIES_MAX: u32 = 2_048;
+/// Maximum number of members in a scenario.
 const MEMBERS_MAX: u32 = 4_096;
 
-/// Which of many, as a scenario names them.
+/// A selection of proxies or members.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Who {
     /// All.
     All,
-    /// So many of a hundred, by lot.
+    /// A random selection of this percentage.
     Share(u32),
-    /// These, by number from 1.
+    /// The given numbers, starting at 1.
     These(Vec<u32>),
 }
 
 impl Who {
-    /// The numbers meant, of 1 to `all`, drawn by `seed` where a share is.
+    /// The selected numbers out of `1..=all`. `seed` determines a random selection.
     pub fn of(&self, all: u32, seed: u64) -> Vec<u32> {
         match self {
             Who::All => (1..=all).collect(),
@@ -43,78 +44,79 @@
     }
 }
 
-/// What is done to the folder in which a proxy keeps its state, while the proxy is down.
+/// Damage to the folder in which a proxy stores its state, done while the proxy is down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreDamage {
-    /// All of it is gone.
+    /// The folder is deleted.
     Wiped,
-    /// A copy is put aside ...
+    /// The folder is copied.
     Kept,
-    /// ... and put back.
+    /// The copy replaces the folder.
     RolledBack,
-    /// Its newest file is cut off at this part of its length, in parts of 1,000.
+    /// The newest file is truncated to this part of its length, in parts of 1,000.
     Torn(u32),
-    /// One bit of its newest file is another.
+    /// One bit of the newest file is flipped.
     Flipped,
-    /// It can no longer be written.
+    /// The folder becomes read-only.
     ReadOnly,
-    /// It can be written again.
+    /// The folder becomes writable again.
     Writable,
 }
 
-/// One step of the time line.
+/// A step of the time line. Its `Debug` form is recorded in the event log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Processes are killed, each at a moment of this span.
+    /// Processes get SIGKILL, each at a random time within this span.
     Kill(Who, Duration),
-    /// Processes are told to end.
+    /// Processes get SIGTERM, each at a random time within this span.
     Term(Who, Duration),
-    /// Processes are told to end, get more signals in a row, are killed at the earliest that the platform may do so, and start again.
+    /// Processes get SIGTERM and several more signals, are killed at the earliest time that the platform allows,
+    /// and start again.
     End(Who, Duration),
-    /// Those that are down are started, each at a moment of this span.
+    /// Processes that are down are started, each at a random time within this span.
     Start(Who, Duration),
-    /// Processes stand still for so long.
+    /// Processes are stopped by SIGSTOP for this long.
     Stop(Who, Duration),
-    /// Processes read their configuration again.
+    /// Processes get SIGHUP, which makes them reload their configuration, each at a random time within this span.
     Hup(Who, Duration),
-    /// What is kept of their state comes to harm.
+    /// The stores of proxies are damaged.
     Harm(Who, StoreDamage),
-    /// Operators call.
+    /// An operator makes this console call.
     Console(Who, String),
-    /// Links between proxies and members.
+    /// Sets the fault of the links between proxies and members.
     Link(Who, Who, Fault),
-    /// Links between proxies and discovery.
+    /// Sets the fault of the links between proxies and discovery.
     ListLink(Who, Fault),
-    /// Links between clients and proxies.
+    /// Sets the fault of the links between clients and proxies.
     ClientLink(Who, Fault),
-    /// What proxies say to proxies, one way.
+    /// Sets the fault of the links from the first proxies to the second ones, in this direction only.
     Speak(Who, Who, Fault),
-    /// A proxy is told to propose the settings with another value at this place.
+    /// A proxy proposes the settings with a new value at this JSON pointer.
     Propose(u32, String, String),
-    /// The same, once the changes before it are through; it is over when all act by it alone.
+    /// The same after all earlier changes have completed. The step ends when all proxies apply this change alone.
     ProposeInTurn(u32, String, String),
-    /// Members do something with statements.
+    /// Sets how members treat statements.
     Does(Who, Behaviour),
-    /// A member is the primary of its group from now on, the former one a replica.
+    /// A member becomes the primary of its group, and the former primary a replica.
     Primary(u32),
-    /// Members are gone, connections and all.
+    /// Members go down and lose their connections.
     MemberDown(Who),
-    /// They are back, started anew and cold.
+    /// Members come up again, newly started and cold.
     MemberUp(Who),
-    /// Discovery does something with calls.
+    /// Sets how discovery misbehaves.
     Ill(Ill),
-    /// Discovery tells a new state of a member.
+    /// Discovery reports a new state of a member.
     Lists(u32, String),
-    /// Whether the proxies' system calls fail, as the scenario's `calls` say.
+    /// Switches the failures of system calls, which the scenario's `calls` lines configure, on or off.
     CallsFail(Who, bool),
-    /// The proxies' wall clocks are off by so many us from now on.
+    /// Sets the offset of the proxies' wall clocks, in us.
     ClockStep(Who, i64),
-    /// Writes to the proxies' stores fail so from now on, or no longer.
+    /// Sets the error of writes to the proxies' stores; `None`: writes succeed again.
     Disk(Who, Option<DiskError>),
 }
 
 impl Step {
-    /// Whether it is over only when the rules that proxies agree on have changed.
+    /// Whether the step ends only when a change of the rules that proxies agree on has completed.
     pub fn changes_rules(&self) -> bool {
         match self {
             Step::ProposeInTurn(..) => true,
@@ -124,73 +126,73 @@
     }
 }
 
-/// A member's make.
+/// The setup of the members.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MemberSetup {
-    /// How many.
+    /// Number of members.
     pub members: u32,
-    /// In how many groups.
+    /// Number of groups.
     pub groups: u32,
-    /// Requests in work at once.
+    /// Requests that a member processes at once.
     pub slots: usize,
-    /// Shortest and longest work of a request.
+    /// Minimum and maximum service time of a request.
     pub work: (Duration, Duration),
-    /// Work of a new connection.
+    /// Service time of a connection handshake.
     pub handshake: Duration,
-    /// Most connections; 0: any number.
+    /// Maximum number of connections; 0: unlimited.
     pub max_connections: usize,
-    /// Share of its capacity at a start, and how long until it is warm.
+    /// Share of the capacity after a start, and the time until the member is warm.
     pub cold: Option<(f64, Duration)>,
-    /// Lag of replicas.
+    /// Replication lag of the replicas.
     pub lag: Duration,
-    /// How they treat positions.
+    /// How members treat positions.
     pub positions: Positions,
 }
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Script {
-    /// All that is drawn follows from it.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How many proxies.
+    /// Number of proxies.
     pub proxies: u32,
-    /// How many they believe there are.
+    /// Number of proxies according to the settings.
     pub announced_proxies: u32,
-    /// The members.
+    /// Setup of the members.
     pub member_setup: MemberSetup,
-    /// Calls that discovery answers a second, and those that may wait; rate 0: any number.
+    /// Calls per second that discovery answers (0: unlimited), and the maximum number of waiting calls.
     pub list_capacity: (f64, usize),
-    /// Whether a start finds the list in the configuration.
+    /// Whether the configuration contains the member list when a proxy starts.
     pub list_configured: bool,
-    /// Least time between two snapshots of the proxies' stores; none: nothing is stored.
+    /// Minimum time between two snapshots of a proxy's store; `None`: proxies store nothing.
     pub store: Option<Duration>,
-    /// The proxies agree on their rules, and so many of them vote; 0: they do not.
+    /// Number of voters among the proxies; 0: the proxies do not agree on their rules.
     pub voters: u32,
-    /// System calls of the proxies that fail, each once in so many.
+    /// System calls of the proxies that fail, each on average once in this many calls.
     pub calls: Vec<(Call, u32)>,
-    /// What a repeat of a request may do, by class.
+    /// The effect of a repeat, by class.
     pub effects: [Effect; CLASSES.len()],
-    /// Session reads carry the last commit of their session; else the proxies remember it.
+    /// Session reads carry the last commit of their session; otherwise the proxies remember it.
     pub sessions_carried: bool,
-    /// Requests a second, and clients that ask them.
+    /// Requests per second, and the number of clients that send them.
     pub load: (f64, u32),
-    /// Of a hundred requests so many whose clients leave before the answer.
+    /// Percentage of requests whose clients disconnect before the answer.
     pub leaving_percent: u32,
-    /// Clients that begin what they do not end.
+    /// Number of clients that send incomplete messages.
     pub bad_clients: u32,
-    /// Clients that connect and ask nothing.
+    /// Number of clients that connect and send no requests.
     pub idle_clients: u32,
-    /// Clients of one request that come to a proxy at once, again and again.
+    /// Number of clients that connect to one proxy at once in each surge, each with one request.
     pub surge_clients: u32,
-    /// Descriptors that a proxy may have.
+    /// Descriptor budget of a proxy.
     pub sockets: u64,
-    /// How long it runs.
+    /// Duration of the run.
     pub end: Duration,
-    /// What must hold.
+    /// Limits for the checker.
     pub bounds: Bounds,
-    /// Longest time to full service; none: it is told and not judged.
+    /// Maximum time to full service; `None`: the time is reported but not judged.
     pub full_service_max: Option<Duration>,
-    /// The time line, in its order.
+    /// The steps with their times, in order.
     pub steps: Vec<(Duration, Step)>,
 }
 
@@ -233,12 +235,12 @@
     }
 }
 
-/// What is wrong with a scenario, and where.
+/// An error in a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScriptError {
-    /// The line's number, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// What.
+    /// What is wrong.
     pub what: String,
 }
 
@@ -249,23 +251,23 @@
 }
 
 fn number<T: std::str::FromStr>(word: &str) -> Result<T, String> {
-    word.parse().map_err(|_| format!("'{word}' is no number that fits here"))
+    word.parse().map_err(|_| format!("'{word}' is not a number in the allowed range"))
 }
 
 fn ms(word: &str) -> Result<Duration, String> {
     number(word).map(Duration::from_millis)
 }
 
-/// `within MS` or nothing.
+/// Parses an optional `within MS`.
 fn within(words: &[&str]) -> Result<Duration, String> {
     match words {
         [] => Ok(Duration::ZERO),
         ["within", span] => ms(span),
-        _ => Err(format!("'{}' where only 'within MS' may stand", words.join(" "))),
+        _ => Err(format!("expected 'within MS' or nothing, found '{}'", words.join(" "))),
     }
 }
 
-/// `proxies`, `members`, `75%`, `p3,p7` or `m2`.
+/// Parses a selection: `proxies`, `members`, `75%`, `p3,p7` or `m2`.
 fn who(word: &str, all: &str, letter: char) -> Result<Who, String> {
     if word == all {
         return Ok(Who::All);
@@ -273,14 +275,16 @@
     if let Some(percent) = word.strip_suffix('%') {
         return number(percent).and_then(|n| match n {
             1..=100 => Ok(Who::Share(n)),
-            _ => Err(format!("'{word}' is no share")),
+            _ => Err(format!("'{word}' is not a percentage from 1 to 100")),
         });
     }
-    let one = |name: &str| match name.strip_prefix(letter).map(number) {
+    let number_of = |name: &str| match name.strip_prefix(letter).map(number) {
         Some(Ok(n @ 1..)) => Ok(n),
-        _ => Err(format!("'{name}' is none of the {all}: '{all}', a share like 75%, or {letter}1,{letter}2")),
+        _ => Err(format!(
+            "'{name}' does not select {all}: expected '{all}', a share like 75%, or {letter}1,{letter}2"
+        )),
     };
-    word.split(',').map(one).collect::<Result<_, _>>().map(Who::These)
+    word.split(',').map(number_of).collect::<Result<_, _>>().map(Who::These)
 }
 
 fn proxies(word: &str) -> Result<Who, String> {
@@ -291,40 +295,40 @@
     who(word, "members", 'm')
 }
 
-/// Whether a word names members rather than proxies.
+/// Whether a word selects members rather than proxies.
 fn is_members(word: &str) -> bool {
     word == "members" || word.starts_with('m')
 }
 
 impl Script {
-    /// Reads a scenario.
+    /// Parses a scenario.
     ///
     /// # Errors
-    /// All that is wrong with it, by line.
+    /// All errors of the scenario, by line.
     pub fn read(text: &str) -> Result<Self, Vec<ScriptError>> {
-        let (mut script, mut wrong) = (Script::default(), Vec::new());
+        let (mut script, mut errors) = (Script::default(), Vec::new());
         for (n, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             let words: Vec<&str> = line.split_whitespace().collect();
-            if let Err(what) = script.line(&words) {
-                wrong.push(ScriptError { line: n + 1, what });
+            if let Err(what) = script.parse_line(&words) {
+                errors.push(ScriptError { line: n + 1, what });
             }
         }
         if script.announced_proxies == 0 {
             script.announced_proxies = script.proxies;
         }
-        if let Err(what) = script.fits() {
-            wrong.push(ScriptError { line: text.lines().count(), what });
+        if let Err(what) = script.validate() {
+            errors.push(ScriptError { line: text.lines().count(), what });
         }
         script.steps.sort_by_key(|(at, _)| *at);
-        if wrong.is_empty() {
+        if errors.is_empty() {
             Ok(script)
         } else {
-            Err(wrong)
+            Err(errors)
         }
     }
 
-    fn line(&mut self, words: &[&str]) -> Result<(), String> {
+    fn parse_line(&mut self, words: &[&str]) -> Result<(), String> {
         match words {
             [] => {}
             ["at", at, rest @ ..] => self.steps.push((ms(at)?, step(rest)?)),
@@ -363,7 +367,7 @@
             ["bound", "full", span] => self.full_service_max = Some(ms(span)?),
             ["bound", what, n] => self.bound(what, n)?,
             ["hands", "kept"] => self.bounds.suspensions_kept = true,
-            _ => return Err(format!("no such step: '{}'", words.join(" "))),
+            _ => return Err(format!("unknown statement: '{}'", words.join(" "))),
         }
         Ok(())
     }
@@ -379,54 +383,66 @@
             "probed" => bounds.probed = Some(number(n)?),
             "unanswered" => bounds.unanswered = Some(number(n)?),
             "whole" => bounds.whole_lists = Some(number(n)?),
-            _ => return Err(format!("there is no bound '{what}'")),
+            _ => return Err(format!("unknown bound '{what}'")),
         }
         Ok(())
     }
 
-    fn fits(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         let MemberSetup { members, groups, slots, work, .. } = self.member_setup;
-        for (fine, what) in [
-            ((1..=PROXIES_MAX).contains(&self.proxies), format!("1 to {PROXIES_MAX} proxies can run")),
-            ((1..=MEMBERS_MAX).contains(&members), format!("1 to {MEMBERS_MAX} members can run")),
-            (groups >= 1 && groups <= members, "each group needs a member".to_string()),
-            (slots > 0 && work.0 <= work.1, "members need slots, and work from less to more".to_string()),
+        for (valid, what) in [
+            ((1..=PROXIES_MAX).contains(&self.proxies), format!("1 to {PROXIES_MAX} proxies are possible")),
+            ((1..=MEMBERS_MAX).contains(&members), format!("1 to {MEMBERS_MAX} members are possible")),
+            (
+                groups >= 1 && groups <= members,
+                "there must be 1 or more groups, each with a member".to_string(),
+            ),
+            (
+                slots > 0 && work.0 <= work.1,
+                "members need slots, and minimum work up to the maximum".to_string(),
+            ),
             (
                 self.voters == 0
                     || self.voters % 2 == 1 && self.voters <= self.proxies && self.store.is_some(),
-                "an odd number of the proxies votes, and they need a store".to_string(),
+                "voters must be an odd number of the proxies, and need a store".to_string(),
             ),
-            (self.load.0 > 0.0 && self.load.1 > 0, "there must be load, and clients for it".to_string()),
+            (self.load.0 > 0.0 && self.load.1 > 0, "load and clients must be above 0".to_string()),
             (
                 self.steps.iter().all(|(at, _)| *at <= self.end),
                 "a step lies behind the end of the run".to_string(),
             ),
         ] {
-            if !fine {
+            if !valid {
                 return Err(what);
             }
         }
-        let all = |who: &Who, most: u32| !matches!(who, Who::These(these) if these.iter().any(|n| *n > most));
-        let known = |step: &Step| match step {
+        let all_exist =
+            |who: &Who, limit: u32| !matches!(who, Who::These(these) if these.iter().any(|n| *n > limit));
+        let names_existing = |step: &Step| match step {
             Step::Kill(w, _) | Step::Term(w, _) | Step::Start(w, _) | Step::Stop(w, _) | Step::Hup(w, _) => {
-                all(w, self.proxies)
+                all_exist(w, self.proxies)
             }
-            Step::End(w, _) => all(w, self.proxies),
-            Step::CallsFail(w, _) | Step::ClockStep(w, _) | Step::Disk(w, _) => all(w, self.proxies),
+            Step::End(w, _) => all_exist(w, self.proxies),
+            Step::CallsFail(w, _) | Step::ClockStep(w, _) | Step::Disk(w, _) => all_exist(w, self.proxies),
             Step::Harm(w, _) | Step::Console(w, _) | Step::ListLink(w, _) | Step::ClientLink(w, _) => {
-                all(w, self.proxies)
+                all_exist(w, self.proxies)
+            }
+            Step::Link(p, m, _) => all_exist(p, self.proxies) && all_exist(m, members),
+            Step::Speak(p, q, _) => {
+                all_exist(p, self.proxies) && all_exist(q, self.proxies) && self.voters > 0
             }
-            Step::Link(p, m, _) => all(p, self.proxies) && all(m, members),
-            Step::Speak(p, q, _) => all(p, self.proxies) && all(q, self.proxies) && self.voters > 0,
             Step::Propose(p, ..) | Step::ProposeInTurn(p, ..) => {
                 (1..=self.proxies).contains(p) && self.voters > 0
             }
-            Step::Does(m, _) | Step::MemberDown(m) | Step::MemberUp(m) => all(m, members),
+            Step::Does(m, _) | Step::MemberDown(m) | Step::MemberUp(m) => all_exist(m, members),
             Step::Primary(m) | Step::Lists(m, _) => *m <= members,
             Step::Ill(_) => true,
         };
-        match self.steps.iter().find(|(_, step)| !known(step)) {
-            Some((at, _)) => Err(format!("the step at {} names one that is not there", at.as_millis())),
+        match self.steps.iter().find(|(_, step)| !names_existing(step)) {
+            Some((at, _)) => Err(format!(
+                "the step at {} ms names a proxy or member that is not there, or needs voters",
+                at.as_millis()
+            )),
             None => Ok(()),
         }
     }
@@ -458,7 +474,9 @@
             }
             ["cold", share, warm, rest @ ..] => {
                 let share: f64 = number(share)?;
-                let share = Some(share).filter(|s| *s > 0.0 && *s <= 1.0).ok_or("a share lies in (0, 1]")?;
+                let share = Some(share)
+                    .filter(|s| *s > 0.0 && *s <= 1.0)
+                    .ok_or("the share must be above 0 and at most 1")?;
                 self.cold = Some((share, ms(warm)?));
                 rest
             }
@@ -486,7 +504,7 @@
                 self.positions.when_behind = WhenBehind::Waits(ms(span)?);
                 rest
             }
-            _ => return Err(format!("members have no '{}'", words.join(" "))),
+            _ => return Err(format!("unknown property of members: '{}'", words.join(" "))),
         };
         self.describe(rest)
     }
@@ -497,7 +515,7 @@
     Ok(match words {
         ["list", "does", state @ ("active" | "leaving" | "left"), member] => match members(member)? {
             Who::These(these) if these.len() == 1 => Step::Lists(these[0], state.to_string()),
-            _ => return Err("discovery tells of one member at a time".to_string()),
+            _ => return Err("discovery changes the state of one member at a time".to_string()),
         },
         ["list", "does", ..] => Step::Ill(rest(2).parse()?),
         ["clients", "link", to, ..] if words.len() > 3 => Step::ClientLink(proxies(to)?, rest(3).parse()?),
@@ -512,7 +530,7 @@
                     Step::Propose(these[0], place, value)
                 }
                 Who::These(these) if these.len() == 1 => Step::ProposeInTurn(these[0], place, value),
-                _ => return Err("one proxy proposes at a time".to_string()),
+                _ => return Err("exactly one proxy must be named to propose".to_string()),
             }
         }
         [of, "link", to, ..] if words.len() > 3 => Step::Link(proxies(of)?, members(to)?, rest(3).parse()?),
@@ -521,7 +539,7 @@
         [of, "does", "up"] => Step::MemberUp(members(of)?),
         [of, "does", "primary"] => match members(of)? {
             Who::These(these) if these.len() == 1 => Step::Primary(these[0]),
-            _ => return Err("a group has one primary".to_string()),
+            _ => return Err("exactly one member must be named as primary".to_string()),
         },
         [of, "does", ..] if is_members(of) => Step::Does(members(of)?, rest(2).parse()?),
         [of, "does", "kill", span @ ..] => Step::Kill(proxies(of)?, within(span)?),
@@ -536,15 +554,18 @@
         [of, "disk", "full"] => Step::Disk(proxies(of)?, Some(DiskError::Full)),
         [of, "disk", "broken"] => Step::Disk(proxies(of)?, Some(DiskError::Broken)),
         [of, "disk", "well"] => Step::Disk(proxies(of)?, None),
-        [of, "store", harm @ ..] => Step::Harm(proxies(of)?, self::harm(harm)?),
-        _ => return Err(format!("no such step: '{}'", words.join(" "))),
+        [of, "store", damage @ ..] => Step::Harm(proxies(of)?, self::damage(damage)?),
+        _ => return Err(format!("unknown statement: '{}'", words.join(" "))),
     })
 }
 
-/// The number of a class of reads: repeats of writes do harm always.
+/// The index of a class of reads. The effect of writes cannot be configured: they are always unsafe.
 fn read_class(name: &str) -> Result<usize, String> {
     let reads = &CLASSES[..CLASSES.len() - 1];
-    reads.iter().position(|(class, ..)| *class == name).ok_or_else(|| format!("no reads are '{name}'"))
+    reads
+        .iter()
+        .position(|(class, ..)| *class == name)
+        .ok_or_else(|| format!("no class of reads is named '{name}'"))
 }
 
 fn effect(words: &[&str]) -> Result<Effect, String> {
@@ -552,33 +573,36 @@
         "all" => Ok(KeyScope::All),
         "zone" => Ok(KeyScope::Zone),
         "cell" => Ok(KeyScope::Cell),
-        _ => Err(format!("no key holds in '{word}'")),
+        _ => Err(format!("unknown key scope '{word}'")),
     };
     Ok(match words {
         ["safe"] => Effect::Safe,
         ["unsafe"] => Effect::Unsafe,
         ["keyed", word, span] => Effect::Keyed { scope: scope(word)?, window: ms(span)?.as_micros() as u64 },
-        _ => return Err(format!("no repeat is '{}'", words.join(" "))),
+        _ => return Err(format!("unknown effect '{}'", words.join(" "))),
     })
 }
 
 fn call(name: &str) -> Result<Call, String> {
-    Call::ALL.into_iter().find(|call| call.name() == name).ok_or_else(|| format!("there is no call '{name}'"))
+    Call::ALL
+        .into_iter()
+        .find(|call| call.name() == name)
+        .ok_or_else(|| format!("unknown system call '{name}'"))
 }
 
-fn harm(words: &[&str]) -> Result<StoreDamage, String> {
+fn damage(words: &[&str]) -> Result<StoreDamage, String> {
     Ok(match words {
         ["wiped"] => StoreDamage::Wiped,
         ["kept"] => StoreDamage::Kept,
         ["back"] => StoreDamage::RolledBack,
         ["torn", part] => match number(part)? {
             part @ 0..=1000 => StoreDamage::Torn(part),
-            _ => return Err(format!("'{part}' is over 1000")),
+            _ => return Err(format!("'{part}' is above 1000")),
         },
         ["flipped"] => StoreDamage::Flipped,
         ["readonly"] => StoreDamage::ReadOnly,
         ["writable"] => StoreDamage::Writable,
-        _ => return Err(format!("no store comes to '{}'", words.join(" "))),
+        _ => return Err(format!("unknown store damage '{}'", words.join(" "))),
     })
 }
 
@@ -587,7 +611,7 @@
     use super::*;
 
     #[test]
-    fn a_world_of_1200_proxies_and_members_can_be_described() {
+    fn scenarios_may_have_1200_proxies_and_members_and_no_more_than_the_maximum() {
         for n in [1_200, PROXIES_MAX] {
             let read = Script::read(&format!("proxies {n}\nmembers {n}\n")).expect("a world");
             assert_eq!((read.proxies, read.member_setup.members), (n, n));
@@ -597,7 +621,7 @@
     }
 
     #[test]
-    fn a_scenario_is_read_with_all_that_it_says() {
+    fn a_scenario_with_all_kinds_of_lines_is_parsed() {
         let text = "
             seed 7                      # drawn from
             proxies 24 told 96
@@ -620,7 +644,7 @@
             at 3960 p4 store torn 500
             at 3970 p4 does stop 5000
             at 3980 clients link p2 delay 10 5";
-        let script = Script::read(text).expect("it is sound");
+        let script = Script::read(text).expect("a valid scenario");
         assert_eq!(
             (script.seed, script.proxies, script.announced_proxies, script.list_configured),
             (7, 24, 96, false)
@@ -643,19 +667,19 @@
     }
 
     #[test]
-    fn what_repeats_may_do_and_how_positions_are_treated_is_read_and_unknown_words_are_errors() {
+    fn effects_and_position_handling_are_parsed_and_unknown_words_are_errors() {
         let text = "members 4 lag 20 mute behind wait 30\nsessions remembered\nclass my-booking unsafe\n\
             class yard-board keyed cell 400";
-        let script = Script::read(text).expect("it is sound");
+        let script = Script::read(text).expect("a valid scenario");
         let waits = WhenBehind::Waits(Duration::from_millis(30));
         assert_eq!(script.member_setup.positions, Positions { when_behind: waits, tells: Tells::Nothing });
         let tells_role =
-            Script::read("members 4 tells role behind off").expect("it is sound").member_setup.positions;
+            Script::read("members 4 tells role behind off").expect("a valid scenario").member_setup.positions;
         assert_eq!(tells_role, Positions { when_behind: WhenBehind::Answers, tells: Tells::Role });
         let keyed = Effect::Keyed { scope: KeyScope::Cell, window: 400_000 };
         assert_eq!(script.effects, [keyed, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
         assert!(!script.sessions_carried);
-        for wrong in [
+        for text in [
             "class my-booking twice",
             "class my-booking keyed town 400",
             "class my-booking keyed cell",
@@ -666,25 +690,25 @@
             "members 4 tells little",
             "sessions lost",
         ] {
-            assert!(Script::read(wrong).is_err(), "{wrong}");
+            assert!(Script::read(text).is_err(), "{text}");
         }
     }
 
     #[test]
-    fn all_that_is_wrong_is_said_by_its_line() {
+    fn all_errors_are_reported_with_their_lines() {
         let text = "proxies 3\nproxies many\nbound tea 3\nat 10 p9 does kill\nat x proxies does kill\n\
             at 10 proxies does kill soon\nat 20 m1 does sing\nat 30 proxies link m1 loud\nmembers 4 tall\n\
             at 40 0% does kill\nat 40 proxies store torn 2000\nat 9999 proxies does kill";
-        let wrong = Script::read(text).expect_err("it is not sound");
-        let lines: Vec<usize> = wrong.iter().map(|w| w.line).collect();
-        assert_eq!(lines, [2, 3, 5, 6, 7, 8, 9, 10, 11, 12], "{wrong:?}");
-        assert!(wrong[9].what.contains("behind the end"), "{}", wrong[9]);
+        let errors = Script::read(text).expect_err("an invalid scenario");
+        let lines: Vec<usize> = errors.iter().map(|w| w.line).collect();
+        assert_eq!(lines, [2, 3, 5, 6, 7, 8, 9, 10, 11, 12], "{errors:?}");
+        assert!(errors[9].what.contains("behind the end"), "{}", errors[9]);
         let none = Script::read("proxies 3\nat 10 p9 does kill").expect_err("there is no p9");
         assert!(none[0].what.contains("not there"), "{}", none[0]);
     }
 
     #[test]
-    fn shares_are_drawn_alike_for_a_like_seed_and_in_full_measure() {
+    fn random_selections_have_the_right_size_and_depend_only_on_the_seed() {
         assert_eq!(Who::Share(75).of(24, 3).len(), 18);
         assert_eq!(Who::Share(1).of(24, 3).len(), 1);
         assert_eq!(Who::Share(50).of(24, 3), Who::Share(50).of(24, 3));
