--- a/crates/standins/src/rig/relay.rs
+++ b/crates/standins/src/rig/relay.rs
@@ -1,7 +1,8 @@
-//! The fault plane: a relay between two parties, by TCP or UDP, that passes everything on until it is told otherwise.
+//! Fault injection: a TCP or UDP relay between two parties that forwards everything until a fault is set.
 //!
-//! A relay cannot keep the kernel from completing a handshake, so that a silent cut is one in which connections still
-//! come about and nothing is ever said on them; what was sent into it arrives when the cut ends, as TCP would repeat it.
+//! A relay cannot keep the kernel from completing a handshake. During a silent cut, connections are therefore still
+//! established, but nothing is forwarded on them. Bytes that were sent during the cut arrive when it ends, as TCP
+//! would retransmit them.
 
 use crate::{listener, runtime};
 use std::collections::HashMap;
@@ -14,48 +15,52 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Pieces under way in one direction of a connection.
-const PIECES: usize = 64;
-const PIECE: usize = 16 * 1024;
-/// Parties behind one UDP relay, each with a socket of its own.
-const PARTIES: usize = 256;
-const DATAGRAM: usize = 2048;
+/// Chunks that are buffered in one direction of a connection, or datagrams of one UDP client.
+const QUEUE_LENGTH: usize = 64;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of clients of a UDP relay, each of which has its own socket.
+const UDP_CLIENTS_MAX: usize = 256;
+const DATAGRAM_BYTES: usize = 2048;
 
-/// What a relay does to what passes.
+/// How a relay treats the data that it forwards. Its `Debug` form is recorded in the event log.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Fault {
-    /// Nothing passes from the one who connects ...
+    /// Nothing is forwarded from the connecting party.
     pub mute_up: bool,
-    /// ... or to it.
+    /// Nothing is forwarded to the connecting party.
     pub mute_down: bool,
-    /// Everything takes longer by this and up to so much more.
+    /// Minimum delay of everything, and the maximum random addition to it.
     pub delay: (Duration, Duration),
-    /// Bytes a second in each direction; 0: as many as come.
+    /// Bytes per second in each direction; 0: unlimited.
     pub rate: u64,
-    /// Connections are reset once so many bytes have passed on them, in both directions together.
+    /// Connections are reset once this many bytes have passed on them, both directions together.
     pub reset_after: Option<u64>,
-    /// Connections that stand are reset so long after this came into force.
+    /// Open connections are reset this long after the fault was set.
     pub reset_late: Option<Duration>,
-    /// Share of datagrams, in parts of 1,000, that are lost, come twice, or are held until the next has passed.
+    /// Share of datagrams that are lost, in parts of 1,000.
     pub lost: u32,
-    /// See [`Fault::lost`].
+    /// Share of datagrams that are duplicated, in parts of 1,000.
     pub twice: u32,
-    /// See there.
+    /// Share of datagrams that are held back until the next one has passed, in parts of 1,000.
     pub swapped: u32,
 }
 
 impl FromStr for Fault {
     type Err = String;
 
-    /// `well`, `silent`, `silent up`, `silent down`, `delay MS [JITTER]`, `rate BYTES`, `reset BYTES`, `late MS`,
-    /// `lossy LOST TWICE SWAPPED` in parts of 1,000.
+    /// Parses `well`, `silent`, `silent up`, `silent down`, `delay MS [JITTER]`, `rate BYTES`, `reset BYTES`, `late
+    /// MS`, `lossy LOST TWICE SWAPPED` in parts of 1,000.
     fn from_str(text: &str) -> Result<Self, String> {
         let words: Vec<&str> = text.split(' ').collect();
         let number =
-            |word: &str| word.parse::<u64>().map_err(|_| format!("'{word}' in '{text}' is no number"));
+            |word: &str| word.parse::<u64>().map_err(|_| format!("'{word}' in '{text}' is not a number"));
         let ms = |word: &str| number(word).map(Duration::from_millis);
         let parts = |word: &str| {
-            number(word)?.try_into().ok().filter(|n: &u32| *n <= 1000).ok_or(format!("'{word}' is over 1000"))
+            number(word)?
+                .try_into()
+                .ok()
+                .filter(|n: &u32| *n <= 1000)
+                .ok_or(format!("'{word}' is above 1000"))
         };
         let well = Fault::default();
         Ok(match words[..] {
@@ -63,20 +68,20 @@
             ["silent"] => Fault { mute_up: true, mute_down: true, ..well },
             ["silent", "up"] => Fault { mute_up: true, ..well },
             ["silent", "down"] => Fault { mute_down: true, ..well },
-            ["delay", least] => Fault { delay: (ms(least)?, Duration::ZERO), ..well },
-            ["delay", least, jitter] => Fault { delay: (ms(least)?, ms(jitter)?), ..well },
+            ["delay", min_delay] => Fault { delay: (ms(min_delay)?, Duration::ZERO), ..well },
+            ["delay", min_delay, jitter] => Fault { delay: (ms(min_delay)?, ms(jitter)?), ..well },
             ["rate", bytes] => Fault { rate: number(bytes)?, ..well },
             ["reset", bytes] => Fault { reset_after: Some(number(bytes)?), ..well },
             ["late", after] => Fault { mute_up: true, mute_down: true, reset_late: Some(ms(after)?), ..well },
             ["lossy", lost, twice, swapped] => {
                 Fault { lost: parts(lost)?, twice: parts(twice)?, swapped: parts(swapped)?, ..well }
             }
-            _ => return Err(format!("no link does '{text}'")),
+            _ => return Err(format!("unknown link fault '{text}'")),
         })
     }
 }
 
-/// A relay. Copies are the same one.
+/// A relay. Clones share the same relay.
 #[derive(Clone)]
 pub struct Relay {
     address: SocketAddr,
@@ -84,7 +89,7 @@
 }
 
 impl Relay {
-    /// Starts one for TCP on a free port; `seed` draws its jitter.
+    /// Starts a TCP relay on a free port; `seed` determines its jitter.
     pub fn tcp(to: SocketAddr, seed: u64) -> Self {
         let (listener, address) = listener();
         let fault = Arc::new(watch::channel(Fault::default()).0);
@@ -92,10 +97,10 @@
         Relay { address, fault }
     }
 
-    /// Starts one for UDP on a free port.
+    /// Starts a UDP relay on a free port.
     ///
     /// # Panics
-    /// When there is no free port.
+    /// If there is no free port.
     pub fn udp(to: SocketAddr, seed: u64) -> Self {
         let _entered = runtime().enter();
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
@@ -108,10 +113,10 @@
         Relay { address, fault }
     }
 
-    /// Starts one for TCP and UDP on one free port.
+    /// Starts a relay for both TCP and UDP on one free port.
     ///
     /// # Panics
-    /// When there is no free port.
+    /// If there is no free port.
     pub fn both(to: SocketAddr, seed: u64) -> Self {
         let _entered = runtime().enter();
         let (listener, address, socket) = loop {
@@ -129,12 +134,12 @@
         Relay { address, fault }
     }
 
-    /// Where whoever is to come through it connects.
+    /// The address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on it does this.
+    /// Replaces the current fault.
     pub fn set_fault(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
@@ -158,7 +163,7 @@
     mut fault: watch::Receiver<Fault>,
     mut rng: fastrand::Rng,
 ) {
-    // What comes about in a cut reaches nobody before it ends.
+    // A connection that is established during a cut is forwarded only after the cut.
     if fault.wait_for(|f| !f.mute_up).await.is_err() {
         return;
     }
@@ -167,7 +172,8 @@
         let _ = stream.set_nodelay(true);
     }
     let linger = [socket2::SockRef::from(&near).try_clone(), socket2::SockRef::from(&far).try_clone()];
-    // Halves that say goodbye when they are dropped would turn each reset into an orderly end.
+    // The halves of `tokio::io::split` do not shut down the stream when they are dropped. Halves that do would turn
+    // each reset into an orderly close.
     let (near_in, near_out) = split(near);
     let (far_in, far_out) = split(far);
     let (passed, seen) = watch::channel(0u64);
@@ -176,7 +182,7 @@
     let down = pump((far_in, near_out), fault.clone(), |f| f.mute_down, passed, rng);
     tokio::select! {
         _ = async { tokio::join!(up, down) } => return,
-        () = broken(fault, seen) => {}
+        () = reset_due(fault, seen) => {}
     }
     for stream in linger.into_iter().flatten() {
         let _ = stream.set_linger(Some(Duration::ZERO));
@@ -187,8 +193,8 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Ends when the connection is to be reset.
-async fn broken(mut fault: watch::Receiver<Fault>, mut passed: watch::Receiver<u64>) {
+/// Completes when the connection must be reset.
+async fn reset_due(mut fault: watch::Receiver<Fault>, mut passed: watch::Receiver<u64>) {
     loop {
         let now = *fault.borrow_and_update();
         let bytes = async {
@@ -213,7 +219,7 @@
     }
 }
 
-/// One direction: what is read waits for its time, then for the cut's end, and is written.
+/// Forwards one direction. Each chunk waits for its delay and for the end of a cut before it is written.
 async fn pump(
     (mut from, mut to): (ReadHalf<TcpStream>, WriteHalf<TcpStream>),
     mut fault: watch::Receiver<Fault>,
@@ -221,34 +227,34 @@
     passed: Arc<watch::Sender<u64>>,
     mut rng: fastrand::Rng,
 ) {
-    let (queue, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(PIECES);
-    let told = fault.clone();
+    let (queue, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(QUEUE_LENGTH);
+    let read_fault = fault.clone();
     let read = async move {
         let mut last = Instant::now();
         loop {
-            let mut piece = vec![0; PIECE];
-            let Ok(n @ 1..) = from.read(&mut piece).await else { return };
-            piece.truncate(n);
-            let Fault { delay: (least, jitter), rate, .. } = *told.borrow();
-            let held = least + jitter.mul_f64(rng.f64());
-            // Never past what came before it.
+            let mut chunk = vec![0; CHUNK_BYTES];
+            let Ok(n @ 1..) = from.read(&mut chunk).await else { return };
+            chunk.truncate(n);
+            let Fault { delay: (min_delay, jitter), rate, .. } = *read_fault.borrow();
+            let held = min_delay + jitter.mul_f64(rng.f64());
+            // Never before an earlier chunk.
             let mut at = last.max(Instant::now() + held);
             if let Some(spent) = (n as u64 * 1_000_000).checked_div(rate) {
                 at += Duration::from_micros(spent);
             }
             last = at;
-            if queue.send((at, piece)).await.is_err() {
+            if queue.send((at, chunk)).await.is_err() {
                 return;
             }
         }
     };
     let write = async move {
-        while let Some((at, piece)) = due.recv().await {
+        while let Some((at, chunk)) = due.recv().await {
             tokio::time::sleep_until(at).await;
-            if fault.wait_for(|f| !mute(f)).await.is_err() || to.write_all(&piece).await.is_err() {
+            if fault.wait_for(|f| !mute(f)).await.is_err() || to.write_all(&chunk).await.is_err() {
                 return;
             }
-            passed.send_modify(|n| *n += piece.len() as u64);
+            passed.send_modify(|n| *n += chunk.len() as u64);
         }
         let _ = to.shutdown().await;
     };
@@ -261,37 +267,37 @@
     fault: watch::Receiver<Fault>,
     mut rng: fastrand::Rng,
 ) {
-    let mut parties: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>> = HashMap::new();
-    let mut buffer = [0; DATAGRAM];
+    let mut clients: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>> = HashMap::new();
+    let mut buffer = [0; DATAGRAM_BYTES];
     loop {
         let Ok((n, from)) = socket.recv_from(&mut buffer).await else { continue };
-        if !parties.contains_key(&from) {
-            if parties.len() >= PARTIES {
+        if !clients.contains_key(&from) {
+            if clients.len() >= UDP_CLIENTS_MAX {
                 continue;
             }
-            let (sender, mailbox) = mpsc::channel(PIECES);
-            tokio::spawn(party((socket.clone(), from, to), mailbox, fault.clone(), rng.fork()));
-            parties.insert(from, sender);
+            let (sender, queued) = mpsc::channel(QUEUE_LENGTH);
+            tokio::spawn(relay_client((socket.clone(), from, to), queued, fault.clone(), rng.fork()));
+            clients.insert(from, sender);
         }
-        // A full queue loses datagrams, as a network does.
-        let _ = parties[&from].try_send(buffer[..n].to_vec());
+        // A full queue drops datagrams, as a network does.
+        let _ = clients[&from].try_send(buffer[..n].to_vec());
     }
 }
 
-/// One party's datagrams, both ways.
-async fn party(
+/// Forwards the datagrams of one client in both directions.
+async fn relay_client(
     (near, from, to): (Arc<UdpSocket>, SocketAddr, SocketAddr),
-    mut mailbox: mpsc::Receiver<Vec<u8>>,
+    mut queued: mpsc::Receiver<Vec<u8>>,
     fault: watch::Receiver<Fault>,
     mut rng: fastrand::Rng,
 ) {
     let Ok(far) = UdpSocket::bind("127.0.0.1:0").await else { return };
     let far = Arc::new(far);
-    let (mut up, mut down) = (Held::default(), Held::default());
-    let mut buffer = [0; DATAGRAM];
+    let (mut up, mut down) = (DatagramFaults::default(), DatagramFaults::default());
+    let mut buffer = [0; DATAGRAM_BYTES];
     loop {
         let (upwards, datagram) = tokio::select! {
-            sent = mailbox.recv() => match sent {
+            sent = queued.recv() => match sent {
                 Some(datagram) => (true, datagram),
                 None => return,
             },
@@ -306,8 +312,8 @@
             continue;
         }
         for datagram in held.pass(datagram, &now, &mut rng) {
-            let (least, jitter) = now.delay;
-            let after = least + jitter.mul_f64(rng.f64());
+            let (min_delay, jitter) = now.delay;
+            let after = min_delay + jitter.mul_f64(rng.f64());
             let (socket, to) = if upwards { (far.clone(), to) } else { (near.clone(), from) };
             if after.is_zero() {
                 let _ = socket.send_to(&datagram, to).await;
@@ -321,11 +327,11 @@
     }
 }
 
-/// A datagram that is held until the next has passed.
+/// Applies loss, duplication and reordering. Holds a swapped datagram until the next one has passed.
 #[derive(Default)]
-struct Held(Option<Vec<u8>>);
+struct DatagramFaults(Option<Vec<u8>>);
 
-impl Held {
+impl DatagramFaults {
     fn pass(&mut self, datagram: Vec<u8>, fault: &Fault, rng: &mut fastrand::Rng) -> Vec<Vec<u8>> {
         if rng.u32(0..1000) < fault.lost {
             return Vec::new();
--- a/crates/standins/src/rig/relay_tests.rs
+++ b/crates/standins/src/rig/relay_tests.rs
@@ -1,15 +1,16 @@
-//! What passes a relay, and what does not, on real sockets; verdicts on order and counts alone.
+//! Tests of the relay on real sockets. They check only order and counts, and lower limits on times.
 
 use super::*;
 use std::io::{Read, Write};
-use std::net::TcpStream as Plain;
-use std::time::Instant as Clock;
+use std::net::TcpStream as StdTcpStream;
+use std::time::Instant as StdInstant;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Long enough for what is on its way to arrive, were it let through; too short a time only makes the test blind.
-const WHILE: Duration = Duration::from_millis(150);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Long enough for data in transit to arrive if the relay forwarded it. On a slow machine a fault may go
+/// undetected, but the test does not fail wrongly.
+const SILENCE: Duration = Duration::from_millis(150);
 
-/// A server that sends back all that it gets.
+/// A server that echoes all that it receives.
 fn echo() -> SocketAddr {
     let (listener, address) = listener();
     runtime().spawn(async move {
@@ -23,13 +24,13 @@
     address
 }
 
-fn connect(relay: &Relay) -> Plain {
-    let stream = Plain::connect(relay.address()).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+fn connect(relay: &Relay) -> StdTcpStream {
+    let stream = StdTcpStream::connect(relay.address()).expect("it listens");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
     stream
 }
 
-fn says(stream: &mut Plain, bytes: &[u8]) -> std::io::Result<()> {
+fn exchange(stream: &mut StdTcpStream, bytes: &[u8]) -> std::io::Result<()> {
     let mut back = vec![0; bytes.len()];
     stream.write_all(bytes)?;
     stream.read_exact(&mut back)?;
@@ -41,16 +42,16 @@
     text.parse().expect(text)
 }
 
-/// Whether nothing can be read for a while.
-fn silent(stream: &Plain) -> bool {
-    stream.set_read_timeout(Some(WHILE)).expect("a time limit");
+/// Whether nothing can be read during `SILENCE`.
+fn silent(stream: &StdTcpStream) -> bool {
+    stream.set_read_timeout(Some(SILENCE)).expect("a time limit");
     let got = stream.peek(&mut [0]);
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
     got.is_err()
 }
 
 #[test]
-fn all_passes_a_relay_that_is_well_in_both_directions_and_in_order() {
+fn a_relay_without_fault_forwards_everything_in_order_in_both_directions() {
     let relay = Relay::tcp(echo(), 1);
     let mut stream = connect(&relay);
     let long: Vec<u8> = (0..200_000u32).map(|n| n as u8).collect();
@@ -64,15 +65,15 @@
 }
 
 #[test]
-fn in_a_silent_cut_nothing_passes_and_what_was_sent_into_it_comes_when_it_ends() {
+fn a_silent_cut_holds_everything_back_until_it_ends() {
     for cut in ["silent", "silent up", "silent down"] {
         let relay = Relay::tcp(echo(), 1);
         let mut stream = connect(&relay);
-        says(&mut stream, b"before").expect("it is well");
+        exchange(&mut stream, b"before").expect("there is no fault");
         relay.set_fault(fault(cut));
         stream.write_all(b"within").expect("the kernel takes it");
         assert!(silent(&stream), "{cut}");
-        // One that connects meanwhile hears nothing either.
+        // A client that connects during the cut receives nothing either.
         let mut later = connect(&relay);
         later.write_all(b"later").expect("the kernel takes it");
         assert!(silent(&later), "{cut}");
@@ -86,49 +87,49 @@
 }
 
 #[test]
-fn a_reset_comes_after_its_bytes_or_its_time_and_never_without() {
+fn a_reset_comes_only_after_its_bytes_or_its_time() {
     let relay = Relay::tcp(echo(), 1);
     let mut stream = connect(&relay);
-    says(&mut stream, &[1; 100]).expect("it is well");
-    // 200 bytes have passed, both ways.
+    exchange(&mut stream, &[1; 100]).expect("there is no fault");
+    // 200 bytes have passed in both directions together.
     relay.set_fault(fault("reset 500"));
-    says(&mut stream, &[2; 100]).expect("400 of 500");
-    let began = Clock::now();
-    while says(&mut stream, &[3; 100]).is_ok() {
-        assert!(began.elapsed() < PATIENCE, "it is never reset");
+    exchange(&mut stream, &[2; 100]).expect("400 of 500");
+    let began = StdInstant::now();
+    while exchange(&mut stream, &[3; 100]).is_ok() {
+        assert!(began.elapsed() < READ_TIMEOUT, "it is never reset");
     }
     let mut fresh = connect(&relay);
-    says(&mut fresh, &[4; 100]).expect("each connection counts for itself");
+    exchange(&mut fresh, &[4; 100]).expect("each connection has its own count");
     relay.set_fault(fault("late 30"));
     assert!(fresh.read(&mut [0]).is_err(), "it is reset, not closed");
 }
 
 #[test]
-fn a_delay_holds_back_and_keeps_the_order() {
+fn a_delay_holds_data_back_and_keeps_its_order() {
     let relay = Relay::tcp(echo(), 1);
     relay.set_fault(fault("delay 40 30"));
     let mut stream = connect(&relay);
-    let began = Clock::now();
+    let began = StdInstant::now();
     for n in 0..3u8 {
-        says(&mut stream, &[n; 10]).expect("it only takes longer");
+        exchange(&mut stream, &[n; 10]).expect("it only takes longer");
     }
     assert!(began.elapsed() >= Duration::from_millis(240), "{:?}", began.elapsed());
 }
 
 #[test]
-fn a_narrow_link_takes_its_time() {
+fn a_rate_limit_slows_the_transfer() {
     let relay = Relay::tcp(echo(), 1);
     relay.set_fault(fault("rate 10000"));
     let mut stream = connect(&relay);
-    let began = Clock::now();
-    says(&mut stream, &[7; 1000]).expect("it only takes longer");
+    let began = StdInstant::now();
+    exchange(&mut stream, &[7; 1000]).expect("it only takes longer");
     assert!(began.elapsed() >= Duration::from_millis(200), "{:?}", began.elapsed());
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_swapped_as_drawn_and_alike_for_a_like_seed() {
+fn datagrams_are_lost_duplicated_and_swapped_depending_only_on_the_seed() {
     let pass = |text: &str, seed| -> Vec<u8> {
-        let (mut held, mut rng) = (Held::default(), fastrand::Rng::with_seed(seed));
+        let (mut held, mut rng) = (DatagramFaults::default(), fastrand::Rng::with_seed(seed));
         let all = (0..200).flat_map(|n| held.pass(vec![n], &fault(text), &mut rng));
         all.map(|d| d[0]).collect()
     };
@@ -145,13 +146,13 @@
 }
 
 #[test]
-fn a_relay_for_datagrams_carries_both_ways_and_is_mute_in_a_cut() {
+fn a_udp_relay_forwards_both_ways_and_drops_everything_in_a_cut() {
     let server = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let relay = Relay::udp(server.local_addr().expect("an address"), 1);
     let client = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     client.connect(relay.address()).expect("an address");
-    server.set_read_timeout(Some(PATIENCE)).expect("a time limit");
-    client.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    server.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
+    client.set_read_timeout(Some(READ_TIMEOUT)).expect("a time limit");
     let mut buffer = [0; 16];
     client.send(b"up").expect("sent");
     let (n, back) = server.recv_from(&mut buffer).expect("it passes");
@@ -161,12 +162,12 @@
     assert_eq!(&buffer[..n], b"down");
     relay.set_fault(fault("silent down"));
     server.send_to(b"lost", back).expect("sent");
-    client.set_read_timeout(Some(WHILE)).expect("a time limit");
+    client.set_read_timeout(Some(SILENCE)).expect("a time limit");
     assert!(client.recv(&mut buffer).is_err());
 }
 
 #[test]
-fn what_no_link_does_is_said() {
+fn unknown_link_faults_are_errors() {
     for bad in ["", "loud", "silent sideways", "delay", "delay x", "lossy 1 2", "lossy 1 2 1001", "reset -1"]
     {
         assert!(bad.parse::<Fault>().is_err(), "{bad}");
