--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -1,5 +1,6 @@
-//! The clients of a run: each has a session and a proxy where it is at home, asks one request after the other in the
-//! users' mix, comes back when it is told to, and goes to another proxy where its own does not answer.
+//! The clients of a run. Each client has a session and a home proxy, and sends one request after another in the mix
+//! of classes that real users send. It retries when it is refused with a retry delay, and switches to another proxy
+//! when its own does not answer.
 
 use super::events::{Effect, EventKind, Micros, ReadGuarantee, RequestEnd};
 use super::world::World;
@@ -11,35 +12,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Times a client comes back after a refusal.
-const AGAIN: u32 = 3;
-/// Longest advice that it follows.
-const ADVICE_MOST: u64 = 500;
-/// A client whose proxy is not there goes to another after this.
-const ROAMS_AFTER: Duration = Duration::from_millis(20);
-/// One request in so many is asked at another proxy.
-const ROAMS: u64 = 50;
-/// A bounded read may be this old; positions are told in whole ms.
-const AGE: Micros = 3_000_000 + 2_000;
-/// A client waits for so long past the moment at which an answer counts as late.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// Maximum number of retries after refusals.
+const RETRIES_MAX: u32 = 3;
+/// Maximum retry delay, in ms; longer advice of the proxy is shortened to this.
+const RETRY_DELAY_MAX_MS: u64 = 500;
+/// A client whose proxy does not answer switches to another proxy after this time.
+const SWITCH_DELAY: Duration = Duration::from_millis(20);
+/// One request in this many is sent to another proxy.
+const SWITCH_ONE_IN: u64 = 50;
+/// Maximum age of the data of a bounded read: 3 s, plus 2 ms as positions are reported in whole ms.
+const BOUNDED_READ_AGE: Micros = 3_000_000 + 2_000;
+/// How much longer a client waits after the time at which an answer counts as late.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
 
-/// A client that leaves does so within this, in ms.
-const LEAVES_WITHIN_MS: u64 = 250;
-/// How long a bad client waits for its error or its close, and between two of its visits.
-const BAD_CLIENT_WAITS: Duration = Duration::from_secs(5);
+/// A client that disconnects before its answer does so within this time, in ms.
+const LEAVE_DELAY_MAX_MS: u64 = 250;
+/// How long a bad client waits for its error or close.
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum pause of a bad or idle client between two connections, in ms.
 const BAD_CLIENT_PAUSE_MS: u64 = 400;
 
-/// Between two surges, and how long the first bytes of a client of one take to come behind its connection, in ms.
+/// Pause between two surges, in ms.
 const SURGE_PAUSE_MS: std::ops::Range<u64> = 300..1_200;
-const SURGE_WAY_MS: u64 = 16;
-/// The class of a surge's requests: reads at any age.
+/// Maximum time between the connect and the first bytes of a surge client, in ms.
+const SURGE_DELAY_MAX_MS: u64 = 16;
+/// The class of the requests of a surge: reads of any age.
 const SURGE_CLASS: usize = 2;
-/// Of new connections one in so many carries the first query behind the startup, with no wait for the welcome.
-const AT_ONCE: u32 = 3;
+/// One new connection in this many sends its first query right after the startup message, without waiting for the
+/// reply.
+const EARLY_QUERY_ONE_IN: u32 = 3;
 
-/// How often a client that rests looks whether it still can.
-const IDLE_CLIENT_LOOKS: Duration = Duration::from_millis(100);
+/// How often an idle client checks whether its connection is still open.
+const IDLE_CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Client {
     n: u32,
@@ -50,7 +54,7 @@
     writes: u64,
 }
 
-/// Starts them all; they end when `stop` is set, each after its last answer.
+/// Starts the regular clients. After `stop` is set, each ends with its last answer.
 pub fn start(world: &World, stop: &Arc<AtomicBool>) -> Vec<tokio::task::JoinHandle<()>> {
     let script = world.script();
     let (rate, clients) = script.load;
@@ -65,7 +69,8 @@
         .collect()
 }
 
-/// Starts the bad ones: each begins something at a proxy, does not end it, and waits for what it is owed.
+/// Starts the bad clients: each sends an incomplete or malformed message to a proxy and waits for an error or a
+/// close.
 pub fn start_bad(world: &World, stop: &Arc<AtomicBool>) -> Vec<tokio::task::JoinHandle<()>> {
     let script = world.script();
     let one = |n: u32| {
@@ -75,7 +80,7 @@
     (0..script.bad_clients).map(one).collect()
 }
 
-/// Starts those that ask nothing: each connects somewhere, rests there until it is closed, and comes again.
+/// Starts the idle clients: each connects to a proxy, stays idle until the connection is closed, and connects again.
 pub fn start_idle(world: &World, stop: &Arc<AtomicBool>) -> Vec<tokio::task::JoinHandle<()>> {
     let script = world.script();
     let one = |n: u32| {
@@ -85,7 +90,8 @@
     (0..script.idle_clients).map(one).collect()
 }
 
-/// Starts surges: again and again many clients come to one proxy at once, each with one request behind its startup.
+/// Starts the surges: repeatedly, many clients connect to one proxy at once, each with one request right after its
+/// startup message.
 pub fn start_surges(world: &World, stop: &Arc<AtomicBool>) -> Vec<tokio::task::JoinHandle<()>> {
     let script = world.script();
     let surges = script.surge_clients > 0;
@@ -99,16 +105,16 @@
         tokio::time::sleep(Duration::from_millis(rng.u64(SURGE_PAUSE_MS))).await;
         let proxy = rng.u32(1..=world.script().proxies);
         for n in 0..world.script().surge_clients {
-            let way = Duration::from_millis(rng.u64(0..SURGE_WAY_MS));
-            clients.spawn(surge_client(world.clone(), proxy, n, way));
+            let delay = Duration::from_millis(rng.u64(0..SURGE_DELAY_MAX_MS));
+            clients.spawn(surge_client(world.clone(), proxy, n, delay));
         }
         while clients.try_join_next().is_some() {}
     }
     clients.join_all().await;
 }
 
-/// One request on a connection of its own; what is not accepted was not asked.
-async fn surge_client(world: World, proxy: u32, n: u32, way: Duration) {
+/// Sends one request on its own connection. If the connect fails, no request is recorded.
+async fn surge_client(world: World, proxy: u32, n: u32, delay: Duration) {
     let Ok(mut conn) = Pg::connect_silently(world.front(proxy)).await else { return };
     let (name, aim, wait_ms) = CLASSES[SURGE_CLASS];
     let key = format!("surge{n}");
@@ -116,7 +122,7 @@
     let (id, log) = (request_id(), world.log().clone());
     let number = u64::from_str_radix(&id, 16).unwrap_or(0);
     let group = n % world.script().member_setup.groups + 1;
-    tokio::time::sleep(way).await;
+    tokio::time::sleep(delay).await;
     let (aim, wait) = (aim * 1000, wait_ms * 1000);
     let effect = Some(world.script().effects[SURGE_CLASS]);
     log.record(EventKind::Asked {
@@ -131,15 +137,15 @@
     });
     log.record(EventKind::Sent { id: number, first: true });
     let query = wire::query(&ask.sql_for(&id, group, false));
-    let told = conn.ask_with_startup(&query);
-    let patience = Duration::from_micros(wait + world.script().bounds.late) + SILENCE;
-    let (how, value) = ending(tokio::time::timeout(patience, told).await);
+    let result = conn.ask_with_startup(&query);
+    let timeout = Duration::from_micros(wait + world.script().bounds.late) + LATE_ANSWER_WAIT;
+    let (how, value) = outcome(tokio::time::timeout(timeout, result).await);
     log.record(EventKind::Ended { id: number, how, value });
 }
 
-/// How a request has ended, and the number of the value that it brought.
-fn ending(told: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (RequestEnd, u64) {
-    match told {
+/// How a request ended, and the number of the value in its answer.
+fn outcome(result: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (RequestEnd, u64) {
+    match result {
         Ok(Ok(Told::Served(bytes))) => {
             (RequestEnd::Served, bytes.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)))
         }
@@ -155,12 +161,12 @@
         tokio::time::sleep(Duration::from_millis(rng.u64(0..BAD_CLIENT_PAUSE_MS))).await;
         let proxy = rng.u32(1..=world.script().proxies);
         let Ok(mut conn) = Pg::connect(world.front(proxy)).await else { continue };
-        // Some are served once, and rest then.
+        // Some clients send one empty query before they stay idle.
         if rng.bool() && conn.send(&wire::query("")).await.is_err() {
             continue;
         }
         while !stop.load(Ordering::Relaxed) && !conn.ended().await {
-            tokio::time::sleep(IDLE_CLIENT_LOOKS).await;
+            tokio::time::sleep(IDLE_CLIENT_CHECK_INTERVAL).await;
         }
     }
 }
@@ -178,7 +184,7 @@
             1 => [wire::startup(), query[..rng.usize(1..query.len())].to_vec()].concat(),
             2 => [wire::startup(), vec![0xff; rng.usize(1..400)]].concat(),
             3 => vec![0; rng.usize(4..64)],
-            // Nothing at all.
+            // Sends nothing.
             _ => Vec::new(),
         };
         let id = u64::from_str_radix(&request_id(), 16).unwrap_or(0);
@@ -187,11 +193,11 @@
             continue;
         }
         world.log().record(EventKind::Begun { id, proxy });
-        let ends = async {
+        let closed = async {
             let mut got = [0; 4096];
             while !matches!(tokio::io::AsyncReadExt::read(&mut stream, &mut got).await, Ok(0) | Err(_)) {}
         };
-        if tokio::time::timeout(BAD_CLIENT_WAITS, ends).await.is_ok() || !stop.load(Ordering::Relaxed) {
+        if tokio::time::timeout(BAD_CLIENT_TIMEOUT, closed).await.is_ok() || !stop.load(Ordering::Relaxed) {
             world.log().record(EventKind::Closed { id });
         }
     }
@@ -202,28 +208,28 @@
         let mut due = Instant::now() + Duration::from_secs_f64(gap * self.rng.f64());
         while !stop.load(Ordering::Relaxed) {
             tokio::time::sleep_until(due).await;
-            // Exponential gaps, cut off where they would outlast a run.
+            // Exponential gaps, limited so that they do not outlast a run.
             due += Duration::from_secs_f64((-(1.0 - self.rng.f64()).ln() * gap).min(gap * 8.0));
-            if self.rng.u64(0..ROAMS) == 0 {
-                self.roam();
+            if self.rng.u64(0..SWITCH_ONE_IN) == 0 {
+                self.switch_proxy();
             }
             self.request(&stop).await;
             due = due.max(Instant::now());
         }
     }
 
-    /// After how long it leaves before it has its answer, where this request is one of those.
-    fn leaves(&mut self) -> Option<Duration> {
+    /// The time after which the client disconnects without waiting for its answer, if it does so for this request.
+    fn leave_after(&mut self) -> Option<Duration> {
         let leaves = self.rng.u32(0..100) < self.world.script().leaving_percent;
-        leaves.then(|| Duration::from_millis(self.rng.u64(1..LEAVES_WITHIN_MS)))
+        leaves.then(|| Duration::from_millis(self.rng.u64(1..LEAVE_DELAY_MAX_MS)))
     }
 
-    fn roam(&mut self) {
+    fn switch_proxy(&mut self) {
         self.home = self.rng.u32(1..=self.world.script().proxies);
         self.conn = None;
     }
 
-    /// One request of the mix, asked until it is answered otherwise than by a refusal.
+    /// Sends one request of the mix and retries it while it is refused.
     async fn request(&mut self, stop: &AtomicBool) {
         let class = match self.rng.u32(0..100) {
             0..=42 => 0,
@@ -231,21 +237,21 @@
             71..=93 => 2,
             _ => 3,
         };
-        // Of 64 bits of a value those above 32 are the client's number, so that no two writes bring the same.
+        // The upper 32 of the 64 bits of a value are the client's number, so that no two writes have the same value.
         let write = class == 3;
         let safe = self.world.script().effects[class] == Effect::Safe;
         self.writes += u64::from(write);
         let value = write.then_some(u64::from(self.n + 1) << 32 | self.writes);
-        for again in 0..=AGAIN {
-            match self.ask(class, value, again > 0).await {
+        for retry in 0..=RETRIES_MAX {
+            match self.ask(class, value, retry > 0).await {
                 Some(Told::Refused(Some(ms))) if !stop.load(Ordering::Relaxed) => {
-                    tokio::time::sleep(Duration::from_millis(ms.min(ADVICE_MOST))).await;
+                    tokio::time::sleep(Duration::from_millis(ms.min(RETRY_DELAY_MAX_MS))).await;
                 }
                 Some(_) => return,
                 None => {
-                    tokio::time::sleep(ROAMS_AFTER).await;
-                    self.roam();
-                    // What may have run is not asked again.
+                    tokio::time::sleep(SWITCH_DELAY).await;
+                    self.switch_proxy();
+                    // A request that may have run is not retried unless a repeat is safe.
                     if !safe || stop.load(Ordering::Relaxed) {
                         return;
                     }
@@ -254,8 +260,8 @@
         }
     }
 
-    /// Asks once, under an id of its own; none: no answer.
-    async fn ask(&mut self, class: usize, value: Option<u64>, again: bool) -> Option<Told> {
+    /// Sends a request once, under a new id; `None`: there was no answer.
+    async fn ask(&mut self, class: usize, value: Option<u64>, retry: bool) -> Option<Told> {
         let (name, aim, wait_ms) = CLASSES[class];
         let group = self.n % self.world.script().member_setup.groups + 1;
         let key = format!("c{}", self.n);
@@ -264,12 +270,12 @@
         let bytes = value.map(|v| v.to_be_bytes().to_vec());
         let ask = Ask { class: name, key: key.clone(), value: bytes, wait_ms, after };
         let shows = match class {
-            0 => ReadGuarantee::Within(AGE),
+            0 => ReadGuarantee::Within(BOUNDED_READ_AGE),
             1 if carried => ReadGuarantee::Session,
             1 => ReadGuarantee::SessionAtProcess,
             _ => ReadGuarantee::Any,
         };
-        // A connection that the proxy has closed meanwhile is nobody's fault.
+        // The proxy may have closed the idle connection; that is no error.
         if let Some(conn) = &mut self.conn {
             if conn.ended().await {
                 self.conn = None;
@@ -278,52 +284,52 @@
         let id = request_id();
         let number = u64::from_str_radix(&id, 16).unwrap_or(0);
         let log = self.world.log().clone();
-        let leaves = self.leaves();
-        let at_once = leaves.is_none() && self.rng.u32(0..AT_ONCE) == 0;
+        let leave_after = self.leave_after();
+        let early_query = leave_after.is_none() && self.rng.u32(0..EARLY_QUERY_ONE_IN) == 0;
         let (proxy, wait) = (self.home, wait_ms * 1000);
         let effect = Some(self.world.script().effects[class]);
         let aim = aim * 1000;
         log.record(EventKind::Asked { id: number, proxy, key, writes: value, shows, effect, aim, wait });
-        let told = async {
+        let result = async {
             let first = self.conn.is_none();
             let conn = match &mut self.conn {
                 Some(conn) => conn,
-                None if at_once => self.conn.insert(Pg::connect_silently(self.world.front(proxy)).await?),
+                None if early_query => self.conn.insert(Pg::connect_silently(self.world.front(proxy)).await?),
                 None => self.conn.insert(Pg::connect(self.world.front(proxy)).await?),
             };
-            let query = wire::query(&ask.sql_for(&id, group, again));
-            if first && at_once {
+            let query = wire::query(&ask.sql_for(&id, group, retry));
+            if first && early_query {
                 log.record(EventKind::Sent { id: number, first });
                 return conn.ask_with_startup(&query).await.map(Some);
             }
             conn.send(&query).await?;
             log.record(EventKind::Sent { id: number, first });
-            match leaves {
-                // It goes without a word; whether it had its answer by then is all the same.
+            match leave_after {
+                // The client disconnects silently; it does not matter whether the answer has arrived by then.
                 Some(after) => match tokio::time::timeout(after, conn.answer()).await {
-                    Ok(told) => told.map(Some),
+                    Ok(result) => result.map(Some),
                     Err(_) => Ok(None),
                 },
                 None => conn.answer().await.map(Some),
             }
         };
-        let patience = Duration::from_micros(wait + self.world.script().bounds.late) + SILENCE;
-        let told = tokio::time::timeout(patience, told).await;
-        let told = match told {
+        let timeout = Duration::from_micros(wait + self.world.script().bounds.late) + LATE_ANSWER_WAIT;
+        let result = tokio::time::timeout(timeout, result).await;
+        let result = match result {
             Ok(Ok(None)) => {
                 self.conn = None;
                 log.record(EventKind::Left { id: number });
-                // What becomes of it is not this client's any more; it asks on.
+                // The outcome no longer concerns this client; it goes on with its next request.
                 return Some(Told::Failed(String::new()));
             }
-            Ok(Ok(Some(told))) => Ok(Ok(told)),
+            Ok(Ok(Some(result))) => Ok(Ok(result)),
             Ok(Err(e)) => Ok(Err(e)),
             Err(late) => Err(late),
         };
-        let answer = told.as_ref().ok().and_then(|told| told.as_ref().ok()).cloned();
-        let (how, value) = ending(told);
+        let answer = result.as_ref().ok().and_then(|result| result.as_ref().ok()).cloned();
+        let (how, value) = outcome(result);
         log.record(EventKind::Ended { id: number, how, value });
-        // Behind a fatal error nothing more comes, which the next look at the connection tells.
+        // Nothing follows a fatal error; the check before the next request then finds the connection closed.
         if answer.is_none() {
             self.conn = None;
         }
