--- a/crates/standins/src/rig/draw.rs
+++ b/crates/standins/src/rig/draw.rs
@@ -1,31 +1,34 @@
-//! Draws scenarios of faults from a seed, and makes one that has shown a breach shorter while it still shows it.
+//! Generates random fault scenarios from a seed, and shrinks a scenario that causes a breach while it still causes
+//! it.
 
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
-/// A drawn scenario as text: what describes the world, and the faults, each with what ends it.
+/// A random scenario: the lines that describe the world, and the faults, each with the steps that end it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Drawn {
     /// Lines that describe the world.
     pub world: Vec<String>,
-    /// Faults: their kind, and their steps.
+    /// The faults: the kind and the steps of each.
     pub faults: Vec<(&'static str, Vec<String>)>,
 }
 
-/// When the first fault may come, when the last must have ended, and when the run ends, in ms.
-const FIRST: u32 = 800;
-const LAST: u32 = 3_600;
-const END: u32 = 5_200;
+/// Earliest time of the first fault, in ms.
+const FIRST_FAULT_MS: u32 = 800;
+/// Time at which the last fault must have ended, in ms.
+const LAST_FAULT_MS: u32 = 3_600;
+/// End of the run, in ms.
+const END_MS: u32 = 5_200;
 
 impl Drawn {
-    /// The scenario's text.
+    /// The text of the scenario.
     pub fn text(&self) -> String {
         let steps = self.faults.iter().flat_map(|(_, steps)| steps);
         let lines: Vec<&str> = self.world.iter().chain(steps).map(String::as_str).collect();
         lines.join("\n") + "\n"
     }
 
-    /// How many faults of each kind it has.
+    /// The number of faults of each kind.
     pub fn kinds(&self) -> BTreeMap<&'static str, u64> {
         let mut kinds = BTreeMap::new();
         self.faults.iter().for_each(|(kind, _)| *kinds.entry(*kind).or_default() += 1);
@@ -33,58 +36,64 @@
     }
 }
 
-struct Places {
+struct WorldSize {
     proxies: u32,
     members: u32,
     groups: u32,
-    /// When the last fault must have ended, in ms.
-    last: u32,
+    /// Time at which the last fault must have ended, in ms.
+    last_fault_ms: u32,
 }
 
-/// Draws one: 3 to 8 proxies, 3 to 6 members, 1 to 5 faults that may overlap.
+/// Generates a scenario with 3 to 8 proxies, 2 to 6 members, and 1 to 5 faults that may overlap.
 pub fn draw(seed: u64) -> Drawn {
     let mut rng = Rng::with_seed(seed);
     let groups = rng.u32(1..=2);
-    let places = Places { proxies: rng.u32(3..=8), members: groups * rng.u32(2..=3), groups, last: LAST };
+    let size = WorldSize {
+        proxies: rng.u32(3..=8),
+        members: groups * rng.u32(2..=3),
+        groups,
+        last_fault_ms: LAST_FAULT_MS,
+    };
     let cold = if rng.bool() { " cold 0.3 4000" } else { "" };
     let mut world = vec![
         format!("seed {seed}"),
-        format!("proxies {}", places.proxies),
+        format!("proxies {}", size.proxies),
         format!(
             "members {} groups {groups} slots 8 work 4 12 handshake {} lag {}{cold}",
-            places.members,
+            size.members,
             rng.u32(0..=10),
             rng.u32(0..=20)
         ),
         format!("list rate {} queue 100", [0, 20, 50][rng.usize(0..3)]),
-        format!("load {} clients {}", places.proxies * 20, places.proxies * 8),
-        format!("end {END}"),
+        format!("load {} clients {}", size.proxies * 20, size.proxies * 8),
+        format!("end {END_MS}"),
     ];
     if rng.u32(0..4) == 0 {
         world.push("known lost".to_string());
     }
-    let faults = (0..rng.u32(1..=5)).map(|_| fault(&mut rng, &places)).collect();
+    let faults = (0..rng.u32(1..=5)).map(|_| fault(&mut rng, &size)).collect();
     Drawn { world, faults }
 }
 
-/// The same with 5 to 9 proxies that agree on their rules, and changes, cuts between them and lost stores among the faults.
+/// Generates a scenario with 5 to 9 proxies that agree on their rules. The faults include changes of the rules, cuts
+/// between proxies, and lost stores.
 pub fn draw_agreeing(seed: u64) -> Drawn {
     let mut rng = Rng::with_seed(seed);
-    let places = Places { proxies: rng.u32(5..=9), members: 3, groups: 1, last: LAST };
+    let size = WorldSize { proxies: rng.u32(5..=9), members: 3, groups: 1, last_fault_ms: LAST_FAULT_MS };
     let voters = if rng.bool() { 3 } else { 5 };
     let world = vec![
         format!("seed {seed}"),
-        format!("proxies {}", places.proxies),
+        format!("proxies {}", size.proxies),
         "members 3 slots 8 work 4 12 lag 5".to_string(),
         "store every 500".to_string(),
         format!("agree voters {voters}"),
-        format!("load {} clients {}", places.proxies * 12, places.proxies * 5),
-        format!("end {}", END + 2_400),
+        format!("load {} clients {}", size.proxies * 12, size.proxies * 5),
+        format!("end {}", END_MS + 2_400),
     ];
     let mut faults = Vec::new();
     for _ in 0..rng.u32(1..=2) {
-        let (at, value) = (rng.u32(FIRST + 400..LAST), rng.u32(2..9));
-        let (who, place) = (rng.u32(1..=places.proxies), rng.usize(0..3));
+        let (at, value) = (rng.u32(FIRST_FAULT_MS + 400..LAST_FAULT_MS), rng.u32(2..9));
+        let (who, change_kind) = (rng.u32(1..=size.proxies), rng.usize(0..3));
         let change = [
             format!("/limits/max_attempts {value}"),
             format!(
@@ -93,10 +102,11 @@
             ),
             format!("/services/0/deadline_us {}", 500_000 + value * 10_000),
         ];
-        faults.push(("change", vec![format!("at {at} p{who} proposes {}", change[place])]));
+        faults.push(("change", vec![format!("at {at} p{who} proposes {}", change[change_kind])]));
     }
     if rng.u32(0..3) == 0 {
-        let (at, who, member) = (rng.u32(FIRST + 400..LAST), rng.u32(1..=places.proxies), rng.u32(1..=3));
+        let (at, who, member) =
+            (rng.u32(FIRST_FAULT_MS + 400..LAST_FAULT_MS), rng.u32(1..=size.proxies), rng.u32(1..=3));
         let call = |word: &str| format!("p{who} console FLEET {word} m{member}");
         let back = format!("at {} {}", at + 1_800, call("RESTORE"));
         faults.push(("hand of all", vec![format!("at {at} {}", call("SUSPEND")), back]));
@@ -104,12 +114,12 @@
     for _ in 0..rng.u32(1..=3) {
         faults.push(match rng.u32(0..5) {
             0 | 1 => {
-                let part = rng.u32(1..places.proxies);
+                let part = rng.u32(1..size.proxies);
                 let side =
                     |from: u32, to: u32| (from..=to).map(|n| format!("p{n}")).collect::<Vec<_>>().join(",");
-                let (one, other) = (side(1, part), side(part + 1, places.proxies));
-                let from = rng.u32(FIRST..LAST - 600);
-                let to = rng.u32(from + 100..LAST);
+                let (one, other) = (side(1, part), side(part + 1, size.proxies));
+                let from = rng.u32(FIRST_FAULT_MS..LAST_FAULT_MS - 600);
+                let to = rng.u32(from + 100..LAST_FAULT_MS);
                 let mut steps = Vec::new();
                 let ways = rng.u32(1..4);
                 for (way, (a, b)) in [(1, (&one, &other)), (2, (&other, &one))] {
@@ -121,13 +131,14 @@
                 ("speech cut", steps)
             }
             2 => {
-                let (from, lost, twice) = (rng.u32(FIRST..LAST - 600), rng.u32(50..500), rng.u32(0..300));
+                let (from, lost, twice) =
+                    (rng.u32(FIRST_FAULT_MS..LAST_FAULT_MS - 600), rng.u32(50..500), rng.u32(0..300));
                 let faulty =
                     format!("at {from} proxies speaks proxies lossy {lost} {twice} {}", rng.u32(0..300));
-                ("speech loss", vec![faulty, format!("at {LAST} proxies speaks proxies well")])
+                ("speech loss", vec![faulty, format!("at {LAST_FAULT_MS} proxies speaks proxies well")])
             }
             3 => {
-                let (who, from) = (rng.u32(1..=voters), rng.u32(FIRST..LAST - 600));
+                let (who, from) = (rng.u32(1..=voters), rng.u32(FIRST_FAULT_MS..LAST_FAULT_MS - 600));
                 let harm = ["wiped", "torn 500", "flipped"][rng.usize(0..3)];
                 let steps = [
                     format!("at {from} p{who} does kill"),
@@ -136,28 +147,29 @@
                 ];
                 ("store", steps.to_vec())
             }
-            _ => fault(&mut rng, &places),
+            _ => fault(&mut rng, &size),
         });
     }
     Drawn { world, faults }
 }
 
-/// When the last fault of a soak must have ended, and when it ends, in ms.
-const SOAK_LAST: u32 = 7_000;
-const SOAK_END: u32 = 9_500;
-/// How long an end with its kill takes, in ms.
-const ENDING: u32 = 4_200;
-/// An hour and some seconds, in ms: what wall clocks are off by.
-const CLOCK_STEPS: [i64; 4] = [3_600_000, -3_600_000, 7_000, -7_000];
+/// Time at which the last fault of a soak must have ended, in ms.
+const SOAK_LAST_FAULT_MS: u32 = 7_000;
+/// End of a soak, in ms.
+const SOAK_END_MS: u32 = 9_500;
+/// How long a shutdown with its kill takes, in ms.
+const SHUTDOWN_MS: u32 = 4_200;
+/// Offsets of wall clocks, in ms: an hour and 7 s in both directions.
+const CLOCK_OFFSETS_MS: [i64; 4] = [3_600_000, -3_600_000, 7_000, -7_000];
 
-/// Draws a soak: 10 to 40 proxies whose system calls fail, bad clients, clients that leave, and 4 to 9 faults that overlap
-/// in time.
+/// Generates a soak: 10 to 40 proxies with failing system calls, bad clients, clients that disconnect early, and 4
+/// to 9 faults that overlap in time, in addition to one shutdown with a kill.
 pub fn draw_soak(seed: u64) -> Drawn {
     let mut rng = Rng::with_seed(seed);
     let groups = rng.u32(1..=3);
     let (proxies, members) = (rng.u32(10..=40), groups * rng.u32(2..=4));
-    let places = Places { proxies, members, groups, last: SOAK_LAST };
-    let reads = draw_reads(seed);
+    let size = WorldSize { proxies, members, groups, last_fault_ms: SOAK_LAST_FAULT_MS };
+    let reads = draw_read_setup(seed);
     let mut world = vec![
         format!("seed {seed}"),
         format!("proxies {proxies}"),
@@ -172,7 +184,7 @@
         format!("load {} clients {}", proxies * 8, proxies * 4),
         format!("clients leave {}", rng.u32(0..=30)),
         format!("clients bad {}", rng.u32(0..=8)),
-        format!("end {SOAK_END}"),
+        format!("end {SOAK_END_MS}"),
     ];
     for (call, every) in [
         ("recv_short", 4..=200),
@@ -191,14 +203,15 @@
         }
     }
     world.extend(reads.world);
-    let mut faults: Vec<_> = (0..rng.u32(3..=6)).map(|_| fault(&mut rng, &places)).collect();
-    faults.extend((0..rng.u32(1..=3)).map(|_| machine_fault(&mut rng, &places)));
-    let at = rng.u32(FIRST..SOAK_LAST - ENDING);
+    let mut faults: Vec<_> = (0..rng.u32(3..=6)).map(|_| fault(&mut rng, &size)).collect();
+    faults.extend((0..rng.u32(1..=3)).map(|_| machine_fault(&mut rng, &size)));
+    let at = rng.u32(FIRST_FAULT_MS..SOAK_LAST_FAULT_MS - SHUTDOWN_MS);
     let who = format!("{}%", rng.u32(10..=60));
     faults.push(("end", vec![format!("at {at} {who} does end within {}", rng.u32(1..400))]));
     let crowd = rng.u32(0..3);
     if crowd > 0 {
-        // More clients than a proxy has permits for come at once, and in half of these runs idle ones hold them besides.
+        // More clients connect at once than a proxy has permits for; in half of these runs idle clients also hold
+        // permits.
         let sockets = rng.u32(64..=128);
         world.push(format!("sockets {sockets}"));
         world.push(format!("clients surge {}", rng.u32(sockets / 2..=sockets * 2)));
@@ -208,28 +221,28 @@
     }
     faults.push((
         "calls",
-        vec!["at 300 proxies calls fail".into(), format!("at {SOAK_LAST} proxies calls well")],
+        vec!["at 300 proxies calls fail".into(), format!("at {SOAK_LAST_FAULT_MS} proxies calls well")],
     ));
     Drawn { world, faults }
 }
 
-/// Drawn apart from all else, so that the other draws of a seed stay as they are.
-const READS_DRAW: u64 = 0x7265_6164;
+/// Gives the reads their own random sequence, so that they do not change the other random choices of a seed.
+const READS_SEED: u64 = 0x7265_6164;
 
-/// What of a soak is drawn of its reads and of the members' positions.
-struct Reads {
-    /// How members treat positions, behind their other words.
+/// The random choices of a soak about reads and the positions of members.
+struct ReadSetup {
+    /// How members treat positions; appended to the `members` line.
     members: String,
     /// Lines that describe the world.
     world: Vec<String>,
 }
 
-/// In half of the runs repeats of some reads do harm, members tell less in their answers or treat reads otherwise for which they
-/// lag, and proxies remember what sessions have written.
-fn draw_reads(seed: u64) -> Reads {
-    let mut rng = Rng::with_seed(seed ^ READS_DRAW);
+/// In half of the runs, repeats of some reads may do harm, members may report less in their answers or treat reads
+/// for which they lag differently, and proxies may remember the writes of sessions.
+fn draw_read_setup(seed: u64) -> ReadSetup {
+    let mut rng = Rng::with_seed(seed ^ READS_SEED);
     if rng.bool() {
-        return Reads { members: String::new(), world: Vec::new() };
+        return ReadSetup { members: String::new(), world: Vec::new() };
     }
     let behind = match rng.u32(0..3) {
         0 => "off".to_string(),
@@ -246,18 +259,19 @@
             _ => world.push(format!("class {class} keyed {scope} {}", rng.u32(100..=1_000))),
         }
     }
-    Reads { members: format!(" behind {behind}{tells}"), world }
+    ReadSetup { members: format!(" behind {behind}{tells}"), world }
 }
 
-/// A fault of the proxies' own machines, or of those who run them.
-fn machine_fault(rng: &mut Rng, places: &Places) -> (&'static str, Vec<String>) {
-    let from = rng.u32(FIRST..places.last - 1_000);
-    let to = rng.u32(from + 300..places.last);
+/// Generates a fault of the proxies' machines or of their operation.
+fn machine_fault(rng: &mut Rng, size: &WorldSize) -> (&'static str, Vec<String>) {
+    let from = rng.u32(FIRST_FAULT_MS..size.last_fault_ms - 1_000);
+    let to = rng.u32(from + 300..size.last_fault_ms);
     let some = format!("{}%", rng.u32(10..=100));
     match rng.u32(0..5) {
         4 => {
-            // What waits for a connection waits on, while its client may leave and the member be announced as leaving.
-            let who = rng.u32(1..=places.members);
+            // Requests keep waiting for a connection, while their clients may disconnect and discovery may announce
+            // the member as leaving.
+            let who = rng.u32(1..=size.members);
             let mut steps =
                 vec![format!("at {from} m{who} does reset"), format!("at {} m{who} does shut", from + 60)];
             if rng.bool() {
@@ -267,7 +281,7 @@
             ("shut", steps)
         }
         0 => {
-            let off = CLOCK_STEPS[rng.usize(0..CLOCK_STEPS.len())];
+            let off = CLOCK_OFFSETS_MS[rng.usize(0..CLOCK_OFFSETS_MS.len())];
             let steps = [
                 format!("at {from} {some} clock off {off}"),
                 format!("at {} {some} does {}", from + 50, ["kill", "term"][rng.usize(0..2)]),
@@ -287,8 +301,8 @@
             ("reloads", steps.collect())
         }
         _ => {
-            // One after the other, as at a release.
-            let last = places.proxies.min(6);
+            // One proxy after the other, as in a rolling release.
+            let last = size.proxies.min(6);
             let each = (to - from) / last;
             let steps = (1..=last).flat_map(|n| {
                 let at = from + (n - 1) * each;
@@ -299,11 +313,12 @@
     }
 }
 
-fn fault(rng: &mut Rng, places: &Places) -> (&'static str, Vec<String>) {
-    let from = rng.u32(FIRST..places.last - 600);
-    let to = rng.u32(from + 100..places.last);
-    let proxy = |rng: &mut Rng| format!("p{}", rng.u32(1..=places.proxies));
-    let member = |rng: &mut Rng| format!("m{}", rng.u32(1..=places.members));
+/// Generates a fault of processes, links, discovery or members.
+fn fault(rng: &mut Rng, size: &WorldSize) -> (&'static str, Vec<String>) {
+    let from = rng.u32(FIRST_FAULT_MS..size.last_fault_ms - 600);
+    let to = rng.u32(from + 100..size.last_fault_ms);
+    let proxy = |rng: &mut Rng| format!("p{}", rng.u32(1..=size.proxies));
+    let member = |rng: &mut Rng| format!("m{}", rng.u32(1..=size.members));
     let some = |rng: &mut Rng| match rng.u32(0..3) {
         0 => "proxies".to_string(),
         1 => format!("{}%", rng.u32(20..=90)),
@@ -344,9 +359,9 @@
             ("list link", two(format!("{who} link list {}", link(rng)), format!("{who} link list well")))
         }
         7 => {
-            let ills = ["overbooked", "reset", "silent", "cut", "noise", "older", "hasty"];
-            let ill = ills[rng.usize(0..ills.len())];
-            ("list", two(format!("list does {ill}"), "list does well".to_string()))
+            let failures = ["overbooked", "reset", "silent", "cut", "noise", "older", "hasty"];
+            let failure = failures[rng.usize(0..failures.len())];
+            ("list", two(format!("list does {failure}"), "list does well".to_string()))
         }
         8 => {
             let who = member(rng);
@@ -362,9 +377,10 @@
             ("member down", two(format!("{who} does down"), format!("{who} does up")))
         }
         11 => {
-            let group = rng.u32(1..=places.groups);
-            // The first of a group is its primary, the next one of it stands `groups` further on.
-            ("primary", vec![format!("at {from} m{} does primary", group + places.groups)])
+            let group = rng.u32(1..=size.groups);
+            // The first member of a group is its primary; the next member of the same group is `groups` numbers
+            // further on.
+            ("primary", vec![format!("at {from} m{} does primary", group + size.groups)])
         }
         _ => {
             let (who, member) = (some(rng), member(rng));
@@ -374,8 +390,8 @@
     }
 }
 
-/// Shortens a scenario as long as `shows` says that the shorter one still shows the breach: whole faults first, then
-/// what ends them.
+/// Shrinks a scenario while `shows` returns `true`, which means that the shorter scenario still causes the breach.
+/// Removes whole faults first, then the steps that end them.
 pub fn shrink(mut drawn: Drawn, mut shows: impl FnMut(&Drawn) -> bool) -> Drawn {
     let mut n = 0;
     while n < drawn.faults.len() && drawn.faults.len() > 1 {
@@ -405,7 +421,7 @@
     use crate::rig::script::Script;
 
     #[test]
-    fn all_that_is_drawn_can_be_read_and_each_kind_of_fault_comes() {
+    fn random_scenarios_are_valid_and_contain_each_kind_of_fault() {
         let mut kinds = BTreeMap::new();
         for seed in 0..3_000 {
             let drawn = draw(seed);
@@ -421,7 +437,7 @@
     }
 
     #[test]
-    fn all_that_is_drawn_for_a_soak_can_be_read_and_overlaps() {
+    fn random_soaks_are_valid_and_contain_enough_faults() {
         let (mut kinds, mut calls) = (BTreeMap::new(), 0);
         for seed in 0..500 {
             let drawn = draw_soak(seed);
@@ -433,11 +449,11 @@
         for kind in ["clock", "disk", "reloads", "release", "shut", "stop", "drain", "member down", "end"] {
             assert!(kinds[kind] > 50, "{kinds:?}");
         }
-        assert!(calls > 1_000, "{calls} calls that fail");
+        assert!(calls > 1_000, "{calls} failing system calls");
     }
 
     #[test]
-    fn a_part_of_the_soaks_has_reads_whose_repeats_do_harm_and_members_that_tell_less() {
+    fn some_soaks_have_unsafe_reads_and_members_that_report_less() {
         let mut plain = 0;
         let mut words = BTreeMap::new();
         for seed in 0..500 {
@@ -462,12 +478,12 @@
                 *words.entry(word).or_insert(0) += u32::from(text.contains(word));
             }
         }
-        assert!((200..300).contains(&plain), "{plain} runs as before");
+        assert!((200..300).contains(&plain), "{plain} soaks without these choices");
         assert!(words.values().all(|n| *n > 15), "{words:?}");
     }
 
     #[test]
-    fn all_that_is_drawn_for_proxies_that_agree_can_be_read_too() {
+    fn random_scenarios_with_agreement_are_valid() {
         let mut kinds = BTreeMap::new();
         for seed in 0..1_000 {
             let drawn = draw_agreeing(seed);
@@ -483,15 +499,15 @@
     }
 
     #[test]
-    fn a_scenario_shrinks_to_what_shows_the_breach() {
-        let long = (0..).map(draw).find(|d| d.faults.len() == 5).expect("one is drawn");
+    fn a_scenario_shrinks_to_the_fault_that_causes_the_breach() {
+        let long = (0..).map(draw).find(|d| d.faults.len() == 5).expect("a scenario with five faults");
         let kind = long.faults[2].0;
         let needs = |d: &Drawn| d.faults.iter().any(|f| f.0 == kind);
         let short = shrink(long.clone(), needs);
         assert_eq!(short.faults.len(), 1);
         assert_eq!(short.faults[0].0, kind);
         assert_eq!(short.faults[0].1.len(), 1);
-        // What cannot be left out stays.
+        // A fault that is needed for the breach stays.
         assert_eq!(shrink(long.clone(), |d| *d == long), long);
     }
 }
