--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -40,11 +40,11 @@
     /// How long new statements may reach a member after its draining was reported or its suspension accepted.
     pub drain: Micros,
     /// Idle or surging clients exhaust the descriptors, so that a connection may be closed between requests.
-    pub crowded: bool,
+    pub descriptors_exhausted: bool,
     /// A member's suspension outlasts the process that accepted it.
     pub suspensions_kept: bool,
     /// Added to all time limits that no other bound sets, to allow for slow machines.
-    pub patience: Micros,
+    pub machine_slack: Micros,
     /// A cold member gets at most this multiple of what it can process.
     pub cold: f64,
     /// Maximum number of new connections to one member in any 250 ms after the first fault.
@@ -63,9 +63,9 @@
         Bounds {
             late: 500_000,
             drain: 500_000,
-            crowded: false,
+            descriptors_exhausted: false,
             suspensions_kept: false,
-            patience: 0,
+            machine_slack: 0,
             cold: 4.0,
             opened: None,
             probed: None,
@@ -158,7 +158,7 @@
 
 impl Verdict {
     /// Adds a breach.
-    pub(super) fn breach(&mut self, rule: Rule, at: Micros, what: String) {
+    pub(super) fn add_breach(&mut self, rule: Rule, at: Micros, what: String) {
         let count = self.counts.entry(rule).or_default();
         *count += 1;
         if *count <= DETAILED_BREACHES_MAX as u64 {
@@ -251,7 +251,7 @@
     /// Draining members, with the time when that was reported.
     draining: HashMap<u32, Micros>,
     /// Suspended members, with the time of the suspension.
-    out: HashMap<u32, Micros>,
+    suspended: HashMap<u32, Micros>,
 }
 
 /// A member that is still cold.
@@ -310,14 +310,14 @@
     verdict: Verdict,
     asked: HashMap<u64, RequestState>,
     proxies: HashMap<u32, Proxy>,
-    ran: HashMap<u64, u32>,
+    run_counts: HashMap<u64, u32>,
     keys: HashMap<String, KeyHistory>,
     cold: HashMap<u32, Cold>,
     opened: HashMap<u32, SlidingCount>,
     probed: SlidingCount,
     called: SlidingCount,
     /// Limits that are exceeded now. Consecutive events over one limit are one breach.
-    over: HashSet<(Rule, u32)>,
+    exceeded: HashSet<(Rule, u32)>,
     faulted: bool,
     /// Spans in which a proxy applied versions, with or without a lease: kind, proxy, versions, from, to.
     acted: Vec<(String, u32, Vec<String>, Micros, Micros)>,
@@ -380,13 +380,13 @@
     let mut last = 0;
     for event in events {
         if event.at < last {
-            checker.verdict.breach(Rule::Log, event.at, "an event is older than its predecessor".into());
+            checker.verdict.add_breach(Rule::Log, event.at, "an event is older than its predecessor".into());
         }
         last = event.at;
         checker.apply(event.at, &event.what, bounds);
     }
     if lost > 0 {
-        checker.verdict.breach(Rule::Log, last, format!("{lost} events did not fit in the log"));
+        checker.verdict.add_breach(Rule::Log, last, format!("{lost} events did not fit in the log"));
     }
     checker.check_agreement();
     checker.check_end(last, bounds);
@@ -415,7 +415,7 @@
                     refused: false,
                 };
                 if self.asked.insert(*id, asked).is_some() {
-                    self.verdict.breach(Rule::Log, at, format!("request id {id} is used twice"));
+                    self.verdict.add_breach(Rule::Log, at, format!("request id {id} is used twice"));
                 }
             }
             EventKind::Sent { id, first } => {
@@ -428,18 +428,18 @@
                     .into_iter()
                     .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
             }
-            EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.patience),
+            EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.machine_slack),
             EventKind::Begun { id, proxy } => drop(self.begun.insert(*id, (*proxy, at))),
-            EventKind::Closed { id } => self.closed(at, *id, bounds.patience),
+            EventKind::Closed { id } => self.closed(at, *id, bounds.machine_slack),
             EventKind::Ended { id, how, value } => self.ended(at, *id, *how, *value, bounds),
             EventKind::Given { member, id } => self.given(at, *member, *id, bounds),
             EventKind::Ran { member, id, key, value } => {
                 self.mark_run(*member, *id);
-                let runs = self.ran.entry(*id).or_default();
+                let runs = self.run_counts.entry(*id).or_default();
                 *runs += 1;
                 if *runs > 1 {
                     let what = format!("write {id} has run {runs} times, now at member {member}");
-                    self.verdict.breach(Rule::Once, at, what);
+                    self.verdict.add_breach(Rule::Once, at, what);
                 }
                 self.keys.entry(key.clone()).or_default().ran.push((at, *value));
             }
@@ -473,14 +473,14 @@
                 let n = of.whole;
                 if *whole && bounds.whole_lists.is_some_and(|limit| n > limit) {
                     let what = format!("proxy {proxy} called for the whole list {n} times");
-                    self.verdict.breach(Rule::Whole, at, what);
+                    self.verdict.add_breach(Rule::Whole, at, what);
                 }
             }
             EventKind::Unanswered { proxy } => {
                 self.verdict.unanswered += 1;
                 if bounds.unanswered.is_some_and(|limit| self.verdict.unanswered > limit) {
                     let what = format!("discovery could not answer proxy {proxy}");
-                    self.verdict.breach(Rule::Unanswered, at, what);
+                    self.verdict.add_breach(Rule::Unanswered, at, what);
                 }
             }
             EventKind::Drains { proxy, member, on } => {
@@ -491,7 +491,7 @@
                 }
             }
             EventKind::Hand { proxy, member, out } => {
-                let suspended = &mut self.proxies.entry(*proxy).or_default().out;
+                let suspended = &mut self.proxies.entry(*proxy).or_default().suspended;
                 match out {
                     true => drop(suspended.entry(*member).or_insert(at)),
                     false => drop(suspended.remove(member)),
@@ -506,7 +506,7 @@
                 // Discovery reports draining members to each new process again.
                 of.draining.clear();
                 if !bounds.suspensions_kept {
-                    of.out.clear();
+                    of.suspended.clear();
                 }
             }
             EventKind::Serves { proxy } => {
@@ -544,7 +544,7 @@
             // Collected before this pass.
             EventKind::Stall { .. } | EventKind::Delayed { .. } | EventKind::Leased { .. } => {}
             // A proxy whose store was deleted cannot know of earlier suspensions.
-            EventKind::Wiped { proxy } => self.proxies.entry(*proxy).or_default().out.clear(),
+            EventKind::Wiped { proxy } => self.proxies.entry(*proxy).or_default().suspended.clear(),
             EventKind::Fault(_) => self.faulted = true,
         }
     }
@@ -572,7 +572,7 @@
                 "request {id} at proxy {proxy} was unanswered at the kill, sent {} ms after SIGTERM",
                 (sent - term) / 1000
             );
-            self.verdict.breach(Rule::Answer, at, what);
+            self.verdict.add_breach(Rule::Answer, at, what);
         }
     }
 
@@ -589,9 +589,9 @@
     ) {
         let Some(limit) = limit.filter(|_| self.faulted) else { return };
         if seen <= limit {
-            self.over.remove(&(rule, of));
-        } else if self.over.insert((rule, of)) {
-            self.verdict.breach(rule, at, text());
+            self.exceeded.remove(&(rule, of));
+        } else if self.exceeded.insert((rule, of)) {
+            self.verdict.add_breach(rule, at, text());
         }
     }
 
@@ -610,11 +610,11 @@
         let since = self.asked.get(&id).map_or(at, |a| a.at);
         let stalled = self.stalled(since, at);
         let Some(asked) = self.asked.get_mut(&id) else {
-            self.verdict.breach(Rule::Log, at, format!("request {id} ended but was never sent"));
+            self.verdict.add_breach(Rule::Log, at, format!("request {id} ended but was never sent"));
             return;
         };
         if asked.ended.replace(at).is_some() {
-            self.verdict.breach(Rule::Answer, at, format!("request {id} got two answers"));
+            self.verdict.add_breach(Rule::Answer, at, format!("request {id} got two answers"));
             return;
         }
         let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stalled);
@@ -622,20 +622,20 @@
         let harmless = asked.effect.is_none_or(Effect::may_be_refused_after_a_run);
         if let Some(run) = asked.first_run().filter(|_| asked.refused && !harmless) {
             let what = format!("request {id} at proxy {proxy} was reported as refused: {run}");
-            self.verdict.breach(Rule::Once, at, what);
+            self.verdict.add_breach(Rule::Once, at, what);
         }
         // A process that shuts down or lacks descriptors may close a connection between requests without answering;
         // the client then retries. That does not cover a request that reached a member, as the proxy has read it,
         // nor the first request of a connection, as it does not follow another one.
         let ends = self.proxies.get(&proxy).is_some_and(|p| p.ends_within(since, at));
         let between = !asked.given && !asked.first;
-        let unread = how == RequestEnd::Broken && between && (ends || bounds.crowded);
+        let unread = how == RequestEnd::Broken && between && (ends || bounds.descriptors_exhausted);
         let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
             || how == RequestEnd::Silent && stalled == 0;
         let unanswered = unanswered && !unread;
         if (unanswered || at > until) && !unavailable(self.proxies.get(&proxy), since, at) {
             let what = format!("request {id} at proxy {proxy}: {how:?} after {} ms", (at - since) / 1000);
-            self.verdict.breach(Rule::Answer, at, what);
+            self.verdict.add_breach(Rule::Answer, at, what);
         }
         if how != RequestEnd::Served {
             return;
@@ -647,7 +647,7 @@
                 Some(commit) => key.acknowledged.push(Acknowledged { at, proxy, commit }),
                 None => {
                     let what = format!("write {id} was reported as served but no member ran it");
-                    self.verdict.breach(Rule::Once, at, what);
+                    self.verdict.add_breach(Rule::Once, at, what);
                 }
             }
             return;
@@ -668,11 +668,11 @@
         match shown {
             None => {
                 let what = format!("read {id} of {} returned a value that was never written", asked.key);
-                self.verdict.breach(Rule::Stale, at, what);
+                self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(shown) if shown < due => {
                 let what = format!("read {id} of {} reflects {shown} commits, must reflect {due}", asked.key);
-                self.verdict.breach(Rule::Stale, at, what);
+                self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(_) => {}
         }
@@ -712,7 +712,7 @@
                     let what = format!(
                         "{kind}: proxies {proxy} and {other} applied {versions:?} and {theirs:?} at once for {span} ms"
                     );
-                    self.verdict.breach(Rule::Agree, *since, what);
+                    self.verdict.add_breach(Rule::Agree, *since, what);
                 }
             }
         }
@@ -720,7 +720,7 @@
 
     fn given(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
         let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
-            self.verdict.breach(
+            self.verdict.add_breach(
                 Rule::Log,
                 at,
                 format!("member {member} got request {id}, which was never sent"),
@@ -728,26 +728,28 @@
             return;
         };
         self.asked.get_mut(&id).into_iter().for_each(|asked| asked.given = true);
-        self.check_attempt(at, member, id, bounds.patience);
-        self.check_client_present(at, member, id, bounds.patience);
+        self.check_attempt(at, member, id, bounds.machine_slack);
+        self.check_client_present(at, member, id, bounds.machine_slack);
         let stalled = self.stalled(at.saturating_sub(bounds.drain), at);
         let of = self.proxies.entry(proxy).or_default();
         // A statement that a link held back may have been sent at any time since the request was sent.
         let held = of.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= asked));
-        for (rule, since) in [(Rule::Drain, of.draining.get(&member)), (Rule::Hand, of.out.get(&member))] {
+        for (rule, since) in
+            [(Rule::Drain, of.draining.get(&member)), (Rule::Hand, of.suspended.get(&member))]
+        {
             if let Some(since) = since.filter(|t| !held && at > **t + bounds.drain + stalled) {
                 let what = format!(
                     "member {member} got request {id} from proxy {proxy} after {} ms",
                     (at - since) / 1000
                 );
-                self.verdict.breach(rule, at, what);
+                self.verdict.add_breach(rule, at, what);
             }
         }
         let late = TRANSIT_MAX + stalled;
         let covers = |(from, until): &(Micros, Micros)| *from <= at && at <= *until + late;
         if self.leases.get(&proxy).is_some_and(|all| !held && !all.iter().any(covers)) {
             let what = format!("proxy {proxy} sent request {id} to member {member} without a lease");
-            self.verdict.breach(Rule::Lease, at, what);
+            self.verdict.add_breach(Rule::Lease, at, what);
         }
         let Some(cold) = self.cold.get_mut(&member) else { return };
         let age = at - cold.since;
@@ -766,13 +768,13 @@
         if over && !cold.reported {
             let what =
                 format!("cold member {member} got {given} statements in 1.5 s and can process {can:.1}");
-            self.verdict.breach(Rule::Cold, at, what);
+            self.verdict.add_breach(Rule::Cold, at, what);
         }
         cold.reported = over;
     }
 
     /// Checks whether the earlier attempts and answers of a request allow that a member receives it.
-    fn check_attempt(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
+    fn check_attempt(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
         if asked.refused && !effect.may_be_refused_after_a_run() {
@@ -780,20 +782,20 @@
                 "member {member} got request {id} from proxy {proxy}, {} the proxy had reported as refused",
                 asked.description()
             );
-            self.verdict.breach(Rule::Once, at, what);
+            self.verdict.add_breach(Rule::Once, at, what);
         }
         let late = match (effect, asked.may_have_run.first()) {
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some(first)) => {
                 // The window starts when the first attempt is sent, and each attempt may be in transit for a while.
-                let slack = DEADLINE_SLACK + TRANSIT_MAX + patience + self.stalled(first.at, at);
+                let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + self.stalled(first.at, at);
                 at > first.at + window + slack && !self.link_holds_back(proxy, member, first.at)
             }
         };
         if let Some(run) = asked.first_run().filter(|_| late) {
             let what = format!("member {member} got request {id} from proxy {proxy} again: {run}");
-            self.verdict.breach(Rule::Once, at, what);
+            self.verdict.add_breach(Rule::Once, at, what);
         }
         let attempt = Attempt { member, at, ran: false };
         self.asked.get_mut(&id).into_iter().for_each(|asked| asked.may_have_run.push(attempt));
@@ -815,17 +817,17 @@
     }
 
     /// Checks that no attempt starts for a client that has disconnected.
-    fn check_client_present(&mut self, at: Micros, member: u32, id: u64, patience: Micros) {
+    fn check_client_present(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
         let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
-        let allowed = LEFT_MAX + TRANSIT_MAX + patience + self.stalled(left, at);
+        let allowed = LEFT_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
         let held = self.link_holds_back(proxy, member, left);
         if late > allowed && !held && !unavailable(self.proxies.get(&proxy), left, at) {
             let what = format!(
                 "member {member} got request {id} from proxy {proxy} {} ms after its client had disconnected",
                 late / 1000
             );
-            self.verdict.breach(Rule::Left, at, what);
+            self.verdict.add_breach(Rule::Left, at, what);
         }
     }
 
@@ -836,36 +838,36 @@
     }
 
     /// Checks the time limit in a statement against the time that the client has left.
-    fn check_time_limit(&mut self, at: Micros, id: u64, wait: Micros, patience: Micros) {
+    fn check_time_limit(&mut self, at: Micros, id: u64, wait: Micros, machine_slack: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (proxy, Some(sent)) = (asked.proxy, asked.sent) else { return };
         let left = (sent + asked.wait).saturating_sub(at);
         let delayed = self.delayed(proxy, sent, at);
-        let slack = DEADLINE_SLACK + TRANSIT_MAX + patience + delayed;
+        let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + delayed;
         let links = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
         if wait > left + slack && !links && !unavailable(self.proxies.get(&proxy), sent, at) {
             let [wait, left, delayed] = [wait, left, delayed].map(|us| us / 1000);
             let what =
                 format!("request {id} has a time limit of {wait} ms, its client {left} ms left; delayed for {delayed} ms");
-            self.verdict.breach(Rule::Deadline, at, what);
+            self.verdict.add_breach(Rule::Deadline, at, what);
         }
     }
 
     /// Checks that a bad client got its error or close in time.
-    fn closed(&mut self, at: Micros, id: u64, patience: Micros) {
+    fn closed(&mut self, at: Micros, id: u64, machine_slack: Micros) {
         let Some((proxy, since)) = self.begun.remove(&id) else { return };
-        let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + patience + self.stalled(since, at);
+        let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + machine_slack + self.stalled(since, at);
         if at > since + allowed && !unavailable(self.proxies.get(&proxy), since, at) {
             let what =
                 format!("bad client {id} at proxy {proxy} got its close after {} ms", (at - since) / 1000);
-            self.verdict.breach(Rule::Unfinished, at, what);
+            self.verdict.add_breach(Rule::Unfinished, at, what);
         }
     }
 
     /// Checks at the end of the log for answers and closes that are still due.
     fn check_end(&mut self, last: Micros, bounds: &Bounds) {
         let owed: Vec<u64> = self.begun.keys().copied().collect();
-        owed.into_iter().for_each(|id| self.closed(last, id, bounds.patience));
+        owed.into_iter().for_each(|id| self.closed(last, id, bounds.machine_slack));
         let mut open: Vec<(&u64, &RequestState)> =
             self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
         open.sort_unstable_by_key(|(id, _)| **id);
@@ -876,7 +878,7 @@
                 breaches.push((until, format!("request {id} at proxy {} has no answer", asked.proxy)));
             }
         }
-        breaches.into_iter().for_each(|(at, what)| self.verdict.breach(Rule::Answer, at, what));
+        breaches.into_iter().for_each(|(at, what)| self.verdict.add_breach(Rule::Answer, at, what));
     }
 }
 
--- a/crates/standins/src/rig/checker_tests.rs
+++ b/crates/standins/src/rig/checker_tests.rs
@@ -477,7 +477,7 @@
     };
     assert_eq!(verdict(play(200_000), &Bounds::default()), []);
     assert_eq!(verdict(play(300_000), &Bounds::default()), [Rule::Left]);
-    assert_eq!(verdict(play(300_000), &Bounds { patience: 1_000_000, ..Bounds::default() }), []);
+    assert_eq!(verdict(play(300_000), &Bounds { machine_slack: 1_000_000, ..Bounds::default() }), []);
 }
 
 #[test]
@@ -569,18 +569,24 @@
 
 #[test]
 fn when_descriptors_run_out_only_a_connection_with_unread_requests_may_be_closed() {
-    let crowded = Bounds { crowded: true, ..Bounds::default() };
+    let descriptors_exhausted = Bounds { descriptors_exhausted: true, ..Bounds::default() };
     let asked = valid_log().asked(10, 1, None, ReadGuarantee::Any);
-    assert_eq!(asked.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&crowded), []);
+    assert_eq!(
+        asked.clone().ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&descriptors_exhausted),
+        []
+    );
     let given = asked.at(12, EventKind::Given { member: 1, id: 1 });
-    assert_eq!(given.ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&crowded), [Rule::Answer]);
+    assert_eq!(
+        given.ended(20, 1, RequestEnd::Broken, 0).broken_rules_within(&descriptors_exhausted),
+        [Rule::Answer]
+    );
 }
 
 #[test]
 fn the_first_request_of_a_connection_must_be_answered_even_in_overload_and_shutdown() {
-    let crowded = Bounds { crowded: true, ..Bounds::default() };
+    let descriptors_exhausted = Bounds { descriptors_exhausted: true, ..Bounds::default() };
     let ending = valid_log().at(5, EventKind::Ending { proxy: 1 });
-    for (log, bounds) in [(valid_log(), &crowded), (ending, &Bounds::default())] {
+    for (log, bounds) in [(valid_log(), &descriptors_exhausted), (ending, &Bounds::default())] {
         for (first, broken) in [(false, &[][..]), (true, &[Rule::Answer][..])] {
             let sent =
                 log.clone().asked(10, 1, None, ReadGuarantee::Any).at(11, EventKind::Sent { id: 1, first });
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -142,11 +142,15 @@
     let (events, lost) = log.events();
     let mut verdict = judge(&events, lost, &script.bounds);
     for proxy in crashed {
-        verdict.breach(Rule::Crash, log.now(), format!("proxy {proxy} ended without being told to"));
+        verdict.add_breach(Rule::Crash, log.now(), format!("proxy {proxy} ended without being told to"));
     }
     for (proxy, count) in by_proxy.iter().filter_map(|(p, c)| Some((p, *c.get("violations")?))) {
         if count > 0 {
-            verdict.breach(Rule::Invariant, log.now(), format!("proxy {proxy} counted {count} violations"));
+            verdict.add_breach(
+                Rule::Invariant,
+                log.now(),
+                format!("proxy {proxy} counted {count} violations"),
+            );
         }
     }
     // The load starts when the proxies serve.
@@ -160,7 +164,7 @@
                 back.time_to_full.map(|t| t / 1000),
                 limit.as_millis()
             );
-            verdict.breach(Rule::Full, back.began, what);
+            verdict.add_breach(Rule::Full, back.began, what);
         }
     }
     let reported = |p: &u32| {
--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -355,11 +355,11 @@
             ["clients", "leave", percent] => self.leaving_percent = number(percent)?,
             ["clients", "idle", n] => {
                 self.idle_clients = number(n)?;
-                self.bounds.crowded |= self.idle_clients > 0;
+                self.bounds.descriptors_exhausted |= self.idle_clients > 0;
             }
             ["clients", "surge", n] => {
                 self.surge_clients = number(n)?;
-                self.bounds.crowded |= self.surge_clients > 0;
+                self.bounds.descriptors_exhausted |= self.surge_clients > 0;
             }
             ["sockets", n] => self.sockets = number(n)?,
             ["clients", "bad", n] => self.bad_clients = number(n)?,
@@ -376,7 +376,7 @@
         let bounds = &mut self.bounds;
         match what {
             "late" => bounds.late = number::<u64>(n)? * 1000,
-            "patience" => bounds.patience = number::<u64>(n)? * 1000,
+            "patience" => bounds.machine_slack = number::<u64>(n)? * 1000,
             "drain" => bounds.drain = number::<u64>(n)? * 1000,
             "cold" => bounds.cold = number(n)?,
             "opened" => bounds.opened = Some(number(n)?),
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -1,5 +1,5 @@
-//! The world of a scenario: members, discovery, the real proxies as processes, and relays where the scenario puts faults
-//! between them. It carries out the steps of the time line; what it does and sees goes into the log.
+//! The world of a scenario: members, discovery, real proxy processes, and relays wherever the scenario injects faults
+//! between them. The world executes the steps of the time line and records them in the event log.
 
 use super::events::{Effect, EventKind, EventLog, KeyScope};
 use super::relay::{Fault, Relay};
@@ -18,32 +18,36 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a proposal is made again that finds no majority for the moment.
-const ASKS_AGAIN: Duration = Duration::from_millis(2_500);
-/// Answers to a proposal that need only a moment, and those that need the end of another change.
-const AT_ONCE: [&str; 3] = ["no majority", "ask again", "nothing is agreed"];
-const IN_TURN: [&str; 4] = ["no majority", "ask again", "nothing is agreed", "is under way"];
-const ASKED_AGAIN_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a proposal waits for its turn, and how long until it is in force before it is made again.
+/// How long a proposal is retried that temporarily finds no majority.
+const PROPOSE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Answers after which a proposal is retried because the cause passes soon.
+const RETRY_ANSWERS: [&str; 3] = ["no majority", "ask again", "nothing is agreed"];
+/// The same, including the answer that another change is in progress.
+const RETRY_ANSWERS_IN_TURN: [&str; 4] = ["no majority", "ask again", "nothing is agreed", "is under way"];
+/// Time between two attempts of a call.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a proposal waits for the end of other changes.
 const IN_TURN_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a proposed change may take to come into force before it is proposed again.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest deadline of the classes, counted as 3 s at most, and 0.7 s: no kill comes sooner after SIGTERM.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
-/// Between two of the signals that follow SIGTERM, in ms, and which they are.
-const SIGNALS_WITHIN_MS: u64 = 300;
-const SIGNALS: [&str; 4] = ["HUP", "USR1", "TERM", "INT"];
-/// Requests that may wait at a member for a slot.
+/// Minimum time between SIGTERM and SIGKILL: the longest deadline of the classes, limited to 3 s, plus 0.7 s.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Maximum time between two of the signals that follow SIGTERM, in ms.
+const SIGNAL_PAUSE_MAX_MS: u64 = 300;
+/// The signals that may follow SIGTERM.
+const LATE_SIGNALS: [&str; 4] = ["HUP", "USR1", "TERM", "INT"];
+/// Maximum number of requests that wait at a member for a slot.
 const QUEUE: usize = 4096;
 
-/// One proxy, whether it runs or not.
-struct Seat {
+/// A proxy, whether it runs or not.
+struct ProxyHandle {
     setup: Setup,
     running: Option<Proxy>,
-    /// The faults of its system calls, where the scenario has any.
+    /// Injects faults into its system calls, if the scenario has any.
     shim: Option<Shim>,
 }
 
-/// The world. Copies are the same one.
+/// The world. Clones share the same world.
 #[derive(Clone)]
 pub struct World(Arc<Inner>);
 
@@ -53,43 +57,50 @@
     members: Vec<Member>,
     groups: Vec<Group>,
     registry: Registry,
+    /// Relays between proxies and members, by proxy and member.
     links: HashMap<(u32, u32), Relay>,
+    /// Relays between proxies and discovery.
     list_links: HashMap<u32, Relay>,
+    /// Relays between clients and proxies.
     client_links: HashMap<u32, Relay>,
-    /// What one proxy says to another.
-    speech: HashMap<(u32, u32), Relay>,
-    /// The settings that were proposed last.
+    /// Relays between two proxies, by sender and receiver.
+    peer_links: HashMap<(u32, u32), Relay>,
+    /// The most recently proposed settings.
     proposed: Mutex<Value>,
-    seats: Vec<Mutex<Seat>>,
-    /// Where clients come to each proxy: known without its seat, which is held while a process starts or ends.
+    handles: Vec<Mutex<ProxyHandle>>,
+    /// The address of each proxy for clients. It is stored outside the handle, whose lock is held while a process
+    /// starts or ends.
     fronts: Vec<SocketAddr>,
     folder: PathBuf,
 }
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        self.seats.iter().for_each(|s| drop(s.lock().unwrap_or_else(PoisonError::into_inner).running.take()));
+        self.handles
+            .iter()
+            .for_each(|s| drop(s.lock().unwrap_or_else(PoisonError::into_inner).running.take()));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A loopback address that nobody else uses, by the number of a world in this process: a restarted proxy must find its
-/// port free.
+/// A loopback address that nothing else uses, derived from the process id and the number of the world, so that a
+/// restarted proxy finds its port free.
 fn address(world: u8, n: u32) -> Result<SocketAddr> {
     let ip = [127, 10 + (std::process::id() % 200) as u8, world, 1 + n as u8];
     TcpListener::bind((std::net::Ipv4Addr::from(ip), 0))?.local_addr()
 }
 
-/// Where the members of a world listen: one that is down leaves its port to nobody else.
-fn members_at(world: u8) -> Ipv4Addr {
+/// The loopback address on which only the members of a world listen, so that nothing else takes the port of a
+/// member that is down.
+fn members_ip(world: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 210 + (std::process::id() % 40) as u8, world, 1)
 }
 
-/// Numbers worlds; long before one comes again the world that had it is gone.
-static WORLDS: AtomicU8 = AtomicU8::new(0);
+/// The number of the next world. Numbers are reused only long after the earlier world has ended.
+static NEXT_WORLD: AtomicU8 = AtomicU8::new(0);
 
-/// All numbers named by the steps that `pick` knows, of `all`.
-fn named(script: &Script, all: u32, pick: impl Fn(&Step) -> Option<&Who>) -> Vec<u32> {
+/// The numbers out of `1..=all` that are selected by the steps for which `pick` returns a selection.
+fn selected(script: &Script, all: u32, pick: impl Fn(&Step) -> Option<&Who>) -> Vec<u32> {
     let who = script.steps.iter().filter_map(|(_, step)| pick(step));
     let mut all: Vec<u32> = who.flat_map(|w| w.of(all, script.seed)).collect();
     all.sort_unstable();
@@ -103,17 +114,17 @@
     settings["instances"] = script.announced_proxies.into();
     settings["services"] = proxy::classes(1);
     for (n, effect) in script.effects.iter().enumerate() {
-        repeats(&mut settings["services"][n], *effect);
+        set_effect(&mut settings["services"][n], *effect);
     }
     let family = &mut settings["family_info"];
     let positions = script.member_setup.positions;
-    let (when_behind, patience) = match positions.when_behind {
+    let (when_behind, wait) = match positions.when_behind {
         WhenBehind::Answers => ("off", Duration::ZERO),
         WhenBehind::Refuses => ("refuse", Duration::ZERO),
-        WhenBehind::Waits(patience) => ("wait", patience),
+        WhenBehind::Waits(wait) => ("wait", wait),
     };
     family["when_behind"] = when_behind.into();
-    family["catch_up_wait_us"] = (patience.as_micros() as u64).into();
+    family["catch_up_wait_us"] = (wait.as_micros() as u64).into();
     family["tells_position"] = (positions.tells == Tells::All).into();
     family["session_marks"] = if script.sessions_carried { "carried" } else { "remembered" }.into();
     if let Some((share, warm)) = script.member_setup.cold {
@@ -123,8 +134,8 @@
     settings
 }
 
-/// Tells a class of the settings what its repeats may do.
-fn repeats(class: &mut Value, effect: Effect) {
+/// Sets the effect of repeats in the settings of a class.
+fn set_effect(class: &mut Value, effect: Effect) {
     class["idempotency"] = match effect {
         Effect::Safe => "read_like",
         Effect::Unsafe => "non_idempotent",
@@ -143,43 +154,45 @@
 }
 
 impl World {
-    /// Starts all of it, the proxies last; `program` is what they run, `more` what each is told beside that.
+    /// Starts the members, discovery, the relays and then the proxies, which run `program`. `adjust_setup` adjusts
+    /// the setup of each proxy.
     ///
     /// # Errors
-    /// When a process does not start.
+    /// If a process does not start.
     pub fn start(
         script: &Script,
         program: &Path,
         log: EventLog,
-        more: impl Fn(&mut Setup, u32, &Path),
+        adjust_setup: impl Fn(&mut Setup, u32, &Path),
     ) -> Result<Self> {
-        let world = WORLDS.fetch_add(1, Ordering::Relaxed);
-        let make = script.member_setup;
-        let groups: Vec<Group> = (0..make.groups).map(|_| Group::default()).collect();
+        let world = NEXT_WORLD.fetch_add(1, Ordering::Relaxed);
+        let member_setup = script.member_setup;
+        let groups: Vec<Group> = (0..member_setup.groups).map(|_| Group::default()).collect();
         let capacity = Capacity {
-            slots: make.slots,
+            slots: member_setup.slots,
             queue: QUEUE,
-            service: make.work,
-            cold: make.cold,
-            handshake: make.handshake,
-            most: make.max_connections,
+            service: member_setup.work,
+            cold: member_setup.cold,
+            handshake: member_setup.handshake,
+            most: member_setup.max_connections,
         };
-        let lag = make.lag.as_millis() as u64;
+        let lag = member_setup.lag.as_millis() as u64;
         let member = |n: u32| {
-            let group = &groups[(n % make.groups) as usize];
+            let group = &groups[(n % member_setup.groups) as usize];
             let started = Member::start_at(
-                members_at(world),
+                members_ip(world),
                 group,
-                n < make.groups,
+                n < member_setup.groups,
                 lag,
                 capacity,
                 Some((n + 1, log.clone())),
             );
-            started.treats_positions(make.positions);
+            started.treats_positions(member_setup.positions);
             started
         };
-        let members: Vec<Member> = (0..make.members).map(member).collect();
-        let list: Vec<Value> = members.iter().enumerate().map(|(n, m)| listed(n, m, make.groups)).collect();
+        let members: Vec<Member> = (0..member_setup.members).map(member).collect();
+        let list: Vec<Value> =
+            members.iter().enumerate().map(|(n, m)| list_entry(n, m, member_setup.groups)).collect();
         let registry = Registry::bounded(script.list_capacity.0, script.list_capacity.1);
         registry.lists(list.clone().into());
         let folder = std::env::temp_dir().join(format!("linentrail-rig-{}-{world}", std::process::id()));
@@ -188,7 +201,7 @@
         for (_, step) in &script.steps {
             if let Step::Link(proxies, members_of, _) = step {
                 for p in proxies.of(script.proxies, script.seed) {
-                    for m in members_of.of(make.members, script.seed) {
+                    for m in members_of.of(member_setup.members, script.seed) {
                         let to = members[m as usize - 1].address();
                         let seed = script.seed ^ u64::from(p) << 32 ^ u64::from(m);
                         links.entry((p, m)).or_insert_with(|| Relay::tcp(to, seed));
@@ -196,43 +209,44 @@
                 }
             }
         }
-        let listing = named(script, script.proxies, |s| match s {
+        let list_relayed = selected(script, script.proxies, |s| match s {
             Step::ListLink(who, _) => Some(who),
             _ => None,
         });
-        let coming = named(script, script.proxies, |s| match s {
+        let clients_relayed = selected(script, script.proxies, |s| match s {
             Step::ClientLink(who, _) => Some(who),
             _ => None,
         });
         let (mut list_links, mut client_links) = (HashMap::new(), HashMap::new());
-        let (mut seats, mut fronts) = (Vec::new(), Vec::new());
-        let speech = speech(script, world)?;
+        let (mut handles, mut fronts) = (Vec::new(), Vec::new());
+        let peer_links = start_peer_links(script, world)?;
         for n in 1..=script.proxies {
-            let seen = |m: &u32| {
+            let relayed = |m: &u32| {
                 let real = members[*m as usize - 1].address().to_string();
                 links.get(&(n, *m)).map(|relay: &Relay| (real, relay.address().to_string()))
             };
-            let seen: HashMap<String, String> =
-                (1..=make.members).collect::<Vec<_>>().iter().filter_map(seen).collect();
+            let relayed: HashMap<String, String> =
+                (1..=member_setup.members).collect::<Vec<_>>().iter().filter_map(relayed).collect();
             let mut known = list.clone();
             for entry in &mut known {
-                show(entry, &seen);
+                show(entry, &relayed);
             }
-            let mut door = registry.door(n, log.clone(), seen, listing.contains(&n));
-            if listing.contains(&n) {
-                let relay = Relay::tcp(door, script.seed ^ u64::from(n));
-                door = relay.address();
+            let mut list_address = registry.door(n, log.clone(), relayed, list_relayed.contains(&n));
+            if list_relayed.contains(&n) {
+                let relay = Relay::tcp(list_address, script.seed ^ u64::from(n));
+                list_address = relay.address();
                 list_links.insert(n, relay);
             }
             let listen = address(world, n)?;
             let mut front = listen;
-            if coming.contains(&n) {
+            if clients_relayed.contains(&n) {
                 let relay = Relay::tcp(listen, script.seed ^ u64::from(n) << 16);
                 front = relay.address();
                 client_links.insert(n, relay);
             }
             let known = if script.list_configured { known } else { Vec::new() };
-            let mut config = proxy::config(&door.to_string(), &known, settings(script), script.sockets, 192);
+            let mut config =
+                proxy::config(&list_address.to_string(), &known, settings(script), script.sockets, 192);
             config["name"] = format!("p{n}").into();
             config["listen"] = listen.to_string().into();
             config["console"] = "127.0.0.1:0".into();
@@ -247,15 +261,15 @@
             }
             if script.voters > 0 {
                 std::fs::write(folder.join("key"), "a key that all of the fleet have")?;
-                setup.operators += &agreement(script, n, &folder, &speech);
+                setup.operators += &agreement(script, n, &folder, &peer_links);
                 setup.rules = Some((n, log.clone()));
                 setup.log = Some("info,rules=debug".into());
             }
-            let shim = shimmed(script).then(|| shim(script, n, &folder)).transpose()?;
+            let shim = needs_shim(script).then(|| shim(script, n, &folder)).transpose()?;
             setup.environment.extend(shim.iter().flat_map(Shim::environment));
-            more(&mut setup, n, &folder);
+            adjust_setup(&mut setup, n, &folder);
             fronts.push(front);
-            seats.push(Mutex::new(Seat { setup, running: None, shim }));
+            handles.push(Mutex::new(ProxyHandle { setup, running: None, shim }));
         }
         members.iter().for_each(Member::starts);
         let proposed = Mutex::new(settings(script));
@@ -269,9 +283,9 @@
             links,
             list_links,
             client_links,
-            speech: speech.relays,
+            peer_links: peer_links.relays,
             proposed,
-            seats,
+            handles,
             fronts,
             folder,
         };
@@ -280,16 +294,16 @@
         Ok(world)
     }
 
-    fn seat(&self, n: u32) -> MutexGuard<'_, Seat> {
-        self.0.seats[n as usize - 1].lock().unwrap_or_else(PoisonError::into_inner)
+    fn handle(&self, n: u32) -> MutexGuard<'_, ProxyHandle> {
+        self.0.handles[n as usize - 1].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where clients come to a proxy.
+    /// The address of a proxy for clients.
     pub fn front(&self, n: u32) -> SocketAddr {
         self.0.fronts[n as usize - 1]
     }
 
-    /// A group's log, by its number from 1.
+    /// A group, by its number from 1.
     pub fn group(&self, n: u32) -> &Group {
         &self.0.groups[n as usize - 1]
     }
@@ -299,33 +313,35 @@
         &self.0.script
     }
 
-    /// The log.
+    /// The event log.
     pub fn log(&self) -> &EventLog {
         &self.0.log
     }
 
-    /// Starts those of them that are down, each at a moment of the span, and waits until they serve.
+    /// Starts those of the proxies that are down, each at a random time within the span, and waits until they serve.
     fn start_all(&self, which: &[u32], span: Duration) -> Result<()> {
         let one = |n: u32| -> Result<()> {
-            std::thread::sleep(self.moment(n, span));
-            let mut seat = self.seat(n);
-            if seat.running.is_none() {
+            std::thread::sleep(self.delay_within(n, span));
+            let mut handle = self.handle(n);
+            if handle.running.is_none() {
                 let spawned = || {
                     let _ = self.0.log.record(EventKind::Exec { proxy: n });
                 };
-                seat.running = Some(Proxy::start_noting(&seat.setup, spawned)?);
+                handle.running = Some(Proxy::start_noting(&handle.setup, spawned)?);
                 self.0.log.record(EventKind::Serves { proxy: n });
             }
             Ok(())
         };
         std::thread::scope(|scope| {
             let started: Vec<_> = which.iter().map(|n| scope.spawn(|| one(*n))).collect();
-            started.into_iter().try_for_each(|t| t.join().unwrap_or_else(|_| Err(Error::other("no thread"))))
+            started.into_iter().try_for_each(|t| {
+                t.join().unwrap_or_else(|_| Err(Error::other("a thread of the rig panicked")))
+            })
         })
     }
 
-    /// When in a span one of many has its turn.
-    fn moment(&self, n: u32, span: Duration) -> Duration {
+    /// A random time within a span for one proxy, derived from the seed.
+    fn delay_within(&self, n: u32, span: Duration) -> Duration {
         span.mul_f64(fastrand::Rng::with_seed(self.0.script.seed ^ u64::from(n) << 8).f64())
     }
 
@@ -337,14 +353,14 @@
         who.of(self.0.script.member_setup.members, self.0.script.seed)
     }
 
-    /// Those of them that run, with the ids of their processes.
+    /// The selected proxies that run, with their process ids.
     fn ids(&self, who: &Who) -> Vec<(u32, u32)> {
-        let id = |n: u32| self.seat(n).running.as_ref().map(|p| (n, p.id()));
+        let id = |n: u32| self.handle(n).running.as_ref().map(|p| (n, p.id()));
         self.proxies(who).into_iter().filter_map(id).collect()
     }
 
-    /// A signal to each of them at a moment of the span, or to all at once. One that another fault has ended meanwhile
-    /// hears nothing.
+    /// Sends a signal to each process at a random time within the span, or to all at once if the span is zero.
+    /// Processes that another fault has ended meanwhile are skipped.
     fn signal(&self, of: &[(u32, u32)], which: &str, span: Duration) {
         if span.is_zero() {
             let _ = signal_all(&of.iter().map(|(_, id)| *id).collect::<Vec<_>>(), which);
@@ -353,48 +369,49 @@
         std::thread::scope(|scope| {
             for (n, id) in of {
                 scope.spawn(move || {
-                    std::thread::sleep(self.moment(*n, span));
+                    std::thread::sleep(self.delay_within(*n, span));
                     let _ = signal_all(&[*id], which);
                 });
             }
         });
     }
 
-    /// Those that have ended without being told to.
+    /// The proxies that ended without being told to.
     pub fn crashed(&self) -> Vec<u32> {
-        let ended = |n: &u32| self.seat(*n).running.as_mut().is_some_and(Proxy::ended);
+        let ended = |n: &u32| self.handle(*n).running.as_mut().is_some_and(Proxy::ended);
         (1..=self.0.script.proxies).filter(ended).collect()
     }
 
-    /// Has a proxy propose the settings proposed last with another value at one place, as an operator would: an answer that
-    /// contains one of `again` is asked for again until `timeout` has passed. None where the proxy is gone.
+    /// Makes a proxy propose the most recently proposed settings with a new value at one JSON pointer, as an
+    /// operator would. The call is retried while its answer contains one of `retry_answers`, until `timeout` has
+    /// passed. Returns `None` if the proxy does not run.
     fn propose(
         &self,
         proposed: &mut Value,
         who: u32,
-        (place, value): (&str, &str),
-        again: &[&str],
+        (pointer, value): (&str, &str),
+        retry_answers: &[&str],
         timeout: Duration,
     ) -> Result<Option<String>> {
         let bad = |e: serde_json::Error| Error::other(format!("{value}: {e}"));
-        let missing = || Error::other(format!("the settings have no '{place}'"));
-        *proposed.pointer_mut(place).ok_or_else(missing)? = serde_json::from_str(value).map_err(bad)?;
+        let missing = || Error::other(format!("the settings have no '{pointer}'"));
+        *proposed.pointer_mut(pointer).ok_or_else(missing)? = serde_json::from_str(value).map_err(bad)?;
         let path = self.0.folder.join(format!("proposed-{who}.json"));
         std::fs::write(&path, proposed.to_string())?;
         let call = format!("FLEET PROPOSE {} rig", path.display());
-        if self.seat(who).running.is_none() {
+        if self.handle(who).running.is_none() {
             return Ok(None);
         }
-        let answer = asked_again(again, timeout, || self.call(who, &call).unwrap_or_default());
+        let answer = call_with_retries(retry_answers, timeout, || self.call(who, &call).unwrap_or_default());
         self.0.log.record(EventKind::Fault(format!("p{who} answers {}", answer.trim())));
         Ok(Some(answer))
     }
 
-    /// Whether all proxies come to say that they act by this version of a kind alone. A change that loses its ballot is
-    /// given up by whoever proposed it.
-    fn comes_into_force(&self, kind: &str, version: &str) -> bool {
+    /// Waits until all proxies report that they apply this version of a kind alone, and returns whether that
+    /// happened in time. It may not: a proposer gives up a change that loses its ballot.
+    fn wait_until_in_force(&self, kind: &str, version: &str) -> bool {
         let began = Instant::now();
-        while self.0.log.proxies_acting_alone_by(kind, version) < self.0.seats.len() {
+        while self.0.log.proxies_acting_alone_by(kind, version) < self.0.handles.len() {
             if began.elapsed() > IN_FORCE_TIMEOUT {
                 return false;
             }
@@ -403,7 +420,7 @@
         true
     }
 
-    /// The proxies whose process, or its folder, a step starts, ends or changes.
+    /// The proxies whose process a step starts or ends, or whose folder it changes.
     pub fn processes_changed_by(&self, step: &Step) -> Vec<u32> {
         match step {
             Step::Kill(who, _) | Step::Term(who, _) | Step::End(who, _) | Step::Start(who, _) => {
@@ -414,70 +431,74 @@
         }
     }
 
-    /// The processes that run now, by proxy; one that is being started or ended is left out.
+    /// The ids of the processes that run now, by proxy. Processes that are being started or ended are left out.
     pub fn process_ids(&self) -> Vec<(u32, u32)> {
-        let seats = (1..).zip(&self.0.seats);
-        seats.filter_map(|(n, seat)| Some((n, seat.try_lock().ok()?.running.as_ref()?.id()))).collect()
+        let handles = (1..).zip(&self.0.handles);
+        handles.filter_map(|(n, handle)| Some((n, handle.try_lock().ok()?.running.as_ref()?.id()))).collect()
     }
 
-    fn down(&self, of: &[(u32, u32)], stopped: bool) {
+    fn record_down(&self, of: &[(u32, u32)], stopped: bool) {
         for (proxy, _) in of {
             self.0.log.record(EventKind::Down { proxy: *proxy, stopped });
         }
     }
 
-    /// Tells processes to end, sends them more signals in a row, kills each at the earliest that the platform may, and starts it
-    /// again.
-    fn end(&self, who: &Who, span: Duration) -> Result<()> {
+    /// Sends SIGTERM and several more signals to the processes, kills each at the earliest time that the platform
+    /// allows, and starts it again.
+    fn terminate_and_restart(&self, who: &Who, span: Duration) -> Result<()> {
         let one = |n: u32| -> Result<()> {
-            std::thread::sleep(self.moment(n, span));
-            let mut seat = self.seat(n);
-            let Some(mut proxy) = seat.running.take() else { return Ok(()) };
+            std::thread::sleep(self.delay_within(n, span));
+            let mut handle = self.handle(n);
+            let Some(mut proxy) = handle.running.take() else { return Ok(()) };
             let mut rng = fastrand::Rng::with_seed(self.0.script.seed ^ u64::from(n) << 30);
             self.0.log.record(EventKind::Ending { proxy: n });
-            let told = Instant::now();
+            let signalled = Instant::now();
             proxy.signal("TERM")?;
-            while told.elapsed() < KILLED_AFTER && !proxy.ended() {
-                std::thread::sleep(Duration::from_millis(rng.u64(10..SIGNALS_WITHIN_MS)));
-                // A process that is not there hears nothing.
-                let _ = proxy.signal(SIGNALS[rng.usize(0..SIGNALS.len())]);
+            while signalled.elapsed() < KILL_DELAY && !proxy.ended() {
+                std::thread::sleep(Duration::from_millis(rng.u64(10..SIGNAL_PAUSE_MAX_MS)));
+                // Fails if the process has ended, which does not matter here.
+                let _ = proxy.signal(LATE_SIGNALS[rng.usize(0..LATE_SIGNALS.len())]);
             }
             self.0.log.record(EventKind::Down { proxy: n, stopped: false });
             drop(proxy);
-            drop(seat);
+            drop(handle);
             self.start_all(&[n], Duration::ZERO)
         };
         std::thread::scope(|scope| {
             let ends: Vec<_> = self.proxies(who).into_iter().map(|n| scope.spawn(move || one(n))).collect();
-            ends.into_iter().try_for_each(|t| t.join().unwrap_or_else(|_| Err(Error::other("no thread"))))
+            ends.into_iter().try_for_each(|t| {
+                t.join().unwrap_or_else(|_| Err(Error::other("a thread of the rig panicked")))
+            })
         })
     }
 
-    /// Carries out a step; it may block for as long as the step's span.
+    /// Executes a step; may block for as long as the step's span.
     ///
     /// # Errors
-    /// When it cannot be done: the run then says nothing.
+    /// If the step fails. The run then has no verdict.
     pub fn step(&self, step: &Step) -> Result<()> {
         self.0.log.record(EventKind::Fault(format!("{step:?}")));
         match step {
             Step::Kill(who, span) | Step::Term(who, span) => {
                 let ids = self.ids(who);
-                self.down(&ids, false);
+                self.record_down(&ids, false);
                 self.signal(&ids, if matches!(step, Step::Kill(..)) { "KILL" } else { "TERM" }, *span);
-                // Nobody starts the next one before this one has ended; one that was started meanwhile is none of them.
+                // Waits for the end of each process, so that no new one starts earlier. A process that was started
+                // meanwhile has another id and is not waited for.
                 for (n, id) in &ids {
-                    let mut seat = self.seat(*n);
-                    seat.running
+                    let mut handle = self.handle(*n);
+                    handle
+                        .running
                         .take_if(|proxy| proxy.id() == *id)
                         .map(|mut proxy| proxy.wait())
                         .transpose()?;
                 }
             }
-            Step::End(who, span) => self.end(who, *span)?,
+            Step::End(who, span) => self.terminate_and_restart(who, *span)?,
             Step::Start(who, span) => self.start_all(&self.proxies(who), *span)?,
             Step::Stop(who, span) => {
                 let ids = self.ids(who);
-                self.down(&ids, true);
+                self.record_down(&ids, true);
                 self.signal(&ids, "STOP", Duration::ZERO);
                 std::thread::sleep(*span);
                 self.signal(&ids, "CONT", Duration::ZERO);
@@ -507,22 +528,27 @@
             Step::Speak(who, to, fault) => {
                 let to = self.proxies(to);
                 for pair in self.proxies(who).into_iter().flat_map(|p| to.iter().map(move |q| (p, *q))) {
-                    self.0.speech.get(&pair).iter().for_each(|relay| relay.set_fault(*fault));
+                    self.0.peer_links.get(&pair).iter().for_each(|relay| relay.set_fault(*fault));
                 }
             }
-            Step::Propose(who, place, value) => {
+            Step::Propose(who, pointer, value) => {
                 let mut proposed = self.0.proposed.lock().unwrap_or_else(PoisonError::into_inner);
-                self.propose(&mut proposed, *who, (place, value), &AT_ONCE, ASKS_AGAIN)?;
+                self.propose(&mut proposed, *who, (pointer, value), &RETRY_ANSWERS, PROPOSE_TIMEOUT)?;
             }
-            Step::ProposeInTurn(who, place, value) => {
-                // Held until the change is through, so that the next one waits for it.
+            Step::ProposeInTurn(who, pointer, value) => {
+                // The lock is held until the change has completed, so that the next change waits for it.
                 let mut proposed = self.0.proposed.lock().unwrap_or_else(PoisonError::into_inner);
                 let (began, mut in_force) = (Instant::now(), false);
                 while !in_force && began.elapsed() < IN_TURN_TIMEOUT {
-                    let answer =
-                        self.propose(&mut proposed, *who, (place, value), &IN_TURN, IN_TURN_TIMEOUT)?;
+                    let answer = self.propose(
+                        &mut proposed,
+                        *who,
+                        (pointer, value),
+                        &RETRY_ANSWERS_IN_TURN,
+                        IN_TURN_TIMEOUT,
+                    )?;
                     let version = answer.as_deref().and_then(version_proposed);
-                    in_force = version.is_some_and(|version| self.comes_into_force("settings", version));
+                    in_force = version.is_some_and(|version| self.wait_until_in_force("settings", version));
                 }
             }
             Step::Does(who, behaviour) => {
@@ -548,7 +574,7 @@
     }
 
     fn shims(&self, who: &Who, change: impl Fn(&Shim) -> Result<()>) -> Result<()> {
-        self.proxies(who).into_iter().try_for_each(|n| self.seat(n).shim.as_ref().map_or(Ok(()), &change))
+        self.proxies(who).into_iter().try_for_each(|n| self.handle(n).shim.as_ref().map_or(Ok(()), &change))
     }
 
     fn link(&self, who: &Who, members: &Who, fault: Fault) {
@@ -561,11 +587,12 @@
         }
     }
 
-    /// The member is primary from now on, all others of its group replicas.
+    /// Makes a member the primary of its group and all other members of the group replicas.
     fn primary(&self, new: u32) {
-        let (make, lag) = (self.0.script.member_setup, self.0.script.member_setup.lag.as_millis() as u64);
+        let (member_setup, lag) =
+            (self.0.script.member_setup, self.0.script.member_setup.lag.as_millis() as u64);
         for (n, member) in self.0.members.iter().enumerate() {
-            let same = n as u32 % make.groups == (new - 1) % make.groups;
+            let same = n as u32 % member_setup.groups == (new - 1) % member_setup.groups;
             if same && n as u32 + 1 != new {
                 member.becomes(false, lag);
             }
@@ -582,62 +609,65 @@
         let line = format!("{}\n", words.join(" "));
         let member = call.rsplit_once(" m").and_then(|(_, m)| m.parse().ok());
         let (out, back) = (call.starts_with("SUSPEND"), call.starts_with("RESTORE"));
-        let again: &[&str] = if call.starts_with("FLEET") { &IN_TURN } else { &[] };
+        let retry_answers: &[&str] = if call.starts_with("FLEET") { &RETRY_ANSWERS_IN_TURN } else { &[] };
         for n in self.proxies(who) {
-            // Held until what came of it is noted: two calls must be in the log as the process has taken them.
-            let seat = self.seat(n);
-            let Some(proxy) = seat.running.as_ref() else { continue };
-            // It may act on this before its answer has arrived.
+            // The lock is held until the result is recorded, so that the log has two calls in the order in which
+            // the process handled them.
+            let handle = self.handle(n);
+            let Some(proxy) = handle.running.as_ref() else { continue };
+            // The proxy may use the member again before its answer arrives.
             if let Some(member) = member.filter(|_| back) {
                 self.0.log.record(EventKind::Hand { proxy: n, member, out: false });
             }
-            let answer = asked_again(again, IN_TURN_TIMEOUT, || {
+            let answer = call_with_retries(retry_answers, IN_TURN_TIMEOUT, || {
                 proxy.call(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
             });
             match member.filter(|_| answer.starts_with("200") && out) {
                 Some(member) => self.0.log.record(EventKind::Hand { proxy: n, member, out }),
                 None => self.0.log.record(EventKind::Fault(format!("p{n} answers {}", answer.trim()))),
             };
-            drop(seat);
+            drop(handle);
             if let Some(version) = version_proposed(&answer) {
-                self.comes_into_force("hands", version);
+                self.wait_until_in_force("hands", version);
             }
         }
     }
 
-    /// What one that runs answers to a call. No answer, as from one that stands still, says no.
+    /// The answer of a running proxy to a console call, or the error if there is none, for instance from a stopped
+    /// process.
     fn call(&self, n: u32, call: &str) -> Option<String> {
-        let seat = self.seat(n);
-        let told = seat.running.as_ref()?.call(&format!("{call}\n"));
-        Some(told.map_or_else(|e| e.to_string(), |answer| answer.0))
+        let handle = self.handle(n);
+        let answer = handle.running.as_ref()?.call(&format!("{call}\n"));
+        Some(answer.map_or_else(|e| e.to_string(), |answer| answer.0))
     }
 
-    /// The counters of each that runs, by its number.
+    /// The counters of each running proxy, by its number.
     pub fn counters(&self) -> BTreeMap<u32, BTreeMap<String, u64>> {
-        let of = |n| Some((n, self.seat(n).running.as_ref()?.counters().ok()?));
+        let of = |n| Some((n, self.handle(n).running.as_ref()?.counters().ok()?));
         (1..=self.0.script.proxies).filter_map(of).collect()
     }
 }
 
-/// The version that an answer says is proposed: `200 settings: version 2 (hash) is proposed`.
+/// The version in an answer that accepts a proposal, such as `200 settings: version 2 (hash) is proposed`.
 fn version_proposed(answer: &str) -> Option<&str> {
     answer.split(['(', ')']).nth(1).filter(|_| answer.starts_with("200") && answer.contains("is proposed"))
 }
 
-/// The answer to a call that is made again while its answer contains one of these, as an operator would.
-fn asked_again(again: &[&str], timeout: Duration, call: impl Fn() -> String) -> String {
+/// Makes a call and retries it while its answer contains one of `retry_answers`, as an operator would. Returns the
+/// last answer.
+fn call_with_retries(retry_answers: &[&str], timeout: Duration, call: impl Fn() -> String) -> String {
     let began = Instant::now();
     loop {
         let answer = call();
-        if !again.iter().any(|words| answer.contains(words)) || began.elapsed() > timeout {
+        if !retry_answers.iter().any(|words| answer.contains(words)) || began.elapsed() > timeout {
             return answer;
         }
-        std::thread::sleep(ASKED_AGAIN_INTERVAL);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Whether the scenario has faults of system calls.
-fn shimmed(script: &Script) -> bool {
+/// Whether the scenario injects faults into system calls.
+fn needs_shim(script: &Script) -> bool {
     let steps = |step: &Step| matches!(step, Step::CallsFail(..) | Step::ClockStep(..) | Step::Disk(..));
     !script.calls.is_empty() || script.steps.iter().any(|(_, step)| steps(step))
 }
@@ -649,43 +679,43 @@
     Shim::new(&own, &store, script.seed.wrapping_mul(1_000) + u64::from(proxy), &script.calls)
 }
 
-/// The block of the operators' file that has a proxy store what it knows.
+/// The block of the operators' file that enables the store of a proxy.
 fn store(folder: &Path, every: Duration) -> String {
     let (folder, every) = (folder.display(), every.as_millis());
     format!("store {{\n enabled = true\n folder = \"{folder}\"\n every_ms = {every}\n}}\n")
 }
 
-/// Where proxies speak to each other.
-struct Speech {
-    /// Where each listens.
-    at: Vec<SocketAddr>,
-    /// What stands between two of them, where the scenario puts faults there.
+/// The addresses and relays between proxies that agree on their rules.
+struct PeerLinks {
+    /// The address on which each proxy listens for the others.
+    listen: Vec<SocketAddr>,
+    /// The relays by sender and receiver, if the scenario injects faults between proxies.
     relays: HashMap<(u32, u32), Relay>,
 }
 
-fn speech(script: &Script, world: u8) -> Result<Speech> {
-    let mut speech = Speech { at: Vec::new(), relays: HashMap::new() };
+fn start_peer_links(script: &Script, world: u8) -> Result<PeerLinks> {
+    let mut links = PeerLinks { listen: Vec::new(), relays: HashMap::new() };
     if script.voters == 0 {
-        return Ok(speech);
+        return Ok(links);
     }
     for n in 1..=script.proxies {
-        speech.at.push(address(world, n)?);
+        links.listen.push(address(world, n)?);
     }
-    let faulty = script.steps.iter().any(|(_, step)| matches!(step, Step::Speak(..)));
+    let has_faults = script.steps.iter().any(|(_, step)| matches!(step, Step::Speak(..)));
     for (from, to) in (1..=script.proxies).flat_map(|p| (1..=script.proxies).map(move |q| (p, q))) {
-        if faulty && from != to {
+        if has_faults && from != to {
             let seed = script.seed ^ u64::from(from) << 40 ^ u64::from(to) << 20;
-            speech.relays.insert((from, to), Relay::both(speech.at[to as usize - 1], seed));
+            links.relays.insert((from, to), Relay::both(links.listen[to as usize - 1], seed));
         }
     }
-    Ok(speech)
+    Ok(links)
 }
 
-/// The block of the operators' file by which a proxy agrees with the others.
-fn agreement(script: &Script, me: u32, folder: &Path, speech: &Speech) -> String {
-    let at = |n: u32| match speech.relays.get(&(me, n)) {
+/// The block of the operators' file that enables the agreement with the other proxies.
+fn agreement(script: &Script, me: u32, folder: &Path, peer_links: &PeerLinks) -> String {
+    let at = |n: u32| match peer_links.relays.get(&(me, n)) {
         Some(relay) => relay.address(),
-        None => speech.at[n as usize - 1],
+        None => peer_links.listen[n as usize - 1],
     };
     let proxies: Vec<String> = (1..=script.proxies).map(|n| format!("\"{n} {}\"", at(n))).collect();
     let voters: Vec<String> = (1..=script.voters).map(|n| n.to_string()).collect();
@@ -698,8 +728,8 @@
     )
 }
 
-/// A member's entry in the list.
-fn listed(n: usize, member: &Member, groups: u32) -> Value {
+/// The entry of a member in the member list.
+fn list_entry(n: usize, member: &Member, groups: u32) -> Value {
     let mut entry = entry(n, member.address());
     entry["cell"] = (n as u32 % groups + 1).into();
     entry
