--- a/crates/lab/src/fleet/hunt.rs
+++ b/crates/lab/src/fleet/hunt.rs
@@ -7,7 +7,7 @@
 use crate::Failure;
 use clap::Args;
 use linentrail_standins::rig::checker::Rule;
-use linentrail_standins::rig::draw::{draw, draw_agreeing, draw_soak, shrink, Drawn};
+use linentrail_standins::rig::draw::{draw, draw_agreeing, draw_soak, shrink, RandomScenario};
 use linentrail_standins::rig::script::Script;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -71,7 +71,7 @@
     program: PathBuf,
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    draw: fn(u64) -> Drawn,
+    draw: fn(u64) -> RandomScenario,
     patient: bool,
     shortens: bool,
     keep: Option<PathBuf>,
@@ -101,7 +101,7 @@
 
 /// The rules that a run of a drawn scenario has broken, and what was seen.
 async fn broken(
-    drawn: &Drawn,
+    drawn: &RandomScenario,
     program: &Path,
     stop: &Stop,
 ) -> Result<(BTreeSet<Rule>, Vec<String>), Failure> {
@@ -112,11 +112,16 @@
 }
 
 /// Shortens on a thread that may block.
-async fn shortest(drawn: Drawn, rules: BTreeSet<Rule>, program: PathBuf, stop: Stop) -> Drawn {
+async fn shortest(
+    drawn: RandomScenario,
+    rules: BTreeSet<Rule>,
+    program: PathBuf,
+    stop: Stop,
+) -> RandomScenario {
     let handle = tokio::runtime::Handle::current();
     let first = drawn.clone();
     let work = move || {
-        let shows = |d: &Drawn| {
+        let shows = |d: &RandomScenario| {
             (0..TRIES).any(|_| {
                 let found = handle.block_on(broken(d, &program, &stop));
                 found.is_ok_and(|(seen, _)| !seen.is_disjoint(&rules))
@@ -142,7 +147,7 @@
 }
 
 impl Hunt {
-    fn drawn(&self, seed: u64) -> Drawn {
+    fn drawn(&self, seed: u64) -> RandomScenario {
         let mut drawn = (self.draw)(seed);
         if self.patient {
             for bound in ["late", "drain", "patience"] {
--- a/crates/standins/src/rig/draw.rs
+++ b/crates/standins/src/rig/draw.rs
@@ -6,7 +6,7 @@
 
 /// A random scenario: the lines that describe the world, and the faults, each with the steps that end it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Drawn {
+pub struct RandomScenario {
     /// Lines that describe the world.
     pub world: Vec<String>,
     /// The faults: the kind and the steps of each.
@@ -20,7 +20,7 @@
 /// End of the run, in ms.
 const END_MS: u32 = 5_200;
 
-impl Drawn {
+impl RandomScenario {
     /// The text of the scenario.
     pub fn text(&self) -> String {
         let steps = self.faults.iter().flat_map(|(_, steps)| steps);
@@ -45,7 +45,7 @@
 }
 
 /// Generates a scenario with 3 to 8 proxies, 2 to 6 members, and 1 to 5 faults that may overlap.
-pub fn draw(seed: u64) -> Drawn {
+pub fn draw(seed: u64) -> RandomScenario {
     let mut rng = Rng::with_seed(seed);
     let groups = rng.u32(1..=2);
     let size = WorldSize {
@@ -72,12 +72,12 @@
         world.push("known lost".to_string());
     }
     let faults = (0..rng.u32(1..=5)).map(|_| fault(&mut rng, &size)).collect();
-    Drawn { world, faults }
+    RandomScenario { world, faults }
 }
 
 /// Generates a scenario with 5 to 9 proxies that agree on their rules. The faults include changes of the rules, cuts
 /// between proxies, and lost stores.
-pub fn draw_agreeing(seed: u64) -> Drawn {
+pub fn draw_agreeing(seed: u64) -> RandomScenario {
     let mut rng = Rng::with_seed(seed);
     let size = WorldSize { proxies: rng.u32(5..=9), members: 3, groups: 1, last_fault_ms: LAST_FAULT_MS };
     let voters = if rng.bool() { 3 } else { 5 };
@@ -150,7 +150,7 @@
             _ => fault(&mut rng, &size),
         });
     }
-    Drawn { world, faults }
+    RandomScenario { world, faults }
 }
 
 /// Time at which the last fault of a soak must have ended, in ms.
@@ -164,7 +164,7 @@
 
 /// Generates a soak: 10 to 40 proxies with failing system calls, bad clients, clients that disconnect early, and 4
 /// to 9 faults that overlap in time, in addition to one shutdown with a kill.
-pub fn draw_soak(seed: u64) -> Drawn {
+pub fn draw_soak(seed: u64) -> RandomScenario {
     let mut rng = Rng::with_seed(seed);
     let groups = rng.u32(1..=3);
     let (proxies, members) = (rng.u32(10..=40), groups * rng.u32(2..=4));
@@ -223,7 +223,7 @@
         "calls",
         vec!["at 300 proxies calls fail".into(), format!("at {SOAK_LAST_FAULT_MS} proxies calls well")],
     ));
-    Drawn { world, faults }
+    RandomScenario { world, faults }
 }
 
 /// Gives the reads their own random sequence, so that they do not change the other random choices of a seed.
@@ -392,7 +392,7 @@
 
 /// Shrinks a scenario while `shows` returns `true`, which means that the shorter scenario still causes the breach.
 /// Removes whole faults first, then the steps that end them.
-pub fn shrink(mut drawn: Drawn, mut shows: impl FnMut(&Drawn) -> bool) -> Drawn {
+pub fn shrink(mut drawn: RandomScenario, mut shows: impl FnMut(&RandomScenario) -> bool) -> RandomScenario {
     let mut n = 0;
     while n < drawn.faults.len() && drawn.faults.len() > 1 {
         let mut less = drawn.clone();
@@ -502,7 +502,7 @@
     fn a_scenario_shrinks_to_the_fault_that_causes_the_breach() {
         let long = (0..).map(draw).find(|d| d.faults.len() == 5).expect("a scenario with five faults");
         let kind = long.faults[2].0;
-        let needs = |d: &Drawn| d.faults.iter().any(|f| f.0 == kind);
+        let needs = |d: &RandomScenario| d.faults.iter().any(|f| f.0 == kind);
         let short = shrink(long.clone(), needs);
         assert_eq!(short.faults.len(), 1);
         assert_eq!(short.faults[0].0, kind);
