--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -324,7 +324,7 @@
     /// Lease spans that each proxy has reported, merged so that they do not touch.
     leases: HashMap<u32, Vec<(Micros, Micros)>>,
     /// Bad clients that must still get a close: their proxy, and since when.
-    begun: HashMap<u64, (u32, Micros)>,
+    unfinished: HashMap<u64, (u32, Micros)>,
     /// Stalls of the machine: from, to.
     stalls: Vec<(Micros, Micros)>,
     /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not scheduled.
@@ -394,6 +394,7 @@
 }
 
 impl Checker {
+    /// Applies one event to the state and checks the rules that it concerns.
     fn apply(&mut self, at: Micros, what: &EventKind, bounds: &Bounds) {
         match what {
             EventKind::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
@@ -429,10 +430,10 @@
                     .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
             }
             EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.machine_slack),
-            EventKind::Begun { id, proxy } => drop(self.begun.insert(*id, (*proxy, at))),
-            EventKind::Closed { id } => self.closed(at, *id, bounds.machine_slack),
-            EventKind::Ended { id, how, value } => self.ended(at, *id, *how, *value, bounds),
-            EventKind::Given { member, id } => self.given(at, *member, *id, bounds),
+            EventKind::Begun { id, proxy } => drop(self.unfinished.insert(*id, (*proxy, at))),
+            EventKind::Closed { id } => self.check_close(at, *id, bounds.machine_slack),
+            EventKind::Ended { id, how, value } => self.check_answer(at, *id, *how, *value, bounds),
+            EventKind::Given { member, id } => self.check_statement(at, *member, *id, bounds),
             EventKind::Ran { member, id, key, value } => {
                 self.mark_run(*member, *id);
                 let runs = self.run_counts.entry(*id).or_default();
@@ -450,13 +451,15 @@
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].opened;
                 *peak = seen.max(*peak);
                 let text = || format!("{seen} new connections at member {member} in 250 ms");
-                self.bound(Rule::Opened, *member, at, seen, bounds.opened, text);
+                self.check_count(Rule::Opened, *member, at, seen, bounds.opened, text);
             }
             EventKind::Probed { .. } => {
                 let seen = self.probed.add(at, PROBED_SPAN);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].probed;
                 *peak = seen.max(*peak);
-                self.bound(Rule::Probed, 0, at, seen, bounds.probed, || format!("{seen} probes in 4 s"));
+                self.check_count(Rule::Probed, 0, at, seen, bounds.probed, || {
+                    format!("{seen} probes in 4 s")
+                });
             }
             EventKind::Cold { member, share, warm, rate } => {
                 let (share, rate) = (*share as f64 / 1e3, *rate as f64);
@@ -498,7 +501,7 @@
                 }
             }
             EventKind::Exec { proxy } => {
-                self.close(*proxy, None, at);
+                self.end_version_spans(*proxy, None, at);
                 let of = self.proxies.entry(*proxy).or_default();
                 of.began = at;
                 of.whole = 0;
@@ -521,7 +524,7 @@
                 }
             }
             EventKind::Acts { proxy, kind, versions, since } => {
-                self.close(*proxy, Some(kind), *since);
+                self.end_version_spans(*proxy, Some(kind), *since);
                 let of = self.proxies.entry(*proxy).or_default();
                 of.acts.insert(kind.clone(), (versions.clone(), *since));
             }
@@ -536,7 +539,7 @@
             EventKind::Down { proxy, stopped } => {
                 self.faulted = true;
                 if !stopped {
-                    self.killed(at, *proxy);
+                    self.check_shutdown(at, *proxy);
                 }
                 let gap = Gap { from: at, to: Micros::MAX, stopped: *stopped };
                 self.proxies.entry(*proxy).or_default().gaps.push(gap);
@@ -551,7 +554,7 @@
 
     /// A process that received SIGTERM was killed or has ended. Requests that were sent more than `TAKEN_AFTER_END`
     /// after SIGTERM, and that it has read, must have had their answers.
-    fn killed(&mut self, at: Micros, proxy: u32) {
+    fn check_shutdown(&mut self, at: Micros, proxy: u32) {
         let Some(of) = self.proxies.get_mut(&proxy) else { return };
         let Some(term) = of.ending.take() else { return };
         of.ended.push((term, at));
@@ -578,7 +581,7 @@
 
     /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only after
     /// the count was within it.
-    fn bound(
+    fn check_count(
         &mut self,
         rule: Rule,
         of: u32,
@@ -606,7 +609,8 @@
         of(None) + of(Some(proxy))
     }
 
-    fn ended(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
+    /// Checks the outcome of a request: a final answer in time, and recent enough data for reads.
+    fn check_answer(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
         let since = self.asked.get(&id).map_or(at, |a| a.at);
         let stalled = self.stalled(since, at);
         let Some(asked) = self.asked.get_mut(&id) else {
@@ -627,9 +631,10 @@
         // A process that shuts down or lacks descriptors may close a connection between requests without answering;
         // the client then retries. That does not cover a request that reached a member, as the proxy has read it,
         // nor the first request of a connection, as it does not follow another one.
-        let ends = self.proxies.get(&proxy).is_some_and(|p| p.ends_within(since, at));
-        let between = !asked.given && !asked.first;
-        let unread = how == RequestEnd::Broken && between && (ends || bounds.descriptors_exhausted);
+        let shutting_down = self.proxies.get(&proxy).is_some_and(|p| p.shuts_down_within(since, at));
+        let between_requests = !asked.given && !asked.first;
+        let unread =
+            how == RequestEnd::Broken && between_requests && (shutting_down || bounds.descriptors_exhausted);
         let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
             || how == RequestEnd::Silent && stalled == 0;
         let unanswered = unanswered && !unread;
@@ -679,7 +684,7 @@
     }
 
     /// Ends the spans of the versions that a proxy has applied so far, of one kind or of all kinds.
-    fn close(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
+    fn end_version_spans(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
         let of = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
             of.acts.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
@@ -692,12 +697,12 @@
     /// Checks that no two proxies applied, at the same time, sets of versions that have none in common.
     fn check_agreement(&mut self) {
         let proxies: Vec<u32> = self.proxies.keys().copied().collect();
-        proxies.into_iter().for_each(|proxy| self.close(proxy, None, Micros::MAX));
+        proxies.into_iter().for_each(|proxy| self.end_version_spans(proxy, None, Micros::MAX));
         // Without a lease a proxy applies no version.
         let mut acted = Vec::new();
         for (kind, proxy, versions, from, to) in std::mem::take(&mut self.acted) {
-            for (begun, until) in self.leases.get(&proxy).into_iter().flatten() {
-                let (from, to) = (from.max(*begun), to.min(*until));
+            for (lease_start, until) in self.leases.get(&proxy).into_iter().flatten() {
+                let (from, to) = (from.max(*lease_start), to.min(*until));
                 if from < to {
                     acted.push((kind.clone(), proxy, versions.clone(), from, to));
                 }
@@ -718,7 +723,8 @@
         }
     }
 
-    fn given(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
+    /// Checks a statement that a member has received.
+    fn check_statement(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
         let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
             self.verdict.add_breach(
                 Rule::Log,
@@ -804,8 +810,8 @@
     /// A member has run an attempt that it received.
     fn mark_run(&mut self, member: u32, id: u64) {
         let attempts = self.asked.get_mut(&id).map(|asked| &mut asked.may_have_run);
-        let its = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
-        its.into_iter().for_each(|attempt| attempt.ran = true);
+        let attempt = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
+        attempt.into_iter().for_each(|attempt| attempt.ran = true);
     }
 
     /// A member has refused an attempt, which therefore never ran.
@@ -854,8 +860,8 @@
     }
 
     /// Checks that a bad client got its error or close in time.
-    fn closed(&mut self, at: Micros, id: u64, machine_slack: Micros) {
-        let Some((proxy, since)) = self.begun.remove(&id) else { return };
+    fn check_close(&mut self, at: Micros, id: u64, machine_slack: Micros) {
+        let Some((proxy, since)) = self.unfinished.remove(&id) else { return };
         let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + machine_slack + self.stalled(since, at);
         if at > since + allowed && !unavailable(self.proxies.get(&proxy), since, at) {
             let what =
@@ -866,8 +872,8 @@
 
     /// Checks at the end of the log for answers and closes that are still due.
     fn check_end(&mut self, last: Micros, bounds: &Bounds) {
-        let owed: Vec<u64> = self.begun.keys().copied().collect();
-        owed.into_iter().for_each(|id| self.closed(last, id, bounds.machine_slack));
+        let open_clients: Vec<u64> = self.unfinished.keys().copied().collect();
+        open_clients.into_iter().for_each(|id| self.check_close(last, id, bounds.machine_slack));
         let mut open: Vec<(&u64, &RequestState)> =
             self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
         open.sort_unstable_by_key(|(id, _)| **id);
@@ -884,7 +890,7 @@
 
 impl Proxy {
     /// Whether it was shutting down at some time in this span.
-    fn ends_within(&self, from: Micros, to: Micros) -> bool {
+    fn shuts_down_within(&self, from: Micros, to: Micros) -> bool {
         self.ending.is_some_and(|term| term <= to)
             || self.ended.iter().any(|(term, end)| *term <= to && *end >= from)
     }
--- a/crates/standins/src/rig/checker_tests.rs
+++ b/crates/standins/src/rig/checker_tests.rs
@@ -275,14 +275,14 @@
 #[test]
 fn a_statement_that_reaches_a_draining_or_suspended_member_too_late_is_a_breach() {
     let drains = |on| EventKind::Drains { proxy: 1, member: 3, on };
-    let hand = |out| EventKind::Hand { proxy: 1, member: 3, out };
+    let suspends = |out| EventKind::Hand { proxy: 1, member: 3, out };
     let give = |log: LogBuilder, ms| {
         let asked =
             log.asked(ms, ms, None, ReadGuarantee::Any).at(ms, EventKind::Given { member: 3, id: ms });
         asked.ended(ms + 1, ms, RequestEnd::Served, 1).broken_rules()
     };
     for (what, back, rule) in
-        [(drains(true), drains(false), Rule::Drain), (hand(true), hand(false), Rule::Hand)]
+        [(drains(true), drains(false), Rule::Drain), (suspends(true), suspends(false), Rule::Hand)]
     {
         let base = valid_log().at(10, what);
         assert_eq!(give(base.clone(), 510), []);
@@ -317,7 +317,7 @@
     }
     // A suspension outlasts the process where the scenario demands it.
     let again = valid_log()
-        .at(10, hand(true))
+        .at(10, suspends(true))
         .at(15, EventKind::Down { proxy: 1, stopped: false })
         .at(20, EventKind::Exec { proxy: 1 });
     let again = again.at(25, EventKind::Serves { proxy: 1 });
@@ -466,7 +466,7 @@
 
 #[test]
 fn an_attempt_for_a_disconnected_client_is_a_breach() {
-    let play = |given: Micros| {
+    let events_with = |given: Micros| {
         vec![
             (1_000, request(7)),
             (2_000, EventKind::Sent { id: 7, first: false }),
@@ -475,14 +475,14 @@
             (9_000_000, EventKind::Fault("the end".into())),
         ]
     };
-    assert_eq!(verdict(play(200_000), &Bounds::default()), []);
-    assert_eq!(verdict(play(300_000), &Bounds::default()), [Rule::Left]);
-    assert_eq!(verdict(play(300_000), &Bounds { machine_slack: 1_000_000, ..Bounds::default() }), []);
+    assert_eq!(verdict(events_with(200_000), &Bounds::default()), []);
+    assert_eq!(verdict(events_with(300_000), &Bounds::default()), [Rule::Left]);
+    assert_eq!(verdict(events_with(300_000), &Bounds { machine_slack: 1_000_000, ..Bounds::default() }), []);
 }
 
 #[test]
 fn a_statement_with_a_longer_time_limit_than_its_client_has_left_is_a_breach() {
-    let play = |wait: Micros| {
+    let events_with = |wait: Micros| {
         vec![
             (1_000, request(7)),
             (2_000, EventKind::Sent { id: 7, first: false }),
@@ -491,13 +491,13 @@
             (400_000, EventKind::Ended { id: 7, how: RequestEnd::Refused, value: 0 }),
         ]
     };
-    assert_eq!(verdict(play(500_000), &Bounds::default()), []);
-    assert_eq!(verdict(play(520_000), &Bounds::default()), [Rule::Deadline]);
+    assert_eq!(verdict(events_with(500_000), &Bounds::default()), []);
+    assert_eq!(verdict(events_with(520_000), &Bounds::default()), [Rule::Deadline]);
 }
 
 #[test]
 fn a_delay_by_the_machine_extends_the_time_limit_by_no_more_than_the_delay() {
-    let play = |wait: Micros, delays: &[(Micros, Option<u32>, Micros)]| {
+    let events_with = |wait: Micros, delays: &[(Micros, Option<u32>, Micros)]| {
         let mut events = vec![
             (1_000, request(7)),
             (2_000, EventKind::Sent { id: 7, first: false }),
@@ -511,15 +511,19 @@
         events.sort_by_key(|(at, _)| *at);
         verdict(events, &Bounds::default())
     };
-    assert_eq!(play(600_000, &[]), [Rule::Deadline]);
+    assert_eq!(events_with(600_000, &[]), [Rule::Deadline]);
     for party in [Some(1), None] {
-        assert_eq!(play(600_000, &[(250_000, party, 120_000)]), []);
-        assert_eq!(play(600_000, &[(250_000, party, 50_000)]), [Rule::Deadline]);
+        assert_eq!(events_with(600_000, &[(250_000, party, 120_000)]), []);
+        assert_eq!(events_with(600_000, &[(250_000, party, 50_000)]), [Rule::Deadline]);
     }
-    assert_eq!(play(600_000, &[(250_000, Some(2), 120_000)]), [Rule::Deadline], "the delay of another proxy");
-    assert_eq!(play(600_000, &[(120_000, Some(1), 200_000)]), [], "only a part of the delay is needed");
+    assert_eq!(
+        events_with(600_000, &[(250_000, Some(2), 120_000)]),
+        [Rule::Deadline],
+        "the delay of another proxy"
+    );
+    assert_eq!(events_with(600_000, &[(120_000, Some(1), 200_000)]), [], "only a part of the delay counts");
     // Overlapping delays are not counted twice.
-    assert_eq!(play(600_000, &[(250_000, None, 50_000), (255_000, None, 55_000)]), [Rule::Deadline]);
+    assert_eq!(events_with(600_000, &[(250_000, None, 50_000), (255_000, None, 55_000)]), [Rule::Deadline]);
 }
 
 #[test]
--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -179,7 +179,7 @@
         let query = wire::query(
             "SELECT v FROM records WHERE k = 'k' /* id=1,c=monthly-report,t=acme,d=400,cluster=1 */",
         );
-        let said = match rng.u32(0..5) {
+        let bytes = match rng.u32(0..5) {
             0 => wire::startup()[..rng.usize(1..8)].to_vec(),
             1 => [wire::startup(), query[..rng.usize(1..query.len())].to_vec()].concat(),
             2 => [wire::startup(), vec![0xff; rng.usize(1..400)]].concat(),
@@ -189,7 +189,7 @@
         };
         let id = u64::from_str_radix(&request_id(), 16).unwrap_or(0);
         let Ok(mut stream) = tokio::net::TcpStream::connect(world.front(proxy)).await else { continue };
-        if tokio::io::AsyncWriteExt::write_all(&mut stream, &said).await.is_err() {
+        if tokio::io::AsyncWriteExt::write_all(&mut stream, &bytes).await.is_err() {
             continue;
         }
         world.log().record(EventKind::Begun { id, proxy });
--- a/crates/standins/src/rig/measure.rs
+++ b/crates/standins/src/rig/measure.rs
@@ -194,8 +194,8 @@
         events.insert(0, Event { at: 0, what: EventKind::Exec { proxy: 1 } });
         events.push(Event { at: 3_400_000, what: EventKind::Exec { proxy: 2 } });
         let full = times_to_full_service(&events);
-        // Requests are sent at the start of each 100 ms; a second of full service must not contain the bad ones at
-        // 1.4 s.
+        // Requests are sent in the first of the 20 steps of each 100 ms. The requests at 1.4 s are bad, so that the
+        // first second of full service starts one step later.
         assert_eq!(full.get(&1), Some(&205_000), "{full:?}");
         assert_eq!(full.get(&2), None, "it got no requests");
     }
--- a/crates/standins/src/rig/relay.rs
+++ b/crates/standins/src/rig/relay.rs
@@ -199,7 +199,7 @@
         let now = *fault.borrow_and_update();
         let bytes = async {
             match now.reset_after {
-                Some(most) => passed.wait_for(|n| *n >= most).await.is_ok(),
+                Some(limit) => passed.wait_for(|n| *n >= limit).await.is_ok(),
                 None => std::future::pending().await,
             }
         };
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -70,24 +70,24 @@
     }
 }
 
-/// Runs a scenario with this program. `said` is called with a line about each step; setting `stop` ends the run
-/// early.
+/// Runs a scenario with this program. `progress` is called with a line about each step, and `adjust_setup` may change
+/// the setup of each proxy. Setting `stop` ends the run early.
 ///
 /// # Errors
 /// If the world cannot be set up or a step fails.
 pub fn run(
     script: &Script,
     program: &Path,
-    more: impl Fn(&mut Setup, u32, &Path),
-    said: impl Fn(&str),
+    adjust_setup: impl Fn(&mut Setup, u32, &Path),
+    progress: impl Fn(&str),
     stop: &AtomicBool,
 ) -> Result<Outcome> {
     let log = EventLog::default();
     let _watch = log.watch_stalls();
-    let world = World::start(script, program, log.clone(), more)?;
+    let world = World::start(script, program, log.clone(), adjust_setup)?;
     let _delays = run_delay::watch(&world);
     let began = Instant::now();
-    said(&format!("{} proxies serve after {} ms", script.proxies, log.now() / 1000));
+    progress(&format!("{} proxies serve after {} ms", script.proxies, log.now() / 1000));
     let load_ended = Arc::new(AtomicBool::new(false));
     let mut clients = clients::start(&world, &load_ended);
     clients.extend(clients::start_bad(&world, &load_ended));
@@ -107,7 +107,7 @@
             if stop.load(Ordering::Relaxed) {
                 break;
             }
-            said(&format!("{:6} ms  {step:?}", at.as_millis()));
+            progress(&format!("{:6} ms  {step:?}", at.as_millis()));
             // The order matters only in scenarios that damage folders, as that requires that the process has ended.
             let processes = if damages_stores { world.processes_changed_by(step) } else { Vec::new() };
             let (world, guard) = (&world, order.next(&processes));
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -227,8 +227,8 @@
             };
             let relayed: HashMap<String, String> =
                 (1..=member_setup.members).collect::<Vec<_>>().iter().filter_map(relayed).collect();
-            let mut known = list.clone();
-            for entry in &mut known {
+            let mut configured_list = list.clone();
+            for entry in &mut configured_list {
                 show(entry, &relayed);
             }
             let mut list_address = registry.door(n, log.clone(), relayed, list_relayed.contains(&n));
@@ -244,9 +244,14 @@
                 front = relay.address();
                 client_links.insert(n, relay);
             }
-            let known = if script.list_configured { known } else { Vec::new() };
-            let mut config =
-                proxy::config(&list_address.to_string(), &known, settings(script), script.sockets, 192);
+            let configured_list = if script.list_configured { configured_list } else { Vec::new() };
+            let mut config = proxy::config(
+                &list_address.to_string(),
+                &configured_list,
+                settings(script),
+                script.sockets,
+                192,
+            );
             config["name"] = format!("p{n}").into();
             config["listen"] = listen.to_string().into();
             config["console"] = "127.0.0.1:0".into();
@@ -465,8 +470,9 @@
             self.start_all(&[n], Duration::ZERO)
         };
         std::thread::scope(|scope| {
-            let ends: Vec<_> = self.proxies(who).into_iter().map(|n| scope.spawn(move || one(n))).collect();
-            ends.into_iter().try_for_each(|t| {
+            let threads: Vec<_> =
+                self.proxies(who).into_iter().map(|n| scope.spawn(move || one(n))).collect();
+            threads.into_iter().try_for_each(|t| {
                 t.join().unwrap_or_else(|_| Err(Error::other("a thread of the rig panicked")))
             })
         })
