--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -1,9 +1,9 @@
-//! A run of a scenario from its start to its verdict.
+//! Runs a scenario from its start to its verdict.
 
 use super::checker::{judge, Rule, Verdict};
 use super::clients;
-use super::events::{Event, Log, Us, What};
-use super::measure::{came_back, each, Return};
+use super::events::{Event, EventKind, EventLog, Micros};
+use super::measure::{recovery, times_to_full_service, Recovery};
 use super::run_delay;
 use super::script::{Script, Step};
 use super::world::World;
@@ -16,114 +16,115 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The first part of a run is left out of what held before the fault.
-pub const SETTLES: Us = 1_000_000;
+/// The share of good answers before the fault is measured only after this initial part of a run.
+pub const SETTLING_TIME: Micros = 1_000_000;
 
-/// The load goes on for so long where changes of the rules were under way at its end.
-const AFTER_CHANGES: Duration = Duration::from_secs(2);
+/// How much longer the load goes on when changes of the rules were in progress at the end of the scenario.
+const LOAD_AFTER_CHANGES: Duration = Duration::from_secs(2);
 
-/// What a run has shown.
+/// The results of a run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The checker's verdict.
     pub verdict: Verdict,
-    /// How service came back, where there was a fault.
-    pub back: Option<Return>,
-    /// Counters of the proxies that ran at the end, summed up.
+    /// How the service recovered, if there was a fault.
+    pub recovery: Option<Recovery>,
+    /// Sums of the counters of the proxies that ran at the end.
     pub counters: BTreeMap<String, u64>,
-    /// Each proxy's time to full service after its last start, as its clients saw it and as it tells itself, where both
-    /// are known.
-    pub each: BTreeMap<u32, (Us, Us)>,
-    /// The whole log.
+    /// Each proxy's time to full service after its last start, as its clients saw it and as the proxy reports it,
+    /// where both are available.
+    pub full_service_times: BTreeMap<u32, (Micros, Micros)>,
+    /// All events of the run.
     pub events: Vec<Event>,
 }
 
-/// Steps on one process's life, in their order, however long each takes on a busy machine.
+/// Keeps the steps that change the same process in their order, however long each takes on a busy machine.
 #[derive(Default)]
-struct Turns(BTreeMap<u32, Receiver<()>>);
+struct StepOrder(BTreeMap<u32, Receiver<()>>);
 
-/// One step's turn: over when it is dropped.
-struct Turn {
+/// The place of one step in the order. Dropping it lets the next steps run.
+struct StepGuard {
     before: Vec<Receiver<()>>,
-    _over: Vec<Sender<()>>,
+    _done: Vec<Sender<()>>,
 }
 
-impl Turns {
-    fn next(&mut self, proxies: &[u32]) -> Turn {
-        let mut turn = Turn { before: Vec::new(), _over: Vec::new() };
+impl StepOrder {
+    fn next(&mut self, proxies: &[u32]) -> StepGuard {
+        let mut guard = StepGuard { before: Vec::new(), _done: Vec::new() };
         for proxy in proxies {
-            let (over, after) = channel();
-            turn.before.extend(self.0.insert(*proxy, after));
-            turn._over.push(over);
+            let (done, after) = channel();
+            guard.before.extend(self.0.insert(*proxy, after));
+            guard._done.push(done);
         }
-        turn
+        guard
     }
 }
 
-impl Turn {
-    /// Returns when the steps before it are over.
+impl StepGuard {
+    /// Blocks until the earlier steps on the same processes have ended.
     fn wait(&self) {
         for before in &self.before {
-            // Nothing is ever sent: the other end goes with its turn.
+            // Nothing is ever sent: `recv` returns when the sender is dropped with its step.
             let _ = before.recv();
         }
     }
 }
 
-/// Runs a scenario with this program; `said` hears of each step, and a set `stop` ends it early.
+/// Runs a scenario with this program. `progress` is called with a line about each step, and `adjust_setup` may change
+/// the setup of each proxy. Setting `stop` ends the run early.
 ///
 /// # Errors
-/// When the world cannot be set up or a step cannot be carried out.
+/// If the world cannot be set up or a step fails.
 pub fn run(
     script: &Script,
     program: &Path,
-    more: impl Fn(&mut Setup, u32, &Path),
-    said: impl Fn(&str),
+    adjust_setup: impl Fn(&mut Setup, u32, &Path),
+    progress: impl Fn(&str),
     stop: &AtomicBool,
 ) -> Result<Outcome> {
-    let log = Log::default();
-    let _watch = log.watch();
-    let world = World::start(script, program, log.clone(), more)?;
+    let log = EventLog::default();
+    let _watch = log.watch_stalls();
+    let world = World::start(script, program, log.clone(), adjust_setup)?;
     let _delays = run_delay::watch(&world);
     let began = Instant::now();
-    said(&format!("{} proxies serve after {} ms", script.proxies, log.now() / 1000));
-    let ends = Arc::new(AtomicBool::new(false));
-    let mut clients = clients::start(&world, &ends);
-    clients.extend(clients::start_bad(&world, &ends));
-    clients.extend(clients::start_idle(&world, &ends));
-    clients.extend(clients::start_surges(&world, &ends));
+    progress(&format!("{} proxies serve after {} ms", script.proxies, log.now() / 1000));
+    let load_ended = Arc::new(AtomicBool::new(false));
+    let mut clients = clients::start(&world, &load_ended);
+    clients.extend(clients::start_bad(&world, &load_ended));
+    clients.extend(clients::start_idle(&world, &load_ended));
+    clients.extend(clients::start_surges(&world, &load_ended));
     let wait = |until: Instant| {
         while Instant::now() < until && !stop.load(Ordering::Relaxed) {
             std::thread::sleep((until - Instant::now()).min(Duration::from_millis(20)));
         }
     };
-    // Steps that take their time must not hold up those after them, but for those on the same process and its folder.
-    let harms = script.steps.iter().any(|(_, step)| matches!(step, Step::Harm(..)));
+    // A step that takes long must not delay later steps, except those on the same process and its folder.
+    let damages_stores = script.steps.iter().any(|(_, step)| matches!(step, Step::Harm(..)));
     let result = std::thread::scope(|scope| {
-        let (mut steps, mut turns) = (Vec::new(), Turns::default());
+        let (mut steps, mut order) = (Vec::new(), StepOrder::default());
         for (at, step) in &script.steps {
             wait(began + *at);
             if stop.load(Ordering::Relaxed) {
                 break;
             }
-            said(&format!("{:6} ms  {step:?}", at.as_millis()));
-            // Only what comes to a folder depends on whether its process has ended.
-            let touched = if harms { world.lives_touched_by(step) } else { Vec::new() };
-            let (world, turn) = (&world, turns.next(&touched));
+            progress(&format!("{:6} ms  {step:?}", at.as_millis()));
+            // The order matters only in scenarios that damage folders, as that requires that the process has ended.
+            let processes = if damages_stores { world.processes_changed_by(step) } else { Vec::new() };
+            let (world, guard) = (&world, order.next(&processes));
             let handle = scope.spawn(move || {
-                turn.wait();
+                guard.wait();
                 world.step(step)
             });
             steps.push((step.changes_rules(), handle));
         }
         wait(began + script.end);
-        // On a busy machine a change may be in force only now, and some load has to meet it.
+        // On a busy machine a change may only now come into force; some load must run after that.
         while steps.iter().any(|(changes_rules, handle)| *changes_rules && !handle.is_finished()) {
-            wait(Instant::now() + AFTER_CHANGES);
+            wait(Instant::now() + LOAD_AFTER_CHANGES);
         }
-        ends.store(true, Ordering::Relaxed);
+        load_ended.store(true, Ordering::Relaxed);
         steps.into_iter().try_for_each(|(_, handle)| {
-            handle.join().unwrap_or_else(|_| Err(std::io::Error::other("a step has panicked")))
+            handle.join().unwrap_or_else(|_| Err(std::io::Error::other("a step of the scenario panicked")))
         })
     });
     crate::runtime().block_on(async {
@@ -138,34 +139,41 @@
     for (name, count) in by_proxy.values().flatten() {
         *counters.entry(name.clone()).or_default() += count;
     }
-    let (events, lost) = log.take();
+    let (events, lost) = log.events();
     let mut verdict = judge(&events, lost, &script.bounds);
     for proxy in crashed {
-        verdict.breach(Rule::Crash, log.now(), format!("proxy {proxy} has ended by itself"));
+        verdict.add_breach(Rule::Crash, log.now(), format!("proxy {proxy} ended without being told to"));
     }
     for (proxy, count) in by_proxy.iter().filter_map(|(p, c)| Some((p, *c.get("violations")?))) {
         if count > 0 {
-            verdict.breach(Rule::Invariant, log.now(), format!("proxy {proxy} counts {count} violations"));
+            verdict.add_breach(
+                Rule::Invariant,
+                log.now(),
+                format!("proxy {proxy} counted {count} violations"),
+            );
         }
     }
-    // From when the proxies serve: the load begins then.
-    let served = events.iter().find(|e| matches!(e.what, What::Asked { .. })).map_or(0, |e| e.at);
-    let back = came_back(&events, served + SETTLES);
-    if let (Some(most), Some(back)) = (script.full, &back) {
-        let late = back.full.is_none_or(|full| full > most.as_micros() as Us);
+    // The load starts when the proxies serve.
+    let served = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
+    let back = recovery(&events, served + SETTLING_TIME);
+    if let (Some(limit), Some(back)) = (script.full_service_max, &back) {
+        let late = back.time_to_full.is_none_or(|full| full > limit.as_micros() as Micros);
         if late {
             let what = format!(
                 "full service after {:?} ms, {} allowed",
-                back.full.map(|t| t / 1000),
-                most.as_millis()
+                back.time_to_full.map(|t| t / 1000),
+                limit.as_millis()
             );
-            verdict.breach(Rule::Full, back.began, what);
+            verdict.add_breach(Rule::Full, back.began, what);
         }
     }
-    let told = |p: &u32| {
+    let reported = |p: &u32| {
         let counters = by_proxy.get(p).filter(|c| c.contains_key("full_service"))?;
         Some(counters.get("full_service_ms").copied().unwrap_or(0) * 1000)
     };
-    let each = each(&events).into_iter().filter_map(|(p, seen)| Some((p, (seen, told(&p)?)))).collect();
-    Ok(Outcome { verdict, back, counters, each, events })
+    let each = times_to_full_service(&events)
+        .into_iter()
+        .filter_map(|(p, seen)| Some((p, (seen, reported(&p)?))))
+        .collect();
+    Ok(Outcome { verdict, recovery: back, counters, full_service_times: each, events })
 }
