--- a/crates/lab/src/cost/mod.rs
+++ b/crates/lab/src/cost/mod.rs
@@ -19,7 +19,7 @@
 use cases::{Case, Kind};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use linentrail_standins::client::Ask;
+use linentrail_standins::client::ClientRequest;
 use linentrail_standins::member::{Behaviour, Capacity};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -233,7 +233,13 @@
         }
     }
     let value = (case.class == "place-order").then(|| vec![0x5a; case.size]);
-    let ask = Ask { class: case.class, key: key.to_string(), value, wait_ms: case.wait_ms(), after: None };
+    let ask = ClientRequest {
+        class: case.class,
+        key: key.to_string(),
+        value,
+        wait_ms: case.wait_ms(),
+        after: None,
+    };
     let asks: drive::Asks = Arc::new(move |_| ask.clone());
     let to = world.address(case.front);
     let long = (case.length / short).max(case.clients as u64 * 2);
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -9,7 +9,7 @@
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use hdrhistogram::Histogram;
-use linentrail_standins::client::{Ask, Told};
+use linentrail_standins::client::{ClientAnswer, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
         let (own, wait_ms) = (class % 2 == 1, [500, 1_200, 750, 3_000][class]);
         let key = if own { key.clone() } else { "common".to_string() };
         let after = (class == 1).then(|| group.committed(&key)).flatten();
-        let ask = Ask { class: CLASSES[class], key, value: value.clone(), wait_ms, after };
+        let ask = ClientRequest { class: CLASSES[class], key, value: value.clone(), wait_ms, after };
         let began = Instant::now();
         with(&book, |b| b.seen.asked += 1);
         let told = async {
@@ -101,15 +101,15 @@
                 None => Err(std::io::ErrorKind::NotConnected.into()),
             }
         };
-        let told: std::io::Result<Told> = told.await;
+        let told: std::io::Result<ClientAnswer> = told.await;
         let spent = began.elapsed();
-        let strays = conn.as_ref().map_or(0, Conn::strays);
+        let strays = conn.as_ref().map_or(0, Conn::unread_bytes);
         with(&book, |b| {
             b.seen.answered += u64::from(told.is_ok());
             b.seen.strays += u64::from(strays > 0);
             let row = &mut b.rows[class];
             match &told {
-                Ok(Told::Served(bytes)) => {
+                Ok(ClientAnswer::Served(bytes)) => {
                     row.served += 1;
                     row.times.saturating_record(u64::try_from(spent.as_nanos()).unwrap_or(u64::MAX).max(1));
                     b.seen.booked += u64::from(class == 3);
@@ -120,14 +120,14 @@
                     };
                     b.seen.foreign += u64::from(!made);
                 }
-                Ok(Told::Refused(_)) => row.refused += 1,
+                Ok(ClientAnswer::Refused(_)) => row.refused += 1,
                 _ => row.failed += 1,
             }
         });
         if let Some(value) = value {
             session.wrote(value, told.as_ref().ok());
         }
-        if let Ok(Told::Refused(Some(ms))) = told {
+        if let Ok(ClientAnswer::Refused(Some(ms))) = told {
             tokio::time::sleep(Duration::from_millis(ms.min(500))).await;
         }
         if told.is_err() {
--- a/crates/lab/src/drive.rs
+++ b/crates/lab/src/drive.rs
@@ -4,7 +4,7 @@
 //! standstill is not left out of the figures (coordinated omission).
 
 use hdrhistogram::Histogram;
-use linentrail_standins::client::{Ask, Odata, Pg, Told};
+use linentrail_standins::client::{ClientAnswer, ClientRequest, ODataClient, PgClient};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -84,15 +84,15 @@
         self.broken += other.broken;
     }
 
-    fn take(&mut self, told: &std::io::Result<Told>, spent: Duration) {
+    fn take(&mut self, told: &std::io::Result<ClientAnswer>, spent: Duration) {
         match told {
-            Ok(Told::Served(_)) => {
+            Ok(ClientAnswer::Served(_)) => {
                 self.served += 1;
                 let ns = u64::try_from(spent.as_nanos()).unwrap_or(u64::MAX).max(1);
                 self.times.saturating_record(ns);
             }
-            Ok(Told::Refused(_)) => self.refused += 1,
-            Ok(Told::Failed(_)) => self.failed += 1,
+            Ok(ClientAnswer::Refused(_)) => self.refused += 1,
+            Ok(ClientAnswer::Failed(_)) => self.failed += 1,
             Err(_) => self.broken += 1,
         }
     }
@@ -106,39 +106,39 @@
 /// A connection by either front.
 pub enum Conn {
     /// PostgreSQL's protocol.
-    Pg(Pg),
+    Pg(PgClient),
     /// OData.
-    Odata(Odata),
+    Odata(ODataClient),
 }
 
 impl Conn {
     /// Connects.
     pub async fn open(front: Front, to: SocketAddr) -> std::io::Result<Self> {
         Ok(match front {
-            Front::Pg => Conn::Pg(Pg::connect(to).await?),
-            Front::Odata => Conn::Odata(Odata::connect(to).await?),
+            Front::Pg => Conn::Pg(PgClient::connect(to).await?),
+            Front::Odata => Conn::Odata(ODataClient::connect(to).await?),
         })
     }
 
     /// Asks, and waits for the answer.
-    pub async fn ask(&mut self, ask: &Ask) -> std::io::Result<Told> {
+    pub async fn ask(&mut self, ask: &ClientRequest) -> std::io::Result<ClientAnswer> {
         match self {
-            Conn::Pg(c) => c.ask(ask).await,
-            Conn::Odata(c) => c.ask(ask).await,
+            Conn::Pg(c) => c.request(ask).await,
+            Conn::Odata(c) => c.request(ask).await,
         }
     }
 
     /// Bytes that came without being asked for, where the front can tell.
-    pub fn strays(&self) -> usize {
+    pub fn unread_bytes(&self) -> usize {
         match self {
-            Conn::Pg(c) => c.strays(),
+            Conn::Pg(c) => c.unread_bytes(),
             Conn::Odata(_) => 0,
         }
     }
 }
 
 /// Makes the n-th request.
-pub type Asks = Arc<dyn Fn(u64) -> Ask + Send + Sync>;
+pub type Asks = Arc<dyn Fn(u64) -> ClientRequest + Send + Sync>;
 
 /// When the n-th request is due, and whether it still is one of the run.
 #[derive(Clone, Copy)]
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -5,7 +5,7 @@
 use crate::Failure;
 use clap::{Args, ValueEnum};
 use hdrhistogram::Histogram;
-use linentrail_standins::client::Ask;
+use linentrail_standins::client::ClientRequest;
 use linentrail_standins::member::Capacity;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -127,7 +127,7 @@
     }
     let class = CLASSES.into_iter().find(|c| *c == options.class).unwrap_or(CLASSES[0]);
     let value = (class == "place-order").then(|| vec![0x5a; options.size as usize]);
-    let ask = Ask { class, key: "k0".to_string(), value, wait_ms: 3_000, after: None };
+    let ask = ClientRequest { class, key: "k0".to_string(), value, wait_ms: 3_000, after: None };
     let asks: drive::Asks = Arc::new(move |_| ask.clone());
     let (clients, span) = (options.clients as usize, Duration::from_secs_f64(options.seconds));
     let began = Instant::now();
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules that a client can check from outside: one answer each, no charge twice, no stale read of one's own.
 
-use linentrail_standins::client::Told;
+use linentrail_standins::client::ClientAnswer;
 use linentrail_standins::group::Group;
 
 /// What a session knows of its own writes.
@@ -14,11 +14,11 @@
 
 impl Session {
     /// Takes in the answer to a write.
-    pub fn wrote(&mut self, value: Vec<u8>, told: Option<&Told>) {
+    pub fn wrote(&mut self, value: Vec<u8>, told: Option<&ClientAnswer>) {
         match told {
-            Some(Told::Served(_)) => *self = Session { sure: Some(value), perhaps: Vec::new() },
-            Some(Told::Refused(_)) => {}
-            Some(Told::Failed(_)) | None => self.perhaps.push(value),
+            Some(ClientAnswer::Served(_)) => *self = Session { sure: Some(value), perhaps: Vec::new() },
+            Some(ClientAnswer::Refused(_)) => {}
+            Some(ClientAnswer::Failed(_)) | None => self.perhaps.push(value),
         }
     }
 
@@ -84,12 +84,12 @@
     fn a_read_must_show_the_last_write_that_was_served_or_a_later_one_that_may_have_run() {
         let mut session = Session::default();
         assert!(session.fits(b"") && !session.fits(b"x"));
-        session.wrote(b"a".to_vec(), Some(&Told::Served(b"a".to_vec())));
+        session.wrote(b"a".to_vec(), Some(&ClientAnswer::Served(b"a".to_vec())));
         assert!(session.fits(b"a") && !session.fits(b""));
-        session.wrote(b"b".to_vec(), Some(&Told::Failed("XX000".into())));
-        session.wrote(b"c".to_vec(), Some(&Told::Refused(None)));
+        session.wrote(b"b".to_vec(), Some(&ClientAnswer::Failed("XX000".into())));
+        session.wrote(b"c".to_vec(), Some(&ClientAnswer::Refused(None)));
         assert!(session.fits(b"a") && session.fits(b"b") && !session.fits(b"c"));
-        session.wrote(b"d".to_vec(), Some(&Told::Served(b"d".to_vec())));
+        session.wrote(b"d".to_vec(), Some(&ClientAnswer::Served(b"d".to_vec())));
         assert!(session.fits(b"d") && !session.fits(b"a") && !session.fits(b"b"));
     }
 
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -10,7 +10,7 @@
 
 /// What a client asks for.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The class, by name.
     pub class: &'static str,
     /// The key.
@@ -25,7 +25,7 @@
 
 /// What a client was told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum ClientAnswer {
     /// The value, empty where the key is unknown.
     Served(Vec<u8>),
     /// Refused, and when to come back in ms.
@@ -40,15 +40,15 @@
     format!("{:08x}{:08x}", std::process::id(), LAST.fetch_add(1, Ordering::Relaxed))
 }
 
-impl Ask {
+impl ClientRequest {
     /// The statement under an id.
     pub fn sql(&self, id: &str) -> String {
-        self.sql_for(id, 1, false)
+        self.sql_for_group(id, 1, false)
     }
 
     /// The same for a group, and for a client that has tried before.
-    pub fn sql_for(&self, id: &str, group: u32, again: bool) -> String {
-        let Ask { class, key, value, wait_ms, after } = self;
+    pub fn sql_for_group(&self, id: &str, group: u32, again: bool) -> String {
+        let ClientRequest { class, key, value, wait_ms, after } = self;
         let head = match value {
             None => format!("SELECT v FROM records WHERE k = '{key}'"),
             Some(value) => {
@@ -65,28 +65,28 @@
 const FATAL: &[u8] = b"SFATAL\0";
 
 /// What the fields of an error tell.
-fn told_by_error(fields: &[u8]) -> Told {
+fn told_by_error(fields: &[u8]) -> ClientAnswer {
     let text = String::from_utf8_lossy(fields);
     let field = |name: char| text.split('\0').find_map(|t| t.strip_prefix(name));
     match field('C') {
-        Some("53300" | "57P03") => Told::Refused(field('D').and_then(|d| d.parse().ok())),
-        code => Told::Failed(code.unwrap_or_default().to_string()),
+        Some("53300" | "57P03") => ClientAnswer::Refused(field('D').and_then(|d| d.parse().ok())),
+        code => ClientAnswer::Failed(code.unwrap_or_default().to_string()),
     }
 }
 
 /// A client by PostgreSQL's protocol.
-pub struct Pg {
+pub struct PgClient {
     stream: BufReader<TcpStream>,
     body: Vec<u8>,
 }
 
-impl Pg {
+impl PgClient {
     /// Connects, and waits for the welcome.
     ///
     /// # Errors
     /// When there is none.
     pub async fn connect(to: SocketAddr) -> Result<Self> {
-        let mut this = Pg::connect_silently(to).await?;
+        let mut this = PgClient::connect_without_startup(to).await?;
         this.stream.write_all(&wire::startup()).await?;
         while wire::read_async(&mut this.stream, true, &mut this.body).await? != b'Z' {}
         Ok(this)
@@ -96,24 +96,24 @@
     ///
     /// # Errors
     /// When no connection comes up.
-    pub async fn connect_silently(to: SocketAddr) -> Result<Self> {
+    pub async fn connect_without_startup(to: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        Ok(Pg { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
+        Ok(PgClient { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
     }
 
     /// Sends the startup and these queries in one go, as the protocol allows, and gives the answer to the first of them: what
     /// comes behind the welcome, or a fatal error in its place.
     ///
     /// # Errors
-    /// As [`Pg::answer`].
-    pub async fn ask_with_startup(&mut self, queries: &[u8]) -> Result<Told> {
+    /// As [`PgClient::answer`].
+    pub async fn request_with_startup(&mut self, queries: &[u8]) -> Result<ClientAnswer> {
         // Where the other side has ended the connection already, its last word may still be read.
         let _ = self.stream.write_all(&[&wire::startup(), queries].concat()).await;
         self.first_answer().await
     }
 
-    async fn first_answer(&mut self) -> Result<Told> {
+    async fn first_answer(&mut self) -> Result<ClientAnswer> {
         loop {
             match wire::read_async(&mut self.stream, true, &mut self.body).await? {
                 b'Z' => return self.answer().await,
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// When the connection ends first, or the answer is not one row or one error.
-    pub async fn answer(&mut self) -> Result<Told> {
+    pub async fn answer(&mut self) -> Result<ClientAnswer> {
         let mut told = None;
         loop {
             let tag = wire::read_async(&mut self.stream, true, &mut self.body).await?;
@@ -144,9 +144,9 @@
                 b'Z' => {
                     return told.ok_or_else(|| Error::new(ErrorKind::InvalidData, "an answer of nothing"))
                 }
-                b'D' => Told::Served(body.get(6..).unwrap_or_default().to_vec()),
-                b'C' if told.is_none() => Told::Served(Vec::new()),
-                b'I' => Told::Served(Vec::new()),
+                b'D' => ClientAnswer::Served(body.get(6..).unwrap_or_default().to_vec()),
+                b'C' if told.is_none() => ClientAnswer::Served(Vec::new()),
+                b'I' => ClientAnswer::Served(Vec::new()),
                 // Nothing comes behind a fatal error.
                 b'E' if body.starts_with(FATAL) => return Ok(told_by_error(body)),
                 b'E' => told_by_error(body),
@@ -162,8 +162,8 @@
     /// Asks, and waits for the answer.
     ///
     /// # Errors
-    /// As [`Pg::answer`].
-    pub async fn ask(&mut self, ask: &Ask) -> Result<Told> {
+    /// As [`PgClient::answer`].
+    pub async fn request(&mut self, ask: &ClientRequest) -> Result<ClientAnswer> {
         self.send(&wire::query(&ask.sql(&request_id()))).await?;
         self.answer().await
     }
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     /// When the connection breaks first.
-    pub async fn some(&mut self) -> Result<usize> {
+    pub async fn wait_for_data(&mut self) -> Result<usize> {
         Ok(self.stream.fill_buf().await?.len())
     }
 
@@ -183,18 +183,18 @@
     }
 
     /// Bytes that came without being asked for.
-    pub fn strays(&self) -> usize {
+    pub fn unread_bytes(&self) -> usize {
         self.stream.buffer().len()
     }
 }
 
 /// A client by OData.
-pub struct Odata {
+pub struct ODataClient {
     stream: BufReader<TcpStream>,
     body: Vec<u8>,
 }
 
-impl Odata {
+impl ODataClient {
     /// Connects.
     ///
     /// # Errors
@@ -202,21 +202,21 @@
     pub async fn connect(to: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        Ok(Odata { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
+        Ok(ODataClient { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
     }
 
     /// Asks, and waits for the answer; a booking under a repeat id of its own.
     ///
     /// # Errors
-    /// As [`Odata::answer`].
-    pub async fn ask(&mut self, ask: &Ask) -> Result<Told> {
+    /// As [`ODataClient::answer`].
+    pub async fn request(&mut self, ask: &ClientRequest) -> Result<ClientAnswer> {
         self.send(ask).await;
         self.answer().await
     }
 
     /// Sends a request.
-    pub async fn send(&mut self, ask: &Ask) {
-        let Ask { class, key, value, wait_ms, after } = ask;
+    pub async fn send(&mut self, ask: &ClientRequest) {
+        let ClientRequest { class, key, value, wait_ms, after } = ask;
         let after = after.map_or(String::new(), |a| format!("Skip-After: {a}\r\n"));
         let fields = format!(
             "Host: t\r\nSkip-Class: {class}\r\nSkip-Tenant: acme\r\nSkip-Group: 1\r\nSkip-Wait: {wait_ms}\r\n{after}"
@@ -243,7 +243,7 @@
     ///
     /// # Errors
     /// When the connection ends first, or the answer cannot be read.
-    pub async fn answer(&mut self) -> Result<Told> {
+    pub async fn answer(&mut self) -> Result<ClientAnswer> {
         let bad = |what| Error::new(ErrorKind::InvalidData, what);
         let (mut line, mut status, mut length, mut come_back) = (String::new(), String::new(), 0, None);
         loop {
@@ -273,11 +273,11 @@
                 let value = body.get("v").and_then(|v| v.as_str()).ok_or_else(|| bad("no value"))?;
                 let value =
                     base64::engine::general_purpose::URL_SAFE_NO_PAD.decode(value.trim_end_matches('='));
-                Told::Served(value.map_err(|_| bad("a value that is no base64"))?)
+                ClientAnswer::Served(value.map_err(|_| bad("a value that is no base64"))?)
             }
-            "404" => Told::Served(Vec::new()),
-            "503" => Told::Refused(come_back.map(|s: u64| s * 1000)),
-            _ => Told::Failed(status),
+            "404" => ClientAnswer::Served(Vec::new()),
+            "503" => ClientAnswer::Refused(come_back.map(|s: u64| s * 1000)),
+            _ => ClientAnswer::Failed(status),
         })
     }
 }
--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -3,7 +3,7 @@
 
 use super::events::{Effect, End, Shows, Us, What};
 use super::world::World;
-use crate::client::{request_id, Ask, Pg, Told};
+use crate::client::{request_id, ClientAnswer, ClientRequest, PgClient};
 use crate::proxy::CLASSES;
 use crate::wire;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -46,7 +46,7 @@
     world: World,
     rng: fastrand::Rng,
     home: u32,
-    conn: Option<Pg>,
+    conn: Option<PgClient>,
     writes: u64,
 }
 
@@ -109,10 +109,10 @@
 
 /// One request on a connection of its own; what is not accepted was not asked.
 async fn surge_client(world: World, proxy: u32, n: u32, way: Duration) {
-    let Ok(mut conn) = Pg::connect_silently(world.front(proxy)).await else { return };
+    let Ok(mut conn) = PgClient::connect_without_startup(world.front(proxy)).await else { return };
     let (name, aim, wait_ms) = CLASSES[SURGE_CLASS];
     let key = format!("surge{n}");
-    let ask = Ask { class: name, key: key.clone(), value: None, wait_ms, after: None };
+    let ask = ClientRequest { class: name, key: key.clone(), value: None, wait_ms, after: None };
     let (id, log) = (request_id(), world.log().clone());
     let number = u64::from_str_radix(&id, 16).unwrap_or(0);
     let group = n % world.script().make.groups + 1;
@@ -121,21 +121,21 @@
     let effect = Some(world.script().effects[SURGE_CLASS]);
     log.note(What::Asked { id: number, proxy, key, writes: None, shows: Shows::Any, effect, aim, wait });
     log.note(What::Sent { id: number, first: true });
-    let query = wire::query(&ask.sql_for(&id, group, false));
-    let told = conn.ask_with_startup(&query);
+    let query = wire::query(&ask.sql_for_group(&id, group, false));
+    let told = conn.request_with_startup(&query);
     let patience = Duration::from_micros(wait + world.script().bounds.late) + SILENCE;
     let (how, value) = ending(tokio::time::timeout(patience, told).await);
     log.note(What::Ended { id: number, how, value });
 }
 
 /// How a request has ended, and the number of the value that it brought.
-fn ending(told: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (End, u64) {
+fn ending(told: Result<std::io::Result<ClientAnswer>, tokio::time::error::Elapsed>) -> (End, u64) {
     match told {
-        Ok(Ok(Told::Served(bytes))) => {
+        Ok(Ok(ClientAnswer::Served(bytes))) => {
             (End::Served, bytes.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)))
         }
-        Ok(Ok(Told::Refused(_))) => (End::Refused, 0),
-        Ok(Ok(Told::Failed(_))) => (End::Failed, 0),
+        Ok(Ok(ClientAnswer::Refused(_))) => (End::Refused, 0),
+        Ok(Ok(ClientAnswer::Failed(_))) => (End::Failed, 0),
         Ok(Err(_)) => (End::Broken, 0),
         Err(_) => (End::Silent, 0),
     }
@@ -145,7 +145,7 @@
     while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(rng.u64(0..BAD_CLIENT_PAUSE_MS))).await;
         let proxy = rng.u32(1..=world.script().proxies);
-        let Ok(mut conn) = Pg::connect(world.front(proxy)).await else { continue };
+        let Ok(mut conn) = PgClient::connect(world.front(proxy)).await else { continue };
         // Some are served once, and rest then.
         if rng.bool() && conn.send(&wire::query("")).await.is_err() {
             continue;
@@ -229,7 +229,7 @@
         let value = write.then_some(u64::from(self.n + 1) << 32 | self.writes);
         for again in 0..=AGAIN {
             match self.ask(class, value, again > 0).await {
-                Some(Told::Refused(Some(ms))) if !stop.load(Ordering::Relaxed) => {
+                Some(ClientAnswer::Refused(Some(ms))) if !stop.load(Ordering::Relaxed) => {
                     tokio::time::sleep(Duration::from_millis(ms.min(ADVICE_MOST))).await;
                 }
                 Some(_) => return,
@@ -246,14 +246,14 @@
     }
 
     /// Asks once, under an id of its own; none: no answer.
-    async fn ask(&mut self, class: usize, value: Option<u64>, again: bool) -> Option<Told> {
+    async fn ask(&mut self, class: usize, value: Option<u64>, again: bool) -> Option<ClientAnswer> {
         let (name, aim, wait_ms) = CLASSES[class];
         let group = self.n % self.world.script().make.groups + 1;
         let key = format!("c{}", self.n);
         let carried = self.world.script().sessions_carried;
         let after = if class == 1 && carried { self.world.group(group).committed(&key) } else { None };
         let bytes = value.map(|v| v.to_be_bytes().to_vec());
-        let ask = Ask { class: name, key: key.clone(), value: bytes, wait_ms, after };
+        let ask = ClientRequest { class: name, key: key.clone(), value: bytes, wait_ms, after };
         let shows = match class {
             0 => Shows::Within(AGE),
             1 if carried => Shows::Session,
@@ -279,13 +279,15 @@
             let first = self.conn.is_none();
             let conn = match &mut self.conn {
                 Some(conn) => conn,
-                None if at_once => self.conn.insert(Pg::connect_silently(self.world.front(proxy)).await?),
-                None => self.conn.insert(Pg::connect(self.world.front(proxy)).await?),
+                None if at_once => {
+                    self.conn.insert(PgClient::connect_without_startup(self.world.front(proxy)).await?)
+                }
+                None => self.conn.insert(PgClient::connect(self.world.front(proxy)).await?),
             };
-            let query = wire::query(&ask.sql_for(&id, group, again));
+            let query = wire::query(&ask.sql_for_group(&id, group, again));
             if first && at_once {
                 log.note(What::Sent { id: number, first });
-                return conn.ask_with_startup(&query).await.map(Some);
+                return conn.request_with_startup(&query).await.map(Some);
             }
             conn.send(&query).await?;
             log.note(What::Sent { id: number, first });
@@ -305,7 +307,7 @@
                 self.conn = None;
                 log.note(What::Left { id: number });
                 // What becomes of it is not this client's any more; it asks on.
-                return Some(Told::Failed(String::new()));
+                return Some(ClientAnswer::Failed(String::new()));
             }
             Ok(Ok(Some(told))) => Ok(Ok(told)),
             Ok(Err(e)) => Ok(Err(e)),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,7 +1,7 @@
 //! The program's command line, and a request followed through its log.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{Ask, Pg, Told};
+use linentrail_standins::client::{ClientAnswer, ClientRequest, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{config, settings};
@@ -103,12 +103,16 @@
         }
     };
     let told = runtime().block_on(async {
-        let mut client = Pg::connect(at).await.expect("it connects");
-        let read = |class| Ask { class, key: "k".to_string(), value: None, wait_ms: 9_000, after: None };
-        client.ask(&read("monthly-report")).await.expect("an answer");
-        client.ask(&Ask { value: Some(vec![7]), ..read("place-order") }).await.expect("an answer")
+        let mut client = PgClient::connect(at).await.expect("it connects");
+        let read =
+            |class| ClientRequest { class, key: "k".to_string(), value: None, wait_ms: 9_000, after: None };
+        client.request(&read("monthly-report")).await.expect("an answer");
+        client
+            .request(&ClientRequest { value: Some(vec![7]), ..read("place-order") })
+            .await
+            .expect("an answer")
     });
-    assert_eq!(told, Told::Served(vec![7]));
+    assert_eq!(told, ClientAnswer::Served(vec![7]));
     // All that became of the booking, in its order, under one id; it may have tried the replica first.
     let (mut id, mut story) = (None, Vec::new());
     while story.last().is_none_or(|m| m != "served") {
--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -4,7 +4,7 @@
 //! when it goes on. Every request is answered on its connection, and none is read that is not.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Odata, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, ODataClient, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
@@ -48,23 +48,23 @@
     }
 }
 
-fn ask(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.into(), value: None, wait_ms: 14_000, after: None }
+fn ask(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.into(), value: None, wait_ms: 14_000, after: None }
 }
 
 /// A client by either protocol.
 enum Client {
-    Pg { conn: Pg, started: bool },
-    Odata(Odata),
+    Pg { conn: PgClient, started: bool },
+    Odata(ODataClient),
 }
 
 impl Client {
     /// Connects, and says nothing.
     async fn new(proxy: &Proxy, odata: bool) -> Self {
         if odata {
-            return Client::Odata(Odata::connect(proxy.odata.unwrap()).await.unwrap());
+            return Client::Odata(ODataClient::connect(proxy.odata.unwrap()).await.unwrap());
         }
-        Client::Pg { conn: Pg::connect_silently(proxy.pg).await.unwrap(), started: false }
+        Client::Pg { conn: PgClient::connect_without_startup(proxy.pg).await.unwrap(), started: false }
     }
 
     /// One that was served and rests.
@@ -75,7 +75,7 @@
     }
 
     /// Sends a request of a session that has begun, and waits for nothing.
-    async fn sends(&mut self, ask: &Ask) {
+    async fn sends(&mut self, ask: &ClientRequest) {
         match self {
             Client::Pg { conn, .. } => conn.send(&wire::query(&ask.sql(&request_id()))).await.unwrap(),
             Client::Odata(conn) => conn.send(ask).await,
@@ -83,22 +83,22 @@
     }
 
     /// The next answer.
-    async fn hears(&mut self) -> Result<Told> {
+    async fn hears(&mut self) -> Result<ClientAnswer> {
         match self {
             Client::Pg { conn, .. } => conn.answer().await,
             Client::Odata(conn) => conn.answer().await,
         }
     }
 
-    async fn asks(&mut self, key: &str) -> Result<Told> {
+    async fn asks(&mut self, key: &str) -> Result<ClientAnswer> {
         let answer = async {
             match self {
-                Client::Pg { conn, started: true } => conn.ask(&ask(key)).await,
+                Client::Pg { conn, started: true } => conn.request(&ask(key)).await,
                 Client::Pg { conn, started } => {
                     *started = true;
-                    conn.ask_with_startup(&wire::query(&ask(key).sql(&request_id()))).await
+                    conn.request_with_startup(&wire::query(&ask(key).sql(&request_id()))).await
                 }
-                Client::Odata(conn) => conn.ask(&ask(key)).await,
+                Client::Odata(conn) => conn.request(&ask(key)).await,
             }
         };
         tokio::time::timeout(PATIENCE, answer).await.expect("an answer or an end")
@@ -119,7 +119,10 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     proxy.signal("CONT").unwrap();
     for (_client, answer) in asking.join_all().await {
-        assert!(matches!(answer, Ok(Told::Served(_) | Told::Refused(_))), "{what}: {answer:?}");
+        assert!(
+            matches!(answer, Ok(ClientAnswer::Served(_) | ClientAnswer::Refused(_))),
+            "{what}: {answer:?}"
+        );
     }
 }
 
@@ -285,7 +288,7 @@
             let told = Instant::now();
             // What is out keeps the connection open while the process ends; the late one is sent before its answer has come.
             let late = ask("late");
-            client.sends(&Ask { wait_ms: 2_000, ..ask("early") }).await;
+            client.sends(&ClientRequest { wait_ms: 2_000, ..ask("early") }).await;
             tokio::time::sleep(STILL_COMING + BEFORE).await;
             client.sends(&late).await;
             for what in ["early", "late"] {
@@ -313,16 +316,16 @@
         former.signal("STOP").unwrap();
         let mut asking = tokio::task::JoinSet::new();
         for n in 0..60 {
-            let mut conn = Pg::connect_silently(to).await.unwrap();
+            let mut conn = PgClient::connect_without_startup(to).await.unwrap();
             let query = wire::query(&ask(&format!("k{n}")).sql(&request_id()));
-            asking.spawn(async move { conn.ask_with_startup(&query).await });
+            asking.spawn(async move { conn.request_with_startup(&query).await });
         }
         former.signal("TERM").unwrap();
         former.signal("CONT").unwrap();
         let next = Proxy::start(&world.setup).unwrap();
         let answers = tokio::time::timeout(PATIENCE, asking.join_all()).await.expect("answers");
         for answer in answers {
-            assert!(matches!(answer, Ok(Told::Served(_) | Told::Refused(_))), "{answer:?}");
+            assert!(matches!(answer, Ok(ClientAnswer::Served(_) | ClientAnswer::Refused(_))), "{answer:?}");
         }
         assert!(former.wait().unwrap().success());
         drop(next);
@@ -337,22 +340,22 @@
     world.setup.config["limits"]["memory_mb"] = 16.into();
     runtime().block_on(async {
         let proxy = Proxy::start(&world.setup).unwrap();
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         // Each claims 120,000 bytes of the 2 MiB that there are, and brings no more.
         let mut holding = Vec::new();
         for _ in 0..20 {
-            let mut holds = Pg::connect(proxy.pg).await.unwrap();
+            let mut holds = PgClient::connect(proxy.pg).await.unwrap();
             holds.send(&[b'Q', 0, 1, 0xd4, 0xc0]).await.unwrap();
             holding.push(holds);
         }
-        let long = Ask { value: Some(vec![7; 60_000]), class: "place-order", ..ask("long") };
+        let long = ClientRequest { value: Some(vec![7; 60_000]), class: "place-order", ..ask("long") };
         let queries: Vec<u8> =
             [&long, &ask("k")].iter().flat_map(|a| wire::query(&a.sql(&request_id()))).collect();
         client.send(&queries).await.unwrap();
         for (what, refused) in [("long", true), ("behind it", false)] {
             let told =
                 tokio::time::timeout(PATIENCE, client.answer()).await.expect("an answer").expect("no end");
-            assert_eq!(matches!(told, Told::Refused(_)), refused, "{what}: {told:?}");
+            assert_eq!(matches!(told, ClientAnswer::Refused(_)), refused, "{what}: {told:?}");
         }
         drop(holding);
     });
--- a/tests/flows.rs
+++ b/tests/flows.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use bytes::Bytes;
-use linentrail_standins::client::{request_id, Ask};
+use linentrail_standins::client::{request_id, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -52,8 +52,13 @@
 }
 
 fn query(key: &str) -> Vec<u8> {
-    let ask =
-        Ask { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None };
+    let ask = ClientRequest {
+        class: "monthly-report",
+        key: key.to_string(),
+        value: None,
+        wait_ms: 12_000,
+        after: None,
+    };
     wire::query(&ask.sql(&request_id()))
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -268,7 +268,7 @@
 
 /// Clients that never stop, and what has become of their requests.
 mod load {
-    use linentrail_standins::client::{request_id, Ask, Pg, Told};
+    use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
     use linentrail_standins::{runtime, wire};
     use std::net::SocketAddr;
     use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -298,11 +298,11 @@
     /// One client: a booking on a key of its own, then a read of it that carries the commit, as the platform's do.
     pub fn client(to: SocketAddr, number: usize, seen: Arc<Seen>) -> tokio::task::JoinHandle<u64> {
         runtime().spawn(async move {
-            let (mut conn, mut n, mut written) = (None::<Pg>, 0u64, 0);
+            let (mut conn, mut n, mut written) = (None::<PgClient>, 0u64, 0);
             while !seen.over.load(Ordering::Relaxed) {
                 let mut pg = match conn.take() {
                     Some(pg) => pg,
-                    None => match Pg::connect(to).await {
+                    None => match PgClient::connect(to).await {
                         Ok(pg) => pg,
                         Err(_) => {
                             add(&seen.broken);
@@ -312,7 +312,7 @@
                 };
                 let write = n.is_multiple_of(2);
                 let value = (n / 2).to_be_bytes().to_vec();
-                let ask = Ask {
+                let ask = ClientRequest {
                     class: if write { "place-order" } else { "my-booking" },
                     key: format!("load{number}"),
                     value: write.then(|| value.clone()),
@@ -324,17 +324,17 @@
                     continue;
                 }
                 match pg.answer().await {
-                    Ok(Told::Served(got)) if write || got == value => {
+                    Ok(ClientAnswer::Served(got)) if write || got == value => {
                         add(&seen.served);
                         written += u64::from(write);
                         n += 1;
                     }
-                    Ok(Told::Served(_)) => {
+                    Ok(ClientAnswer::Served(_)) => {
                         add(&seen.stale);
                         n += 1;
                     }
-                    Ok(Told::Refused(_)) => add(&seen.refused),
-                    Ok(Told::Failed(_)) => add(&seen.wrong),
+                    Ok(ClientAnswer::Refused(_)) => add(&seen.refused),
+                    Ok(ClientAnswer::Failed(_)) => add(&seen.wrong),
                     Err(_) => {
                         add(&seen.broken);
                         continue;
@@ -562,7 +562,7 @@
 
 #[test]
 fn the_console_answers_in_time_while_the_core_has_all_it_can_do() {
-    use linentrail_standins::client::{request_id, Ask, Pg};
+    use linentrail_standins::client::{request_id, ClientRequest, PgClient};
     use linentrail_standins::group::Group;
     use linentrail_standins::member::{Capacity, Member};
     use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -579,13 +579,19 @@
     let to = proxy.pg;
     let flood = |n: usize| {
         runtime().spawn(async move {
-            let mut pg = Pg::connect(to).await.expect("it listens");
+            let mut pg = PgClient::connect(to).await.expect("it listens");
             let mut answered = 0u64;
             loop {
                 let mut queries = Vec::new();
                 for _ in 0..16 {
                     let key = format!("k{n}");
-                    let ask = Ask { class: "monthly-report", key, value: None, wait_ms: 8_000, after: None };
+                    let ask = ClientRequest {
+                        class: "monthly-report",
+                        key,
+                        value: None,
+                        wait_ms: 8_000,
+                        after: None,
+                    };
                     queries.extend(wire::query(&ask.sql(&request_id())));
                 }
                 if pg.send(&queries).await.is_err() {
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -4,7 +4,7 @@
 
 mod scenario;
 
-use linentrail_standins::client::{request_id, Ask, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -102,22 +102,22 @@
     World { member, group, proxy: Proxy::start(&setup).expect("the proxy starts") }
 }
 
-fn read(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None }
+fn read(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None }
 }
 
 /// What was asked for, or a refusal: members that answer at once make the proxy take an answer for lost that a busy
 /// machine holds up for some ms, and then it may have no other to ask.
-fn whole(told: &Told, value: &[u8]) -> bool {
-    matches!(told, Told::Refused(_)) || matches!(told, Told::Served(v) if v == value)
+fn whole(told: &ClientAnswer, value: &[u8]) -> bool {
+    matches!(told, ClientAnswer::Refused(_)) || matches!(told, ClientAnswer::Served(v) if v == value)
 }
 
 /// Asks until it is served.
-async fn served(client: &mut Pg, key: &str, value: &[u8]) {
+async fn served(client: &mut PgClient, key: &str, value: &[u8]) {
     loop {
-        let told = client.ask(&read(key)).await.expect("an answer");
+        let told = client.request(&read(key)).await.expect("an answer");
         assert!(whole(&told, value), "another value, or a failure");
-        if matches!(told, Told::Served(_)) {
+        if matches!(told, ClientAnswer::Served(_)) {
             return;
         }
     }
@@ -134,7 +134,7 @@
     world.group.preset("small", vec![8; 8].into());
     runtime().block_on(async {
         // 4 MiB of answers, far more than the sockets hold; none of them is read until all others are done.
-        let mut slow = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut slow = PgClient::connect(world.proxy.pg).await.expect("it connects");
         slow.send(&queries(&["big"; 64])).await.expect("its queries are taken");
         while world.member.given("read big") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -143,7 +143,7 @@
         for _ in 0..64 {
             let at = world.proxy.pg;
             others.spawn(async move {
-                let mut client = Pg::connect(at).await.expect("it connects");
+                let mut client = PgClient::connect(at).await.expect("it connects");
                 for _ in 0..20 {
                     served(&mut client, "small", &[8; 8]).await;
                 }
@@ -169,7 +169,7 @@
         world.group.preset(key, vec![n as u8; size].into());
     }
     runtime().block_on(async {
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
         let asked: Vec<&str> = keys.iter().map(|k| &k[..]).collect();
         let mut served = [0; 16];
         while served.iter().any(|n| *n < 20) {
@@ -178,10 +178,10 @@
                 let size = if n % 3 == 0 { 64 * 1024 } else { 8 };
                 let told = client.answer().await.expect("an answer");
                 assert!(whole(&told, &vec![n as u8; size]), "answer {n} is another's");
-                *served += u32::from(matches!(told, Told::Served(_)));
+                *served += u32::from(matches!(told, ClientAnswer::Served(_)));
             }
         }
-        assert_eq!(client.strays(), 0);
+        assert_eq!(client.unread_bytes(), 0);
     });
 }
 
@@ -191,12 +191,12 @@
     world.group.preset("big", vec![7; 64 * 1024].into());
     runtime().block_on(async {
         for _ in 0..40 {
-            let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+            let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
             client.send(&queries(&["big"; 8])).await.expect("it is taken");
             // A part of the first answer has come when it goes.
-            client.some().await.expect("the first bytes");
+            client.wait_for_data().await.expect("the first bytes");
         }
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
         for _ in 0..20 {
             served(&mut client, "big", &[7; 64 * 1024]).await;
         }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -2,7 +2,7 @@
 //! answer, however long the rest of the start takes.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{self, Launched, Setup};
@@ -78,8 +78,14 @@
     }
 }
 
-fn booking(key: &str) -> Ask {
-    Ask { class: "place-order", key: key.into(), value: Some(vec![7]), wait_ms: 15_000, after: None }
+fn booking(key: &str) -> ClientRequest {
+    ClientRequest {
+        class: "place-order",
+        key: key.into(),
+        value: Some(vec![7]),
+        wait_ms: 15_000,
+        after: None,
+    }
 }
 
 /// Sends the startup and a statement in one go, as clients may.
@@ -89,17 +95,17 @@
 }
 
 /// The final answer on a connection: a row, or an error with its SQLSTATE.
-fn answer(stream: &mut TcpStream) -> Told {
+fn answer(stream: &mut TcpStream) -> ClientAnswer {
     loop {
         let (tag, body) = wire::read(stream, true).expect("a request that was read gets an answer");
         match tag {
-            b'D' => return Told::Served(body[6..].to_vec()),
+            b'D' => return ClientAnswer::Served(body[6..].to_vec()),
             b'E' => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 let code = text.split('\0').find_map(|field| field.strip_prefix('C')).unwrap_or_default();
                 return match code {
-                    "53300" | "57P03" => Told::Refused(None),
-                    other => Told::Failed(other.to_string()),
+                    "53300" | "57P03" => ClientAnswer::Refused(None),
+                    other => ClientAnswer::Failed(other.to_string()),
                 };
             }
             _ => {}
@@ -130,11 +136,11 @@
     ask(&mut client, "early");
     write_to(&operators);
     let told = answer(&mut client);
-    assert!(matches!(told, Told::Served(_) | Told::Refused(_)), "{told:?}");
+    assert!(matches!(told, ClientAnswer::Served(_) | ClientAnswer::Refused(_)), "{told:?}");
     let proxy = launched.serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
 }
 
 #[test]
@@ -144,14 +150,14 @@
     let mut launched = Launched::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     ask(&mut client, "early");
-    assert_eq!(answer(&mut client), Told::Refused(None));
+    assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
     // The connection ends behind its last word, in order and not by a reset.
     assert_eq!(client.read_to_end(&mut Vec::new()).unwrap(), 0);
     drop(held);
     let proxy = launched.serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
 }
 
 /// A request's time runs from its last byte, wherever it stands: one whose client has given up reaches no member.
@@ -162,16 +168,16 @@
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), operators.to_string_lossy().into())];
     let mut launched = Launched::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
-    let statement = Ask { wait_ms: 400, ..booking("late") }.sql(&request_id());
+    let statement = ClientRequest { wait_ms: 400, ..booking("late") }.sql(&request_id());
     client.write_all(&[wire::startup(), wire::query(&statement)].concat()).unwrap();
     thread::sleep(Duration::from_millis(1_000));
     write_to(&operators);
-    assert_eq!(answer(&mut client), Told::Refused(None));
+    assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
     assert_eq!(world.primary.given("write late"), 0, "{:?}", world.primary.seen());
     let proxy = launched.serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "soon");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
     assert_eq!(world.primary.given("write soon"), 1, "{:?}", world.primary.seen());
 }
 
@@ -217,7 +223,7 @@
         let mut client = connect(world.clients(), &mut launched);
         ask(&mut client, "early");
         let told = answer(&mut client);
-        assert!(matches!(told, Told::Refused(_)), "TCP {tcp}: {told:?}");
+        assert!(matches!(told, ClientAnswer::Refused(_)), "TCP {tcp}: {told:?}");
         drop(held);
         drop(launched.serving(&world.setup).unwrap());
         std::fs::remove_file(key).unwrap();
@@ -241,7 +247,10 @@
                         stream.set_read_timeout(Some(PATIENCE)).unwrap();
                         ask(&mut stream, &format!("k{start}-{client}-{round}"));
                         let told = answer(&mut stream);
-                        assert!(matches!(told, Told::Served(_) | Told::Refused(_)), "{told:?}");
+                        assert!(
+                            matches!(told, ClientAnswer::Served(_) | ClientAnswer::Refused(_)),
+                            "{told:?}"
+                        );
                     }
                 })
             })
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -1,7 +1,7 @@
 //! How a process tells of its way back to full service: the console's PHASE, `linentrail status`, the counters.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{Ask, Pg, Told};
+use linentrail_standins::client::{ClientAnswer, ClientRequest, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -48,14 +48,15 @@
     let proxy = start(&members);
     let (before, _) = proxy.call("PHASE\n").expect("an answer");
     assert!(before.starts_with("400 confirming since"), "no member has been heard: {before}");
-    let read = Ask { class: "monthly-report", key: "k".into(), value: None, wait_ms: 9_000, after: None };
+    let read =
+        ClientRequest { class: "monthly-report", key: "k".into(), value: None, wait_ms: 9_000, after: None };
     let began = Instant::now();
     let phase = loop {
         let told = runtime().block_on(async {
-            let mut client = Pg::connect(proxy.pg).await.expect("it connects");
-            client.ask(&read).await.expect("an answer")
+            let mut client = PgClient::connect(proxy.pg).await.expect("it connects");
+            client.request(&read).await.expect("an answer")
         });
-        assert_eq!(told, Told::Served(Vec::new()));
+        assert_eq!(told, ClientAnswer::Served(Vec::new()));
         let (phase, _) = proxy.call("PHASE\n").expect("an answer");
         if phase.starts_with("200 ") {
             break phase;
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -2,7 +2,7 @@
 //! writes, calls that fail for a moment, a wall clock that is stepped, a process that is held up.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
 use linentrail_standins::dns::Dns;
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
@@ -79,18 +79,24 @@
     }
 }
 
-fn read(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.into(), value: None, wait_ms: 15_000, after: None }
+fn read(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.into(), value: None, wait_ms: 15_000, after: None }
 }
 
-fn write(key: &str) -> Ask {
-    Ask { class: "place-order", key: key.into(), value: Some(vec![1; 40]), wait_ms: 15_000, after: None }
+fn write(key: &str) -> ClientRequest {
+    ClientRequest {
+        class: "place-order",
+        key: key.into(),
+        value: Some(vec![1; 40]),
+        wait_ms: 15_000,
+        after: None,
+    }
 }
 
-async fn answer(client: &mut Pg, what: &str) {
+async fn answer(client: &mut PgClient, what: &str) {
     let told = tokio::time::timeout(PATIENCE, client.answer()).await;
     let told = told.unwrap_or_else(|_| panic!("{what}: no answer"));
-    assert!(matches!(told, Ok(Told::Served(_))), "{what}: {told:?}");
+    assert!(matches!(told, Ok(ClientAnswer::Served(_))), "{what}: {told:?}");
 }
 
 /// Clients that ask in turn, and such that send several queries at once; all must be served.
@@ -100,7 +106,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         for n in 0..6 {
             tasks.spawn(async move {
-                let mut client = Pg::connect(to).await.unwrap();
+                let mut client = PgClient::connect(to).await.unwrap();
                 for round in 0..25 {
                     let key = format!("k{n}-{round}");
                     let asks = [write(&key), read(&key), read("none"), read(&key)];
@@ -192,7 +198,7 @@
     world.setup.environment = shim.environment();
     let proxy = world.start();
     runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
         answer(&mut client, "a read").await;
     });
@@ -249,7 +255,7 @@
     let drain = std::thread::spawn(move || lines.for_each(drop));
     proxy::signal_all(&[child.id()], "USR1").unwrap();
     runtime().block_on(async {
-        let mut client = Pg::connect(address).await.expect("it takes clients");
+        let mut client = PgClient::connect(address).await.expect("it takes clients");
         for n in 0..20 {
             client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
             answer(&mut client, &format!("request {n}")).await;
@@ -293,10 +299,10 @@
 }
 
 /// A write waits for a connection that no member welcomes, and the process is stopped; the write's client.
-fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> Pg {
+fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> PgClient {
     world.members.iter().for_each(|m| m.does(Behaviour::Shut));
     let client = runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&write(key).sql(&request_id()))).await.unwrap();
         client
     });
@@ -322,8 +328,8 @@
     world.setup.config["limits"]["sockets"] = 40.into();
     let proxy = world.start();
     runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
-        client.ask(&write("k")).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
+        client.request(&write("k")).await.unwrap();
         let query = wire::query(&read("k").sql(&request_id()));
         let (first, rest) = query.split_at(query.len() / 2);
         client.send(first).await.unwrap();
@@ -346,10 +352,10 @@
         world.shim.clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
-            let mut client = Pg::connect(proxy.pg).await.unwrap();
+            let mut client = PgClient::connect(proxy.pg).await.unwrap();
             for n in 0..60 {
-                client.ask(&write(&format!("w{n}"))).await.unwrap();
-                let ask = Ask { class: "yard-board", ..read(&format!("k{n}")) };
+                client.request(&write(&format!("w{n}"))).await.unwrap();
+                let ask = ClientRequest { class: "yard-board", ..read(&format!("k{n}")) };
                 client.send(&wire::query(&ask.sql(&request_id()))).await.unwrap();
                 answer(&mut client, &format!("step {step}: read {n}")).await;
             }
@@ -376,9 +382,9 @@
         world.shim.clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
-            let mut client = Pg::connect(proxy.pg).await.unwrap();
+            let mut client = PgClient::connect(proxy.pg).await.unwrap();
             for n in 0..4 {
-                client.ask(&write(&format!("w{n}"))).await.unwrap();
+                client.request(&write(&format!("w{n}"))).await.unwrap();
             }
             for n in 0..60 {
                 client.send(&wire::query(&read(&format!("k{n}")).sql(&request_id()))).await.unwrap();
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -16,7 +16,7 @@
 //! and no reason.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Odata, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, ODataClient, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
@@ -73,21 +73,21 @@
     }
 }
 
-fn read(key: &str, wait_ms: u64) -> Ask {
-    Ask { class: "monthly-report", key: key.into(), value: None, wait_ms, after: None }
+fn read(key: &str, wait_ms: u64) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.into(), value: None, wait_ms, after: None }
 }
 
 /// A session of one query, written with the startup so long after the connection is there.
-async fn session(to: SocketAddr, writes_after: Duration, ask: Ask) -> Result<Told> {
-    let mut client = Pg::connect_silently(to).await?;
+async fn session(to: SocketAddr, writes_after: Duration, ask: ClientRequest) -> Result<ClientAnswer> {
+    let mut client = PgClient::connect_without_startup(to).await?;
     tokio::time::sleep(writes_after).await;
-    client.ask_with_startup(&wire::query(&ask.sql(&request_id()))).await
+    client.request_with_startup(&wire::query(&ask.sql(&request_id()))).await
 }
 
-async fn odata_session(to: SocketAddr, writes_after: Duration, ask: Ask) -> Result<Told> {
-    let mut client = Odata::connect(to).await?;
+async fn odata_session(to: SocketAddr, writes_after: Duration, ask: ClientRequest) -> Result<ClientAnswer> {
+    let mut client = ODataClient::connect(to).await?;
     tokio::time::sleep(writes_after).await;
-    client.ask(&ask).await
+    client.request(&ask).await
 }
 
 /// The way from a client to the proxy takes so long, or longer: its first bytes come behind its connection.
@@ -106,18 +106,18 @@
 }
 
 impl Outcomes {
-    fn add(&mut self, outcome: Result<Told>) {
+    fn add(&mut self, outcome: Result<ClientAnswer>) {
         match outcome {
-            Ok(Told::Served(_)) => self.served += 1,
-            Ok(Told::Refused(_)) => self.refused += 1,
-            Ok(Told::Failed(_)) => self.failed += 1,
+            Ok(ClientAnswer::Served(_)) => self.served += 1,
+            Ok(ClientAnswer::Refused(_)) => self.refused += 1,
+            Ok(ClientAnswer::Failed(_)) => self.failed += 1,
             Err(e) => self.unanswered.push(e.to_string()),
         }
     }
 }
 
 /// Waits for all of them.
-async fn outcomes(mut sessions: JoinSet<Result<Told>>) -> Outcomes {
+async fn outcomes(mut sessions: JoinSet<Result<ClientAnswer>>) -> Outcomes {
     let mut outcomes = Outcomes::default();
     let all = async {
         while let Some(outcome) = sessions.join_next().await {
@@ -128,7 +128,7 @@
     outcomes
 }
 
-fn sessions(to: SocketAddr, count: usize, keys: &str, wait_ms: u64) -> JoinSet<Result<Told>> {
+fn sessions(to: SocketAddr, count: usize, keys: &str, wait_ms: u64) -> JoinSet<Result<ClientAnswer>> {
     let mut sessions = JoinSet::new();
     for n in 0..count {
         sessions.spawn_on(session(to, way(n), read(&format!("{keys}{n}"), wait_ms)), runtime());
@@ -177,7 +177,10 @@
     runtime().block_on(async {
         let mut asking = Vec::new();
         for _ in 0..30 {
-            asking.push((Pg::connect_silently(to).await.unwrap(), Odata::connect(odata).await.unwrap()));
+            asking.push((
+                PgClient::connect_without_startup(to).await.unwrap(),
+                ODataClient::connect(odata).await.unwrap(),
+            ));
         }
         let mut idle = Vec::new();
         for _ in 0..300 {
@@ -187,8 +190,8 @@
         for (n, (mut pg, mut odata)) in asking.into_iter().enumerate() {
             let ask = read(&format!("k{n}"), LONG_WAIT_MS);
             let query = wire::query(&ask.sql(&request_id()));
-            asked.spawn_on(async move { pg.ask_with_startup(&query).await }, runtime());
-            asked.spawn_on(async move { odata.ask(&ask).await }, runtime());
+            asked.spawn_on(async move { pg.request_with_startup(&query).await }, runtime());
+            asked.spawn_on(async move { odata.request(&ask).await }, runtime());
         }
         let told = outcomes(asked).await;
         assert!(told.unanswered.is_empty(), "{told:?}");
