--- a/crates/standins/src/dns.rs
+++ b/crates/standins/src/dns.rs
@@ -27,19 +27,19 @@
 
 /// The server and what it names. Copies share it.
 #[derive(Clone)]
-pub struct Dns(Arc<Mutex<State>>);
+pub struct DnsServer(Arc<Mutex<State>>);
 
-impl Default for Dns {
+impl Default for DnsServer {
     fn default() -> Self {
-        Dns::of(SERVICE)
+        DnsServer::for_service(SERVICE)
     }
 }
 
-impl Dns {
+impl DnsServer {
     /// One that names instances of this service.
-    pub fn of(service: &str) -> Self {
+    pub fn for_service(service: &str) -> Self {
         let state = State { service: service.to_string(), named: Vec::new(), garbage: false };
-        Dns(Arc::new(Mutex::new(state)))
+        DnsServer(Arc::new(Mutex::new(state)))
     }
 
     /// Starts it; where it listens.
@@ -60,18 +60,18 @@
     }
 
     /// Names an instance with a time to live in seconds; not `whole`: without its TXT record.
-    pub fn name(&self, label: &str, port: u16, ttl: u32, whole: bool) {
-        self.drop(label);
+    pub fn add_instance(&self, label: &str, port: u16, ttl: u32, whole: bool) {
+        self.remove_instance(label);
         self.state().named.push(Named { label: label.to_string(), port, ttl, whole });
     }
 
     /// Names it no longer.
-    pub fn drop(&self, label: &str) {
+    pub fn remove_instance(&self, label: &str) {
         self.state().named.retain(|n| n.label != label);
     }
 
     /// From now on it answers with what is no DNS message.
-    pub fn garbage(&self) {
+    pub fn send_garbage(&self) {
         self.state().garbage = true;
     }
 
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -20,7 +20,7 @@
 
 /// What it does with calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Ill {
+pub enum DiscoveryBehaviour {
     /// Answers.
     #[default]
     Well,
@@ -44,20 +44,20 @@
     Indented,
 }
 
-impl std::str::FromStr for Ill {
+impl std::str::FromStr for DiscoveryBehaviour {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         Ok(match text {
-            "well" => Ill::Well,
-            "overbooked" => Ill::Overbooked,
-            "reset" => Ill::Reset,
-            "silent" => Ill::Silent,
-            "cut" => Ill::Cut,
-            "noise" => Ill::Noise,
-            "older" => Ill::Older,
-            "many" => Ill::Many,
-            "hasty" => Ill::Hasty,
-            "indented" => Ill::Indented,
+            "well" => DiscoveryBehaviour::Well,
+            "overbooked" => DiscoveryBehaviour::Overbooked,
+            "reset" => DiscoveryBehaviour::Reset,
+            "silent" => DiscoveryBehaviour::Silent,
+            "cut" => DiscoveryBehaviour::Cut,
+            "noise" => DiscoveryBehaviour::Noise,
+            "older" => DiscoveryBehaviour::Older,
+            "many" => DiscoveryBehaviour::Many,
+            "hasty" => DiscoveryBehaviour::Hasty,
+            "indented" => DiscoveryBehaviour::Indented,
             _ => return Err(format!("discovery cannot do '{text}'")),
         })
     }
@@ -73,7 +73,7 @@
     /// Those among them that wait for nothing.
     pub confirms: usize,
     /// The newest version after which a caller wants to hear: it has the list up to that one.
-    pub heard: u64,
+    pub newest_version: u64,
 }
 
 /// One caller's way in, where many are told apart.
@@ -130,7 +130,7 @@
     }
 
     fn shown(&self, mut entries: Value) -> Value {
-        entries.as_array_mut().into_iter().flatten().for_each(|entry| show(entry, &self.seen));
+        entries.as_array_mut().into_iter().flatten().for_each(|entry| rewrite_address(entry, &self.seen));
         entries
     }
 }
@@ -150,13 +150,13 @@
 pub struct Registry {
     list: Arc<Mutex<List>>,
     changed: watch::Sender<u64>,
-    state: Arc<Mutex<(Ill, Calls)>>,
+    state: Arc<Mutex<(DiscoveryBehaviour, Calls)>>,
     desk: Arc<Desk>,
 }
 
 impl Default for Registry {
     fn default() -> Self {
-        Self::bounded(0.0, usize::MAX)
+        Self::with_rate(0.0, usize::MAX)
     }
 }
 
@@ -174,7 +174,7 @@
 }
 
 /// Puts the address that a caller is to see into an entry.
-pub fn show(entry: &mut Value, seen: &HashMap<String, String>) {
+pub fn rewrite_address(entry: &mut Value, seen: &HashMap<String, String>) {
     if let Some(shown) = entry["hostPort"].as_str().and_then(|a| seen.get(a)) {
         entry["hostPort"] = shown.as_str().into();
     }
@@ -182,7 +182,7 @@
 
 impl Registry {
     /// One that answers so many calls a second, one after the other, and lets so many wait; 0: any number at once.
-    pub fn bounded(rate: f64, queue: usize) -> Self {
+    pub fn with_rate(rate: f64, queue: usize) -> Self {
         let each = if rate > 0.0 { Duration::from_secs_f64(1.0 / rate) } else { Duration::ZERO };
         let desk = Desk { each, queue, waiting: AtomicUsize::new(0), turn: tokio::sync::Mutex::new(()) };
         Registry {
@@ -201,13 +201,19 @@
 
     /// A listener of its own for one caller, that sees members under other addresses. Behind a relay an answer counts as
     /// told only when the caller's next call shows that it has come.
-    pub fn door(&self, proxy: u32, log: Log, seen: HashMap<String, String>, relayed: bool) -> SocketAddr {
+    pub fn listen_for_proxy(
+        &self,
+        proxy: u32,
+        log: Log,
+        seen: HashMap<String, String>,
+        relayed: bool,
+    ) -> SocketAddr {
         let unproved = relayed.then(Arc::default);
         self.open(Some(Door { proxy, log, seen: Arc::new(seen), unproved }))
     }
 
     /// The whole list is another one, without a word to those that watch.
-    pub fn lists(&self, whole: Value) {
+    pub fn set_list(&self, whole: Value) {
         self.with(|list| list.1 = whole);
     }
 
@@ -246,12 +252,12 @@
         f(&mut self.list.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn state(&self) -> MutexGuard<'_, (Ill, Calls)> {
+    fn state(&self) -> MutexGuard<'_, (DiscoveryBehaviour, Calls)> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What it does with calls from now on; those that wait are done with so when the list changes.
-    pub fn does(&self, ill: Ill) {
+    pub fn set_behaviour(&self, ill: DiscoveryBehaviour) {
         self.state().0 = ill;
     }
 
@@ -266,7 +272,7 @@
     }
 
     /// The whole list as it stands.
-    pub fn whole(&self) -> Value {
+    pub fn list(&self) -> Value {
         self.with(|list| list.1.clone())
     }
 
@@ -283,7 +289,7 @@
             let calls = &mut self.state().1;
             *(if after.is_some() { &mut calls.watches } else { &mut calls.whole }) += 1;
             calls.confirms += usize::from(after.is_some() && wait == 0);
-            calls.heard = calls.heard.max(after.unwrap_or(0));
+            calls.newest_version = calls.newest_version.max(after.unwrap_or(0));
         }
         if let Some(Door { proxy, log, .. }) = door {
             log.note(What::Called { proxy: *proxy, whole: after.is_none() });
@@ -303,7 +309,7 @@
             unanswered();
             return None;
         }
-        if let Some(after) = after.filter(|_| ill() == Ill::Well) {
+        if let Some(after) = after.filter(|_| ill() == DiscoveryBehaviour::Well) {
             let mut changes = self.changed.subscribe();
             let newer = changes.wait_for(|version| *version > after);
             let _ = tokio::time::timeout(Duration::from_millis(wait), newer).await;
@@ -333,33 +339,36 @@
         let body = json!({"generation": version, "reset": reset, "instances": shown}).to_string();
         let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let text = match ill() {
-            Ill::Well | Ill::Hasty => answer(&body),
-            Ill::Indented => {
+            DiscoveryBehaviour::Well | DiscoveryBehaviour::Hasty => answer(&body),
+            DiscoveryBehaviour::Indented => {
                 let list = json!({"generation": version, "reset": reset, "instances": shown});
                 answer(&format!("{list:#}"))
             }
-            Ill::Overbooked => BUSY.to_string(),
-            Ill::Reset => {
+            DiscoveryBehaviour::Overbooked => BUSY.to_string(),
+            DiscoveryBehaviour::Reset => {
                 unanswered();
                 return None;
             }
-            Ill::Silent => {
+            DiscoveryBehaviour::Silent => {
                 unanswered();
                 std::future::pending().await
             }
-            Ill::Cut => {
+            DiscoveryBehaviour::Cut => {
                 unanswered();
                 let _ = stream.write_all(&answer(&body).as_bytes()[..60]).await;
                 return None;
             }
-            Ill::Noise => answer("{\"generation\":\"soon\",\"instances\":7"),
-            Ill::Older => answer("{\"generation\":0,\"reset\":true,\"instances\":[]}"),
-            Ill::Many => {
+            DiscoveryBehaviour::Noise => answer("{\"generation\":\"soon\",\"instances\":7"),
+            DiscoveryBehaviour::Older => answer("{\"generation\":0,\"reset\":true,\"instances\":[]}"),
+            DiscoveryBehaviour::Many => {
                 let many: Vec<Value> = (0..5_000).map(|n| json!({"instanceId": n})).collect();
                 answer(&json!({"generation": version + 9, "reset": true, "instances": many}).to_string())
             }
         };
-        let sound = matches!(ill(), Ill::Well | Ill::Hasty | Ill::Indented);
+        let sound = matches!(
+            ill(),
+            DiscoveryBehaviour::Well | DiscoveryBehaviour::Hasty | DiscoveryBehaviour::Indented
+        );
         if let Some(door) = door.filter(|_| sound) {
             door.writes(&entries);
         }
@@ -373,17 +382,17 @@
     }
 
     /// One entry's lifecycle changes; watches are told.
-    pub fn change(&self, index: usize, lifecycle: &str) {
+    pub fn set_lifecycle(&self, index: usize, lifecycle: &str) {
         self.sets(index, "lifecycle", lifecycle);
     }
 
     /// A member is to be found at another address; watches are told.
-    pub fn moves(&self, index: usize, address: SocketAddr) {
+    pub fn set_address(&self, index: usize, address: SocketAddr) {
         self.sets(index, "hostPort", address.to_string());
     }
 
     /// A member has started now; watches are told.
-    pub fn started(&self, index: usize) {
+    pub fn set_started_now(&self, index: usize) {
         self.sets(index, "startedAtMs", crate::now_ms());
     }
 
--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -6,7 +6,7 @@
 use super::relay::Fault;
 use crate::member::{Behaviour, Positions, Tells, WhenBehind};
 use crate::proxy::CLASSES;
-use crate::registry::Ill;
+use crate::registry::DiscoveryBehaviour;
 use crate::shim::{Call, DiskError};
 use std::fmt::{self, Display};
 use std::time::Duration;
@@ -102,7 +102,7 @@
     /// They are back, started anew and cold.
     MemberUp(Who),
     /// Discovery does something with calls.
-    Ill(Ill),
+    Ill(DiscoveryBehaviour),
     /// Discovery tells a new state of a member.
     Lists(u32, String),
     /// Whether the proxies' system calls fail, as the scenario's `calls` say.
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -7,7 +7,7 @@
 use crate::group::Group;
 use crate::member::{Capacity, Member, Tells, WhenBehind};
 use crate::proxy::{self, signal_all, Proxy, Setup};
-use crate::registry::{entry, show, Registry};
+use crate::registry::{entry, rewrite_address, Registry};
 use crate::shim::Shim;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -180,8 +180,8 @@
         };
         let members: Vec<Member> = (0..make.members).map(member).collect();
         let list: Vec<Value> = members.iter().enumerate().map(|(n, m)| listed(n, m, make.groups)).collect();
-        let registry = Registry::bounded(script.list.0, script.list.1);
-        registry.lists(list.clone().into());
+        let registry = Registry::with_rate(script.list.0, script.list.1);
+        registry.set_list(list.clone().into());
         let folder = std::env::temp_dir().join(format!("linentrail-rig-{}-{world}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let mut links = HashMap::new();
@@ -216,9 +216,9 @@
                 (1..=make.members).collect::<Vec<_>>().iter().filter_map(seen).collect();
             let mut known = list.clone();
             for entry in &mut known {
-                show(entry, &seen);
+                rewrite_address(entry, &seen);
             }
-            let mut door = registry.door(n, log.clone(), seen, listing.contains(&n));
+            let mut door = registry.listen_for_proxy(n, log.clone(), seen, listing.contains(&n));
             if listing.contains(&n) {
                 let relay = Relay::tcp(door, script.seed ^ u64::from(n));
                 door = relay.address();
@@ -535,14 +535,14 @@
             Step::MemberUp(who) => {
                 for m in self.members(who) {
                     self.0.members[m as usize - 1].is_up(true);
-                    self.0.registry.started(m as usize - 1);
+                    self.0.registry.set_started_now(m as usize - 1);
                 }
             }
             Step::CallsFail(who, on) => self.shims(who, |shim| shim.calls_fail(*on))?,
             Step::ClockStep(who, us) => self.shims(who, |shim| shim.clock_step(*us))?,
             Step::Disk(who, error) => self.shims(who, |shim| shim.disk_fails(*error))?,
-            Step::Ill(ill) => self.0.registry.does(*ill),
-            Step::Lists(m, state) => self.0.registry.change(*m as usize - 1, state),
+            Step::Ill(ill) => self.0.registry.set_behaviour(*ill),
+            Step::Lists(m, state) => self.0.registry.set_lifecycle(*m as usize - 1, state),
         }
         Ok(())
     }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -61,7 +61,7 @@
 //! ```
 #![allow(dead_code)]
 
-use linentrail_standins::dns::Dns;
+use linentrail_standins::dns::DnsServer;
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
@@ -95,7 +95,7 @@
     group: Group,
     members: Vec<(String, Member)>,
     clients: HashMap<String, TcpStream>,
-    dns: Dns,
+    dns: DnsServer,
     registry: Registry,
     config: Value,
     /// Values of the settings that were set before the start, by their paths.
@@ -169,7 +169,7 @@
                 until(|| held() <= noted, || format!("{line}: {} of {noted}", held()));
             }
             ["list", "does", "move"] => {
-                let whole = self.registry.whole();
+                let whole = self.registry.list();
                 self.registry = Registry::default();
                 let address = self.registry.start(whole).to_string();
                 let mut config = std::mem::take(&mut self.config);
@@ -205,19 +205,19 @@
                 let part = if how == "half" { &text[..text.len() / 2] } else { &text };
                 std::fs::write(self.proxy().dir().join("config.json"), part).unwrap();
             }
-            ["list", "does", ill] => self.registry.does(ill.parse().expect(line)),
+            ["list", "does", ill] => self.registry.set_behaviour(ill.parse().expect(line)),
             ["list", "expect", "heard"] => {
-                let heard = || self.registry.calls().heard == self.registry.version();
+                let heard = || self.registry.calls().newest_version == self.registry.version();
                 until(heard, || format!("{line}: {:?}", self.registry.calls()));
             }
             ["list", "expect", least, kind] => self.calls(line, least.parse().unwrap(), kind),
             ["list", "does", "moves", who, to] => {
                 let index = self.members.iter().position(|(n, _)| n == who).expect("a member");
-                self.registry.moves(index, self.standin(to).address());
+                self.registry.set_address(index, self.standin(to).address());
             }
             ["list", "does", lifecycle, who] => {
                 let index = self.members.iter().position(|(n, _)| n == who).expect("a member");
-                self.registry.change(index, lifecycle);
+                self.registry.set_lifecycle(index, lifecycle);
             }
             ["dns", "does", ref what @ ..] => self.name(what),
             ["counts", name, least] => self.counts(name, least.parse().unwrap()),
@@ -362,11 +362,11 @@
 
     fn name(&self, what: &[&str]) {
         match *what {
-            ["garbage"] => self.dns.garbage(),
-            ["drop", who] => self.dns.drop(who),
+            ["garbage"] => self.dns.send_garbage(),
+            ["drop", who] => self.dns.remove_instance(who),
             [how, who, ttl] => {
                 let port = self.standin(who).address().port();
-                self.dns.name(who, port, ttl.parse().unwrap(), how == "list");
+                self.dns.add_instance(who, port, ttl.parse().unwrap(), how == "list");
             }
             _ => panic!("dns does what? {what:?}"),
         }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
-use linentrail_standins::dns::Dns;
+use linentrail_standins::dns::DnsServer;
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
@@ -187,9 +187,9 @@
 #[test]
 fn browsing_for_members_outlasts_connects_that_fail_for_a_moment() {
     let mut world = World::new(&[]);
-    let names = Dns::default();
+    let names = DnsServer::default();
     for (n, member) in world.members.iter().enumerate() {
-        names.name(&format!("n{n}-0000000{n}"), member.address().port(), 4, true);
+        names.add_instance(&format!("n{n}-0000000{n}"), member.address().port(), 4, true);
     }
     world.setup.config["known"]["instances"] = Vec::<String>::new().into();
     world.setup.browse = Some(names.start());
@@ -445,7 +445,7 @@
             primary.does(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
-        world.registry.change(0, "leaving");
+        world.registry.set_lifecycle(0, "leaving");
         std::thread::sleep(Duration::from_millis(100));
         primary.does(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(500));
--- a/tests/wide_lists.rs
+++ b/tests/wide_lists.rs
@@ -7,8 +7,8 @@
 use linentrail::listing::{Delivery, Listing};
 use linentrail::net::discovery::{Discovery, DiscoveryService, ListReader, ListRequest};
 use linentrail::ListKind;
-use linentrail_standins::dns::Dns;
-use linentrail_standins::registry::{entry, Ill, Registry};
+use linentrail_standins::dns::DnsServer;
+use linentrail_standins::registry::{entry, DiscoveryBehaviour, Registry};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,11 +40,11 @@
 
 #[tokio::test]
 async fn a_list_of_1200_members_is_taken_whole_indented_or_not() {
-    for how in [Ill::Well, Ill::Indented] {
+    for how in [DiscoveryBehaviour::Well, DiscoveryBehaviour::Indented] {
         let whole: Vec<Value> =
             (0..MANY).map(|n| entry(n, SocketAddr::from(([127, 0, 0, 1], 10_000 + n as u16)))).collect();
         let registry = Registry::default();
-        registry.does(how);
+        registry.set_behaviour(how);
         let address = registry.start(whole.into()).to_string();
         for delivery in [Delivery::Asked, Delivery::Pushed { drain_grace: 500_000 }] {
             let service = DiscoveryService { address: address.clone(), proxies: 350, delivery };
@@ -75,9 +75,9 @@
 async fn a_service_with_1200_instances_is_browsed_whole() {
     // One message of 64 KiB has to name them all, and the stand-in does not shorten names within it.
     const SERVICE: &str = "_m._tcp.t.";
-    let dns = Dns::of(SERVICE);
+    let dns = DnsServer::for_service(SERVICE);
     for n in 0..MANY {
-        dns.name(&format!("m{n}-"), 10_000 + n as u16, 600, true);
+        dns.add_instance(&format!("m{n}-"), 10_000 + n as u16, 600, true);
     }
     let server = dns.start();
     let (core, mut inbox) = mpsc::channel(64);
