--- a/crates/lab/src/cost/mod.rs
+++ b/crates/lab/src/cost/mod.rs
@@ -227,8 +227,8 @@
     for (n, member) in world.members.iter().enumerate() {
         match case.kind {
             Kind::Served => {}
-            Kind::Refused => member.does(Behaviour::Full),
-            Kind::Missed if n > 0 => member.does(Behaviour::Miss),
+            Kind::Refused => member.set_behaviour(Behaviour::Full),
+            Kind::Missed if n > 0 => member.set_behaviour(Behaviour::Miss),
             Kind::Missed => {}
         }
     }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -157,21 +157,21 @@
         });
         eprintln!("{served} served, {other} not; {what}");
         if let Some(member) = on.take() {
-            members[member].does(Behaviour::Answer);
+            members[member].set_behaviour(Behaviour::Answer);
             what = "calm";
         } else if let Some((member, behaviour, words)) = next.next().filter(|_| !calm) {
-            members[*member].does(*behaviour);
+            members[*member].set_behaviour(*behaviour);
             (on, what) = (Some(*member), words);
         }
     }
-    members.iter().for_each(|m| m.does(Behaviour::Answer));
+    members.iter().for_each(|m| m.set_behaviour(Behaviour::Answer));
 }
 
 /// Runs the command.
 pub async fn run(options: &Options, stop: &Stop) -> Result<(), Failure> {
     let program = program(options.program.as_ref())?;
-    let service = (Duration::from_millis(4), Duration::from_millis(9));
-    let capacity = Capacity { slots: 8, queue: 64, service, ..Capacity::default() };
+    let service_time = (Duration::from_millis(4), Duration::from_millis(9));
+    let capacity = Capacity { slots: 8, queue: 64, service_time, ..Capacity::default() };
     let world =
         World::start(&Plan { program: &program, capacity, lag_ms: 6, odata: true, patience: 1 }).await?;
     world.group.preset("common", "common".into());
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -114,7 +114,7 @@
         Some(_) => None,
         None => {
             let program = program(options.program.as_ref())?;
-            let capacity = Capacity { service: (ms(least), ms(most)), ..Capacity::default() };
+            let capacity = Capacity { service_time: (ms(least), ms(most)), ..Capacity::default() };
             let plan =
                 Plan { program: &program, capacity, lag_ms: 0, odata: front == Front::Odata, patience: 1 };
             Some(World::start(&plan).await?)
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -146,25 +146,25 @@
 
 /// What a member's answers to requests tell of it; its reports tell all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Tells {
+pub enum AnswerStatus {
     /// Its role and its position, or the commit of a write.
     #[default]
     All,
     /// Its role, and the commit of a write.
-    Role,
+    RoleAndCommit,
     /// Its role.
-    NoPosition,
+    RoleOnly,
     /// Nothing.
     Nothing,
 }
 
 /// How a member treats positions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Positions {
+pub struct PositionPolicy {
     /// What it does with a read for which it lags too far.
     pub when_behind: WhenBehind,
     /// What its answers tell.
-    pub tells: Tells,
+    pub answer_status: AnswerStatus,
 }
 
 /// How much work a member can take.
@@ -175,20 +175,27 @@
     /// Requests that may wait for one; beyond that they are turned away.
     pub queue: usize,
     /// Shortest and longest service time, drawn evenly by the request's id.
-    pub service: (Duration, Duration),
+    pub service_time: (Duration, Duration),
     /// Share of its capacity at its start, and how long until it is warm.
     pub cold: Option<(f64, Duration)>,
     /// Work of a new connection, in a slot like a request's.
     pub handshake: Duration,
     /// Connections at once, beyond which new ones are closed; 0: any number.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 impl Default for Capacity {
     /// As much as the machine gives, at once.
     fn default() -> Self {
-        let service = (Duration::ZERO, Duration::ZERO);
-        Capacity { slots: 4096, queue: 4096, service, cold: None, handshake: Duration::ZERO, most: 0 }
+        let service_time = (Duration::ZERO, Duration::ZERO);
+        Capacity {
+            slots: 4096,
+            queue: 4096,
+            service_time,
+            cold: None,
+            handshake: Duration::ZERO,
+            max_connections: 0,
+        }
     }
 }
 
@@ -196,7 +203,7 @@
     does: Behaviour,
     primary: bool,
     lag: u64,
-    positions: Positions,
+    positions: PositionPolicy,
     seen: VecDeque<String>,
     served: u64,
     answered: u64,
@@ -257,7 +264,7 @@
             does: Behaviour::Answer,
             primary,
             lag: lag_ms,
-            positions: Positions::default(),
+            positions: PositionPolicy::default(),
             seen: VecDeque::new(),
             served: 0,
             answered: 0,
@@ -311,7 +318,7 @@
         {
             let mut state = self.state();
             state.opened += 1;
-            if self.0.capacity.most > 0 && state.standing >= self.0.capacity.most {
+            if self.0.capacity.max_connections > 0 && state.standing >= self.0.capacity.max_connections {
                 return;
             }
             state.standing += 1;
@@ -336,17 +343,17 @@
     }
 
     /// Goes away with all its connections, or comes back, started anew.
-    pub fn is_up(&self, up: bool) {
+    pub fn set_up(&self, up: bool) {
         if up {
             self.state().since = Instant::now();
-            self.starts();
+            self.log_cold_start();
         }
         self.0.up.send_replace(up);
     }
 
     /// Notes that it is cold, where it starts so.
-    pub fn starts(&self) {
-        let Capacity { slots, service: (least, most), cold, .. } = self.0.capacity;
+    pub fn log_cold_start(&self) {
+        let Capacity { slots, service_time: (least, most), cold, .. } = self.0.capacity;
         if let Some((share, warm)) = cold {
             let mean = ((least + most) / 2).max(Duration::from_micros(1));
             let rate = (slots as f64 / mean.as_secs_f64()) as u64;
@@ -365,29 +372,29 @@
     }
 
     /// From now on it does this.
-    pub fn does(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state().does = behaviour;
         self.0.changed.send_modify(|n| *n += 1);
     }
 
     /// From now on it has this role, and as a replica this lag in ms.
-    pub fn becomes(&self, primary: bool, lag_ms: u64) {
+    pub fn set_role(&self, primary: bool, lag_ms: u64) {
         let mut state = self.state();
         (state.primary, state.lag) = (primary, lag_ms);
     }
 
     /// From now on it treats positions so.
-    pub fn treats_positions(&self, positions: Positions) {
+    pub fn set_position_policy(&self, positions: PositionPolicy) {
         self.state().positions = positions;
     }
 
     /// How often it has been given a statement that begins so (`read KEY`, `write KEY`), of the last few thousand.
-    pub fn given(&self, what: &str) -> usize {
+    pub fn statement_count(&self, what: &str) -> usize {
         self.state().seen.iter().filter(|s| *s == what).count()
     }
 
     /// All that it has been given, of the last few thousand.
-    pub fn seen(&self) -> Vec<String> {
+    pub fn statements(&self) -> Vec<String> {
         self.state().seen.iter().cloned().collect()
     }
 
@@ -442,7 +449,7 @@
 
     /// The time that a request takes here now, by its id: the same id takes the same time.
     fn service(&self, id: &str) -> Duration {
-        let (least, most) = self.0.capacity.service;
+        let (least, most) = self.0.capacity.service_time;
         // The same in every run: this hasher's keys are fixed.
         let mut hasher = DefaultHasher::new();
         id.hash(&mut hasher);
@@ -529,15 +536,15 @@
             (self.0.group.read(key, if primary { u64::MAX } else { position }), position)
         };
         let tells = match does {
-            Behaviour::Mute => Tells::Nothing,
-            Behaviour::Unplaced => Tells::NoPosition,
-            _ => positions.tells,
+            Behaviour::Mute => AnswerStatus::Nothing,
+            Behaviour::Unplaced => AnswerStatus::RoleOnly,
+            _ => positions.answer_status,
         };
         let tells = match tells {
-            Tells::All => (Some(primary), Some(commit)),
-            Tells::Role => (Some(primary), Some(commit).filter(|_| write)),
-            Tells::NoPosition => (Some(primary), None),
-            Tells::Nothing => (None, None),
+            AnswerStatus::All => (Some(primary), Some(commit)),
+            AnswerStatus::RoleAndCommit => (Some(primary), Some(commit).filter(|_| write)),
+            AnswerStatus::RoleOnly => (Some(primary), None),
+            AnswerStatus::Nothing => (None, None),
         };
         row(reply, value.as_deref().unwrap_or_default(), 17, tells);
         self.spoil(does, reply).await
--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -4,7 +4,7 @@
 use super::checker::Bounds;
 use super::events::{Effect, KeyScope};
 use super::relay::Fault;
-use crate::member::{Behaviour, Positions, Tells, WhenBehind};
+use crate::member::{AnswerStatus, Behaviour, PositionPolicy, WhenBehind};
 use crate::proxy::CLASSES;
 use crate::registry::DiscoveryBehaviour;
 use crate::shim::{Call, DiskError};
@@ -144,7 +144,7 @@
     /// Lag of replicas.
     pub lag: Duration,
     /// How they treat positions.
-    pub positions: Positions,
+    pub positions: PositionPolicy,
 }
 
 /// A whole scenario.
@@ -210,7 +210,7 @@
                 most: 0,
                 cold: None,
                 lag: ms(5),
-                positions: Positions::default(),
+                positions: PositionPolicy::default(),
             },
             list: (0.0, 64),
             known: true,
@@ -465,11 +465,11 @@
                 rest
             }
             ["mute", rest @ ..] => {
-                self.positions.tells = Tells::Nothing;
+                self.positions.answer_status = AnswerStatus::Nothing;
                 rest
             }
             ["tells", "role", rest @ ..] => {
-                self.positions.tells = Tells::Role;
+                self.positions.answer_status = AnswerStatus::RoleAndCommit;
                 rest
             }
             ["behind", "off", rest @ ..] => {
@@ -640,9 +640,15 @@
             class yard-board keyed cell 400";
         let script = Script::read(text).expect("it is sound");
         let waits = WhenBehind::Waits(Duration::from_millis(30));
-        assert_eq!(script.make.positions, Positions { when_behind: waits, tells: Tells::Nothing });
+        assert_eq!(
+            script.make.positions,
+            PositionPolicy { when_behind: waits, answer_status: AnswerStatus::Nothing }
+        );
         let tells_role = Script::read("members 4 tells role behind off").expect("it is sound").make.positions;
-        assert_eq!(tells_role, Positions { when_behind: WhenBehind::Answers, tells: Tells::Role });
+        assert_eq!(
+            tells_role,
+            PositionPolicy { when_behind: WhenBehind::Answers, answer_status: AnswerStatus::RoleAndCommit }
+        );
         let keyed = Effect::Keyed { scope: KeyScope::Cell, window: 400_000 };
         assert_eq!(script.effects, [keyed, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
         assert!(!script.sessions_carried);
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -5,7 +5,7 @@
 use super::relay::{Fault, Relay};
 use super::script::{Harm, Script, Step, Who};
 use crate::group::Group;
-use crate::member::{Capacity, Member, Tells, WhenBehind};
+use crate::member::{AnswerStatus, Capacity, Member, WhenBehind};
 use crate::proxy::{self, signal_all, Proxy, Setup};
 use crate::registry::{entry, rewrite_address, Registry};
 use crate::shim::Shim;
@@ -114,7 +114,7 @@
     };
     family["when_behind"] = when_behind.into();
     family["catch_up_wait_us"] = (patience.as_micros() as u64).into();
-    family["tells_position"] = (positions.tells == Tells::All).into();
+    family["tells_position"] = (positions.answer_status == AnswerStatus::All).into();
     family["session_marks"] = if script.sessions_carried { "carried" } else { "remembered" }.into();
     if let Some((share, warm)) = script.make.cold {
         settings["rules"]["cold_share"] = share.into();
@@ -159,10 +159,10 @@
         let capacity = Capacity {
             slots: make.slots,
             queue: QUEUE,
-            service: make.work,
+            service_time: make.work,
             cold: make.cold,
             handshake: make.handshake,
-            most: make.most,
+            max_connections: make.most,
         };
         let lag = make.lag.as_millis() as u64;
         let member = |n: u32| {
@@ -175,7 +175,7 @@
                 capacity,
                 Some((n + 1, log.clone())),
             );
-            started.treats_positions(make.positions);
+            started.set_position_policy(make.positions);
             started
         };
         let members: Vec<Member> = (0..make.members).map(member).collect();
@@ -526,15 +526,17 @@
                 }
             }
             Step::Does(who, behaviour) => {
-                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].does(*behaviour));
+                self.members(who)
+                    .into_iter()
+                    .for_each(|m| self.0.members[m as usize - 1].set_behaviour(*behaviour));
             }
             Step::Primary(m) => self.primary(*m),
             Step::MemberDown(who) => {
-                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].is_up(false));
+                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].set_up(false));
             }
             Step::MemberUp(who) => {
                 for m in self.members(who) {
-                    self.0.members[m as usize - 1].is_up(true);
+                    self.0.members[m as usize - 1].set_up(true);
                     self.0.registry.set_started_now(m as usize - 1);
                 }
             }
@@ -567,10 +569,10 @@
         for (n, member) in self.0.members.iter().enumerate() {
             let same = n as u32 % make.groups == (new - 1) % make.groups;
             if same && n as u32 + 1 != new {
-                member.becomes(false, lag);
+                member.set_role(false, lag);
             }
         }
-        self.0.members[new as usize - 1].becomes(true, 0);
+        self.0.members[new as usize - 1].set_role(true, 0);
     }
 
     fn console(&self, who: &Who, call: &str) {
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -81,7 +81,7 @@
     let dir = folder("log");
     let group = Group::default();
     let members = [true, false].map(|primary| Member::start(&group, primary, 0, Capacity::default()));
-    members[1].does("miss".parse().expect("it is known"));
+    members[1].set_behaviour("miss".parse().expect("it is known"));
     let known: Vec<_> = members.iter().enumerate().map(|(n, m)| entry(n, m.address())).collect();
     let file = dir.join("config.json");
     std::fs::write(&file, config("127.0.0.1:9", &known, settings(), 1024, 192).to_string()).expect("a file");
--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -283,7 +283,7 @@
         for odata in [false, true] {
             let proxy = Proxy::start(&world.setup).unwrap();
             let mut client = Client::served(&proxy, odata).await;
-            world.primary.does(Behaviour::Hold);
+            world.primary.set_behaviour(Behaviour::Hold);
             proxy.signal("TERM").unwrap();
             let told = Instant::now();
             // What is out keeps the connection open while the process ends; the late one is sent before its answer has come.
@@ -296,7 +296,7 @@
                 assert!(answer.is_ok(), "OData {odata}, {what}: {answer:?}");
             }
             assert!(told.elapsed() < KILLED_AFTER + SLOW_MACHINE, "OData {odata}: {:?}", told.elapsed());
-            world.primary.does(Behaviour::Answer);
+            world.primary.set_behaviour(Behaviour::Answer);
         }
     });
 }
--- a/tests/flows.rs
+++ b/tests/flows.rs
@@ -96,13 +96,13 @@
 #[test]
 fn the_first_bytes_are_passed_on_before_the_last_have_come() {
     let world = world(4 * MIB, 64);
-    world.member.does(Behaviour::Paused(MIB));
+    world.member.set_behaviour(Behaviour::Paused(MIB));
     let mut client = connect(world.proxy.pg);
     client.write_all(&query("big")).expect("it reads");
     // The member keeps the rest back until this much has been seen here.
     let mut first = vec![0; MIB / 2];
     client.read_exact(&mut first).expect("the first half MiB");
-    world.member.does(Behaviour::Answer);
+    world.member.set_behaviour(Behaviour::Answer);
     let mut rest = Vec::new();
     let whole = value(4 * MIB);
     let at = first.windows(64).position(|w| w == &whole[..64]).expect("the value begins");
@@ -127,12 +127,12 @@
 #[test]
 fn a_value_that_breaks_off_is_neither_whole_nor_begun_again() {
     let world = world(2 * MIB, 64);
-    world.member.does(Behaviour::Broken(MIB));
+    world.member.set_behaviour(Behaviour::Broken(MIB));
     let mut client = connect(world.proxy.pg);
     client.write_all(&query("big")).expect("it reads");
     assert_eq!(answer(&mut client), None);
     assert_eq!(counted(&world, "flows_broken"), 1);
-    assert_eq!(world.member.given("read big"), 1);
+    assert_eq!(world.member.statement_count("read big"), 1);
     // By OData it has not begun, and fails as a whole.
     assert_eq!(status_by_odata(&world), "502");
 }
@@ -156,7 +156,7 @@
         client.write_all(&query("big")).expect("it reads");
         assert!(answer(&mut client) == Some(value(2 * MIB)), "{effect}");
         assert_eq!(status_by_odata(&world), "200", "{effect}");
-        assert_eq!(world.member.given("read big"), 2, "{effect}");
+        assert_eq!(world.member.statement_count("read big"), 2, "{effect}");
     }
 }
 
@@ -165,14 +165,14 @@
     for (effect, status) in [("read_like", "503"), ("non_idempotent", "502"), ("idempotency_key", "502")] {
         let world = world_of(4 * MIB, 16, effect);
         assert_eq!(status_by_odata(&world), status, "{effect}");
-        assert_eq!(world.member.given("read big"), 1, "{effect}");
+        assert_eq!(world.member.statement_count("read big"), 1, "{effect}");
     }
 }
 
 #[test]
 fn a_client_that_leaves_ends_its_own_value_and_no_other() {
     let world = world(4 * MIB, 64);
-    world.member.does(Behaviour::Paused(MIB));
+    world.member.set_behaviour(Behaviour::Paused(MIB));
     let mut leaves = connect(world.proxy.pg);
     let mut stays = connect(world.proxy.pg);
     for client in [&mut leaves, &mut stays] {
@@ -180,7 +180,7 @@
         client.read_exact(&mut [0; 4096]).expect("the first bytes");
     }
     drop(leaves);
-    world.member.does(Behaviour::Answer);
+    world.member.set_behaviour(Behaviour::Answer);
     assert_eq!(counted(&world, "flows_broken"), 1);
     let mut rest = vec![0; 4 * MIB - 4096];
     stays.read_exact(&mut rest).expect("the rest");
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -136,7 +136,7 @@
         // 4 MiB of answers, far more than the sockets hold; none of them is read until all others are done.
         let mut slow = PgClient::connect(world.proxy.pg).await.expect("it connects");
         slow.send(&queries(&["big"; 64])).await.expect("its queries are taken");
-        while world.member.given("read big") == 0 {
+        while world.member.statement_count("read big") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut others = tokio::task::JoinSet::new();
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -223,7 +223,7 @@
             ["counts", name, least] => self.counts(name, least.parse().unwrap()),
             ["sum", count, what, key] => {
                 let what = format!("{what} {key}");
-                let given: usize = self.members.iter().map(|(_, member)| member.given(&what)).sum();
+                let given: usize = self.members.iter().map(|(_, member)| member.statement_count(&what)).sum();
                 assert_eq!(given, count.parse::<usize>().unwrap(), "{line}");
             }
             ["console", code, ..] => self.called(self.proxy(), code, rest(2), line),
@@ -278,9 +278,9 @@
                 let seen = self.proxy().counters().unwrap().get(name).copied().unwrap_or_default();
                 assert!(seen < most.parse().unwrap(), "{line}: {seen}");
             }
-            [who, "does", "replica", lag] => self.standin(who).becomes(false, lag.parse().unwrap()),
-            [who, "does", "primary"] => self.standin(who).becomes(true, 0),
-            [who, "does", ..] => self.standin(who).does(rest(2).parse().expect(line)),
+            [who, "does", "replica", lag] => self.standin(who).set_role(false, lag.parse().unwrap()),
+            [who, "does", "primary"] => self.standin(who).set_role(true, 0),
+            [who, "does", ..] => self.standin(who).set_behaviour(rest(2).parse().expect(line)),
             [who, "fin"] => self.clients[who].shutdown(std::net::Shutdown::Write).unwrap(),
             [who, "expect", count, "opened"] => {
                 let (count, opened) = (count.parse().unwrap(), || self.standin(who).totals().2);
@@ -291,7 +291,7 @@
             [who, "race", ref what @ ..] => self.race(who, what),
             [who, "expect", "one", one, "and", other] => self.expect_both(who, [one, other], line),
             [who, "expect", "under", most, what, key] => {
-                let given = self.standin(who).given(&format!("{what} {key}"));
+                let given = self.standin(who).statement_count(&format!("{what} {key}"));
                 assert!(given < most.parse().unwrap(), "{line}: {given}");
             }
             [who, "expect", count, what, key] if self.members.iter().any(|(n, _)| n == who) => {
@@ -354,10 +354,10 @@
     /// Waits until there have been so many, and sees that there are no more.
     fn seen(&self, who: &str, count: usize, what: &str, line: &str) {
         let (member, began) = (self.standin(who), Instant::now());
-        while member.given(what) < count && began.elapsed() < PATIENCE {
+        while member.statement_count(what) < count && began.elapsed() < PATIENCE {
             thread::sleep(Duration::from_millis(2));
         }
-        assert_eq!(member.given(what), count, "{line}: saw {:?}", member.seen());
+        assert_eq!(member.statement_count(what), count, "{line}: saw {:?}", member.statements());
     }
 
     fn name(&self, what: &[&str]) {
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -173,12 +173,12 @@
     thread::sleep(Duration::from_millis(1_000));
     write_to(&operators);
     assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
-    assert_eq!(world.primary.given("write late"), 0, "{:?}", world.primary.seen());
+    assert_eq!(world.primary.statement_count("write late"), 0, "{:?}", world.primary.statements());
     let proxy = launched.serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "soon");
     assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
-    assert_eq!(world.primary.given("write soon"), 1, "{:?}", world.primary.seen());
+    assert_eq!(world.primary.statement_count("write soon"), 1, "{:?}", world.primary.statements());
 }
 
 #[test]
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -280,18 +280,18 @@
         let client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
         // The welcome is on its way first on half of the rounds.
         if round % 2 == 0 {
-            primary.does(Behaviour::Answer);
+            primary.set_behaviour(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
         drop(client);
         std::thread::sleep(Duration::from_millis(30));
-        primary.does(Behaviour::Answer);
+        primary.set_behaviour(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(150));
         proxy.signal("CONT").unwrap();
         wait_for("the client's leave", || proxy.counters().unwrap().get("left").is_some_and(|n| *n > 0));
         std::thread::sleep(Duration::from_millis(50));
         assert_eq!(
-            primary.given(&format!("write {key}")),
+            primary.statement_count(&format!("write {key}")),
             0,
             "round {round}: sent for a client that has gone"
         );
@@ -300,7 +300,7 @@
 
 /// A write waits for a connection that no member welcomes, and the process is stopped; the write's client.
 fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> PgClient {
-    world.members.iter().for_each(|m| m.does(Behaviour::Shut));
+    world.members.iter().for_each(|m| m.set_behaviour(Behaviour::Shut));
     let client = runtime().block_on(async {
         let mut client = PgClient::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&write(key).sql(&request_id()))).await.unwrap();
@@ -360,7 +360,7 @@
                 answer(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
-        let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
+        let reads = |m: &Member| m.statements().iter().filter(|s| s.starts_with("read ")).count();
         let of_replicas: usize = world.members[1..].iter().map(reads).sum();
         assert!(of_replicas >= 40, "clock {step} us off: replicas got {of_replicas} reads of 60");
     }
@@ -391,7 +391,7 @@
                 answer(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
-        let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
+        let reads = |m: &Member| m.statements().iter().filter(|s| s.starts_with("read ")).count();
         let cold = reads(&world.members[1]);
         assert!(cold < 20, "clock {step} us off: the cold member got {cold} reads of 60");
     }
@@ -442,18 +442,18 @@
         let key = format!("k{round}");
         let _client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
         if round % 2 == 0 {
-            primary.does(Behaviour::Answer);
+            primary.set_behaviour(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
         world.registry.set_lifecycle(0, "leaving");
         std::thread::sleep(Duration::from_millis(100));
-        primary.does(Behaviour::Answer);
+        primary.set_behaviour(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(500));
         proxy.signal("CONT").unwrap();
         let withheld = |counters: &std::collections::BTreeMap<String, u64>| {
             ["withdrawn", "withheld_withdrawn"].iter().any(|name| counters.get(*name).is_some_and(|n| *n > 0))
         };
-        let given = || primary.given(&format!("write {key}"));
+        let given = || primary.statement_count(&format!("write {key}"));
         wait_for("what became of it", || given() > 0 || withheld(&proxy.counters().unwrap()));
         assert_eq!(given(), 0, "round {round}: sent to a member that leaves");
     }
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -45,7 +45,7 @@
 impl World {
     fn new(sockets: u64) -> Self {
         let group = Group::default();
-        let capacity = Capacity { service: (SERVICE_TIME, SERVICE_TIME), ..Capacity::default() };
+        let capacity = Capacity { service_time: (SERVICE_TIME, SERVICE_TIME), ..Capacity::default() };
         let member = |lag: &u64| Member::start(&group, *lag == 0, *lag, capacity);
         let members: Vec<Member> = [0, 5, 5, 5].iter().map(member).collect();
         let list: Vec<_> = members.iter().enumerate().map(|(n, m)| entry(n, m.address())).collect();
@@ -64,12 +64,12 @@
     }
 
     fn does(&self, behaviour: Behaviour) {
-        self.members.iter().for_each(|member| member.does(behaviour));
+        self.members.iter().for_each(|member| member.set_behaviour(behaviour));
     }
 
     /// Statements that the members have got.
     fn given(&self, keys: &str) -> usize {
-        self.members.iter().map(|m| m.seen().iter().filter(|s| s.contains(keys)).count()).sum()
+        self.members.iter().map(|m| m.statements().iter().filter(|s| s.contains(keys)).count()).sum()
     }
 }
 
