--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -29,25 +29,25 @@
     /// The DNS server at which members are browsed for.
     pub browse: Option<SocketAddr>,
     /// Whether what it logs is passed on.
-    pub loud: bool,
+    pub echo_log: bool,
     /// Its log filter.
     pub log: Option<String>,
     /// A listener that it inherits, as the platform hands one on.
     pub listener: Option<Arc<TcpListener>>,
     /// The folder that its processes share; none: it gets none.
-    pub shared: Option<PathBuf>,
+    pub shared_folder: Option<PathBuf>,
     /// More of the operators' file.
     pub operators: String,
     /// What stands in its configuration's file, where that is not the configuration.
-    pub instead: Option<String>,
+    pub config_text: Option<String>,
     /// More of its environment.
     pub environment: Vec<(String, String)>,
     /// It is started as the deploy file says, from the repository's root: without an operators' file of its own.
-    pub shipped: bool,
+    pub as_shipped: bool,
     /// Where it is told by which rules it acts, and as whom: the log must have the target `rules`.
     pub rules: Option<(u32, Log)>,
     /// How long after SIGTERM it still takes clients; none: longer than any test takes to bring one.
-    pub still_coming: Option<Duration>,
+    pub accept_after_term: Option<Duration>,
 }
 
 /// The settings of a class.
@@ -105,12 +105,12 @@
 
 /// The program from its exec on, before anybody knows that it serves. It is killed when dropped.
 #[derive(Debug)]
-pub struct Launched {
+pub struct ProxyProcess {
     child: Child,
     dir: PathBuf,
 }
 
-impl Drop for Launched {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -118,18 +118,18 @@
     }
 }
 
-impl Launched {
+impl ProxyProcess {
     /// Writes its files and starts it.
     ///
     /// # Errors
     /// When that cannot be done.
     pub fn new(setup: &Setup) -> Result<Self> {
         let dir = folder()?;
-        let text = setup.instead.clone().unwrap_or_else(|| setup.config.to_string());
+        let text = setup.config_text.clone().unwrap_or_else(|| setup.config.to_string());
         std::fs::write(dir.join("config.json"), text)?;
         std::fs::write(dir.join("linentrail.hcl"), setup.operators_file())?;
         let child = command(setup, &dir)?.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
-        Ok(Launched { child, dir })
+        Ok(ProxyProcess { child, dir })
     }
 
     /// Whether it has ended.
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// When it ends before it serves.
-    pub fn serving(mut self, setup: &Setup) -> Result<Proxy> {
+    pub fn wait_until_serving(mut self, setup: &Setup) -> Result<Proxy> {
         let (out, err) = (self.child.stdout.take(), self.child.stderr.take());
         let (Some(out), Some(err)) = (out, err) else { return Err(Error::other("no pipes")) };
         let mut lines = BufReader::new(err).lines();
@@ -164,7 +164,7 @@
         let (Some(pg), true) = (pg, whole) else {
             return Err(Error::other(format!("the proxy does not start: {}", said.join("; "))));
         };
-        let (loud, rules) = (setup.loud, setup.rules.clone());
+        let (loud, rules) = (setup.echo_log, setup.rules.clone());
         let tell = move |line: String| {
             if let Some((proxy, log)) = &rules {
                 log.rules(*proxy, &line);
@@ -199,7 +199,7 @@
             self.odata,
             self.browse.is_some(),
             dns::SERVICE,
-            self.still_coming.unwrap_or(Duration::from_secs(3)).as_millis(),
+            self.accept_after_term.unwrap_or(Duration::from_secs(3)).as_millis(),
             self.operators
         )
     }
@@ -218,7 +218,7 @@
         }
     };
     command.env_remove("BALANCER_LISTEN").env_remove("RUST_LOG").env_remove("TMPDIR");
-    if let Some(shared) = &setup.shared {
+    if let Some(shared) = &setup.shared_folder {
         command.env("TMPDIR", shared);
     }
     if let Some(log) = &setup.log {
@@ -229,7 +229,7 @@
         .env("BALANCER_NAME", setup.config["name"].as_str().unwrap_or_default())
         .env("BALANCER_CONFIG", dir.join("config.json"))
         .env_remove("LINENTRAIL_FILE");
-    if !setup.shipped {
+    if !setup.as_shipped {
         command.env("LINENTRAIL_FILE", dir.join("linentrail.hcl"));
     }
     // Last, so that a test can say otherwise.
@@ -239,7 +239,7 @@
 
 /// The running program.
 pub struct Proxy {
-    process: Launched,
+    process: ProxyProcess,
     printed: Printed,
     /// Where clients connect.
     pub pg: SocketAddr,
@@ -276,24 +276,24 @@
     /// # Errors
     /// When it cannot be started, or ends before it serves.
     pub fn start(setup: &Setup) -> Result<Self> {
-        Launched::new(setup)?.serving(setup)
+        ProxyProcess::new(setup)?.wait_until_serving(setup)
     }
 
     /// The same, with a word as soon as the program runs.
     ///
     /// # Errors
     /// When it cannot be started, or ends before it serves.
-    pub fn start_noting(setup: &Setup, runs: impl FnOnce()) -> Result<Self> {
-        let launched = Launched::new(setup)?;
+    pub fn start_with_hook(setup: &Setup, runs: impl FnOnce()) -> Result<Self> {
+        let launched = ProxyProcess::new(setup)?;
         runs();
-        launched.serving(setup)
+        launched.wait_until_serving(setup)
     }
 
     /// The console's answer to a line, and the time it took.
     ///
     /// # Errors
     /// When there is no console, or no answer.
-    pub fn call(&self, line: &str) -> Result<(String, Duration)> {
+    pub fn call_console(&self, line: &str) -> Result<(String, Duration)> {
         let began = Instant::now();
         let address = self.console.ok_or_else(|| Error::other("it has no console"))?;
         let mut stream = TcpStream::connect(address)?;
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -240,8 +240,8 @@
             if !script.known {
                 config["known"] = Value::Null;
             }
-            let still_coming = Some(Duration::from_millis(550));
-            let mut setup = Setup { program: program.into(), config, still_coming, ..Setup::default() };
+            let accept_after_term = Some(Duration::from_millis(550));
+            let mut setup = Setup { program: program.into(), config, accept_after_term, ..Setup::default() };
             if let Some(every) = script.store {
                 setup.operators = store(&folder, every);
             }
@@ -257,7 +257,7 @@
             fronts.push(front);
             seats.push(Mutex::new(Seat { setup, running: None, shim }));
         }
-        members.iter().for_each(Member::starts);
+        members.iter().for_each(Member::log_cold_start);
         let proposed = Mutex::new(settings(script));
         let script = script.clone();
         let inner = Inner {
@@ -313,7 +313,7 @@
                 let spawned = || {
                     let _ = self.0.log.note(What::Exec { proxy: n });
                 };
-                seat.running = Some(Proxy::start_noting(&seat.setup, spawned)?);
+                seat.running = Some(Proxy::start_with_hook(&seat.setup, spawned)?);
                 self.0.log.note(What::Serves { proxy: n });
             }
             Ok(())
@@ -594,7 +594,7 @@
                 self.0.log.note(What::Hand { proxy: n, member, out: false });
             }
             let answer = asked_again(again, IN_TURN_TIMEOUT, || {
-                proxy.call(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
+                proxy.call_console(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
             });
             match member.filter(|_| answer.starts_with("200") && out) {
                 Some(member) => self.0.log.note(What::Hand { proxy: n, member, out }),
@@ -610,7 +610,7 @@
     /// What one that runs answers to a call. No answer, as from one that stands still, says no.
     fn call(&self, n: u32, call: &str) -> Option<String> {
         let seat = self.seat(n);
-        let told = seat.running.as_ref()?.call(&format!("{call}\n"));
+        let told = seat.running.as_ref()?.call_console(&format!("{call}\n"));
         Some(told.map_or_else(|e| e.to_string(), |answer| answer.0))
     }
 
--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -41,7 +41,7 @@
             program: env!("CARGO_BIN_EXE_linentrail").into(),
             config: proxy::config("127.0.0.1:9", &list, proxy::settings(), sockets, 192),
             odata: true,
-            still_coming: Some(STILL_COMING),
+            accept_after_term: Some(STILL_COMING),
             ..Setup::default()
         };
         World { primary, setup }
@@ -310,7 +310,7 @@
     world.setup.listener = Some(Arc::new(listener));
     let shared = std::env::temp_dir().join(format!("linentrail-crossed-{}", std::process::id()));
     std::fs::create_dir_all(&shared).unwrap();
-    world.setup.shared = Some(shared.clone());
+    world.setup.shared_folder = Some(shared.clone());
     runtime().block_on(async {
         let mut former = Proxy::start(&world.setup).unwrap();
         former.signal("STOP").unwrap();
--- a/tests/flows.rs
+++ b/tests/flows.rs
@@ -45,7 +45,7 @@
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: config("127.0.0.1:9", &known, settings, 1024, memory_mb),
         odata: true,
-        loud: true,
+        echo_log: true,
         ..Setup::default()
     };
     World { member, proxy: Proxy::start(&setup).expect("the proxy starts") }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -370,9 +370,9 @@
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: told,
-        loud: true,
+        echo_log: true,
         listener: Some(listener),
-        shared: Some(shared.clone()),
+        shared_folder: Some(shared.clone()),
         ..Setup::default()
     };
     let mut proxy = Proxy::start(&setup).expect("the proxy starts");
@@ -574,7 +574,7 @@
     let mut told = config("127.0.0.1:9", &[entry(0, member.address())], settings(), 1024, 64);
     told["console"] = "127.0.0.1:0".into();
     let program = env!("CARGO_BIN_EXE_linentrail").into();
-    let proxy = Proxy::start(&Setup { program, config: told, loud: true, ..Setup::default() });
+    let proxy = Proxy::start(&Setup { program, config: told, echo_log: true, ..Setup::default() });
     let proxy = proxy.expect("the proxy starts");
     let to = proxy.pg;
     let flood = |n: usize| {
@@ -610,7 +610,7 @@
     std::thread::sleep(Duration::from_millis(300));
     for n in 0..40 {
         let line = ["STATUS\n", "SUSPEND s-00000000\n", "RESTORE s-00000000\n"][n % 3];
-        let (answer, took) = proxy.call(line).expect("an answer");
+        let (answer, took) = proxy.call_console(line).expect("an answer");
         assert!(answer.starts_with("200 ") && took < Duration::from_secs(1), "{line}: {answer} {took:?}");
     }
     let served = proxy.counters().expect("counters")["pg_requests"];
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -96,7 +96,7 @@
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: config("127.0.0.1:9", &known, settings(), 1024, 192),
-        loud: true,
+        echo_log: true,
         ..Setup::default()
     };
     World { member, group, proxy: Proxy::start(&setup).expect("the proxy starts") }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -123,7 +123,7 @@
 impl Drop for Stage {
     fn drop(&mut self) {
         (self.proxy, self.former) = (None, None);
-        self.setup.shared.as_ref().map(std::fs::remove_dir_all);
+        self.setup.shared_folder.as_ref().map(std::fs::remove_dir_all);
     }
 }
 
@@ -238,11 +238,12 @@
             }
             ["back", "out"] => self.proxy = self.former.take(),
             ["shared", name, "missing"] => {
-                let shared = self.setup.shared.as_ref().expect("start handed");
+                let shared = self.setup.shared_folder.as_ref().expect("start handed");
                 assert!(!shared.join("linentrail-t").join(name).exists(), "{line}");
             }
             ["shared", name, blocked @ ("blocked" | "free")] => {
-                let path = self.setup.shared.as_ref().expect("start handed").join("linentrail-t").join(name);
+                let path =
+                    self.setup.shared_folder.as_ref().expect("start handed").join("linentrail-t").join(name);
                 match blocked {
                     "blocked" => {
                         let _ = std::fs::remove_file(&path);
@@ -252,7 +253,7 @@
                 }
             }
             ["shared", name, "is", ..] => {
-                let shared = self.setup.shared.as_ref().expect("start handed");
+                let shared = self.setup.shared_folder.as_ref().expect("start handed");
                 std::fs::write(shared.join("linentrail-t").join(name), rest(3)).unwrap();
             }
             ["both", call, ref who @ ..] => {
@@ -337,7 +338,7 @@
             None => word.to_string(),
         };
         let call: Vec<String> = call.replace("\\n", "\n").split(' ').map(id).collect();
-        let (answer, took) = proxy.call(&format!("{}\n", call.join(" "))).unwrap();
+        let (answer, took) = proxy.call_console(&format!("{}\n", call.join(" "))).unwrap();
         assert!(answer.starts_with(&format!("{code} ")) && answer.ends_with('\n'), "{line}: {answer}");
         assert!(took < Duration::from_secs(1), "{line}: {took:?}");
     }
@@ -435,10 +436,10 @@
             config: self.config.clone(),
             odata,
             browse: dnssd.then(|| self.dns.start()),
-            loud: true,
+            echo_log: true,
             log: traced.then(|| "info,request=debug".to_string()),
             listener: handed.then(listener),
-            shared: handed.then(shared),
+            shared_folder: handed.then(shared),
             ..Setup::default()
         };
         self.proxy = Some(Proxy::start(&setup).expect("the proxy starts"));
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -5,7 +5,7 @@
 use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
-use linentrail_standins::proxy::{self, Launched, Setup};
+use linentrail_standins::proxy::{self, ProxyProcess, Setup};
 use linentrail_standins::registry::entry;
 use linentrail_standins::wire;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -62,7 +62,7 @@
 }
 
 /// Connects again and again until somebody listens there.
-fn connect(to: SocketAddr, launched: &mut Launched) -> TcpStream {
+fn connect(to: SocketAddr, launched: &mut ProxyProcess) -> TcpStream {
     let began = Instant::now();
     loop {
         match TcpStream::connect(to) {
@@ -131,13 +131,13 @@
     let mut world = World::new();
     let operators = pipe("files");
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), operators.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     ask(&mut client, "early");
     write_to(&operators);
     let told = answer(&mut client);
     assert!(matches!(told, ClientAnswer::Served(_) | ClientAnswer::Refused(_)), "{told:?}");
-    let proxy = launched.serving(&world.setup).unwrap();
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
     assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
@@ -147,14 +147,14 @@
 fn a_client_is_refused_while_the_start_takes_long_and_served_after_it() {
     let mut world = World::new();
     let held = world.hold_console();
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     ask(&mut client, "early");
     assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
     // The connection ends behind its last word, in order and not by a reset.
     assert_eq!(client.read_to_end(&mut Vec::new()).unwrap(), 0);
     drop(held);
-    let proxy = launched.serving(&world.setup).unwrap();
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
     assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
@@ -166,7 +166,7 @@
     let mut world = World::new();
     let operators = pipe("late");
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), operators.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     let statement = ClientRequest { wait_ms: 400, ..booking("late") }.sql(&request_id());
     client.write_all(&[wire::startup(), wire::query(&statement)].concat()).unwrap();
@@ -174,7 +174,7 @@
     write_to(&operators);
     assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
     assert_eq!(world.primary.statement_count("write late"), 0, "{:?}", world.primary.statements());
-    let proxy = launched.serving(&world.setup).unwrap();
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "soon");
     assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
@@ -189,7 +189,7 @@
     let file = std::env::temp_dir().join(format!("linentrail-start-odata-{}.hcl", std::process::id()));
     std::fs::write(&file, format!("odata {{\n enabled = true\n listen = \"{odata}\"\n}}\n")).unwrap();
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), file.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(odata, &mut launched);
     client.write_all(b"GET /records('k') HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
     let mut lines = BufReader::new(client).lines().map_while(Result::ok).take_while(|line| !line.is_empty());
@@ -197,7 +197,7 @@
     assert!(status.starts_with("HTTP/1.1 503"), "{status}");
     assert!(lines.any(|line| line.to_ascii_lowercase().starts_with("retry-after:")));
     drop(held);
-    drop(launched.serving(&world.setup).unwrap());
+    drop(launched.wait_until_serving(&world.setup).unwrap());
     std::fs::remove_file(file).unwrap();
 }
 
@@ -219,13 +219,13 @@
             true => Box::new(TcpListener::bind(address).unwrap()),
             false => Box::new(UdpSocket::bind(address).unwrap()),
         };
-        let mut launched = Launched::new(&world.setup).unwrap();
+        let mut launched = ProxyProcess::new(&world.setup).unwrap();
         let mut client = connect(world.clients(), &mut launched);
         ask(&mut client, "early");
         let told = answer(&mut client);
         assert!(matches!(told, ClientAnswer::Refused(_)), "TCP {tcp}: {told:?}");
         drop(held);
-        drop(launched.serving(&world.setup).unwrap());
+        drop(launched.wait_until_serving(&world.setup).unwrap());
         std::fs::remove_file(key).unwrap();
     }
 }
@@ -236,7 +236,7 @@
 fn a_crowd_that_connects_from_exec_on_gets_an_answer_each() {
     let world = World::new();
     for start in 0..5 {
-        let mut launched = Launched::new(&world.setup).unwrap();
+        let mut launched = ProxyProcess::new(&world.setup).unwrap();
         let first = connect(world.clients(), &mut launched);
         let to = world.clients();
         let clients: Vec<_> = (0..8)
@@ -257,6 +257,6 @@
             .collect();
         clients.into_iter().for_each(|client| client.join().unwrap());
         drop(first);
-        drop(launched.serving(&world.setup).unwrap());
+        drop(launched.wait_until_serving(&world.setup).unwrap());
     }
 }
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_process_without_a_list_says_what_it_waits_for() {
     let proxy = start(&[]);
-    let (phase, _) = proxy.call("PHASE\n").expect("an answer");
+    let (phase, _) = proxy.call_console("PHASE\n").expect("an answer");
     assert!(phase.starts_with("400 listing since the start"), "{phase}");
     assert!(phase.contains("waits for a list that names a member: loading "), "{phase}");
     let (code, said) = status(proxy.console.expect("it has one"));
@@ -46,7 +46,7 @@
     let group = Group::default();
     let members = [true, false].map(|primary| Member::start(&group, primary, 0, Capacity::default()));
     let proxy = start(&members);
-    let (before, _) = proxy.call("PHASE\n").expect("an answer");
+    let (before, _) = proxy.call_console("PHASE\n").expect("an answer");
     assert!(before.starts_with("400 confirming since"), "no member has been heard: {before}");
     let read =
         ClientRequest { class: "monthly-report", key: "k".into(), value: None, wait_ms: 9_000, after: None };
@@ -57,7 +57,7 @@
             client.request(&read).await.expect("an answer")
         });
         assert_eq!(told, ClientAnswer::Served(Vec::new()));
-        let (phase, _) = proxy.call("PHASE\n").expect("an answer");
+        let (phase, _) = proxy.call_console("PHASE\n").expect("an answer");
         if phase.starts_with("200 ") {
             break phase;
         }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -193,9 +193,9 @@
     let first = Proxy::start(&alone.setup).expect("it starts");
     until("it writes", || counted(&first, "store_snapshots") > 0);
     drop(first);
-    alone.setup.instead = Some("{\"name\": \"t\", \"listen\"".to_string());
+    alone.setup.config_text = Some("{\"name\": \"t\", \"listen\"".to_string());
     let mut next = Proxy::start(&alone.setup).expect("it takes the last that held");
-    let status = |proxy: &Proxy| proxy.call("STATUS\n").expect("an answer").0;
+    let status = |proxy: &Proxy| proxy.call_console("STATUS\n").expect("an answer").0;
     assert_eq!(status(&next), "200 serving, by the last configuration that held\n");
     assert_eq!(counted(&next, "store_settings_taken"), 1);
     // A configuration that can be read takes its place.
@@ -214,12 +214,12 @@
 fn a_word_is_on_the_disk_before_its_yes_and_a_folder_that_cannot_be_written_gets_a_no() {
     let mut alone = Alone::storing(" every_ms = 3600000\n");
     let first = Proxy::start(&alone.setup).expect("it starts");
-    assert!(first.call("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
+    assert!(first.call_console("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
     // Killed at once: no snapshot comes to its help.
     drop(first);
     let next = Proxy::start(&alone.setup).expect("it starts");
     assert!(
-        next.call("STATUS\n").expect("an answer").0.starts_with("400 no member"),
+        next.call_console("STATUS\n").expect("an answer").0.starts_with("400 no member"),
         "its only member is out"
     );
     drop(next);
@@ -230,7 +230,7 @@
     until("it writes", || counted(&next, "store_snapshots") > 0);
     std::fs::remove_dir_all(&place).expect("it is there");
     std::fs::write(&place, "in the way").expect("written");
-    let told = next.call("RESTORE s-00000000\n").expect("an answer").0;
+    let told = next.call_console("RESTORE s-00000000\n").expect("an answer").0;
     assert!(told.starts_with("400 done, but not written down"), "{told}");
     until("it is counted", || counted(&next, "store_failures") > 0);
     std::fs::remove_file(&place).expect("it is there");
@@ -241,7 +241,7 @@
     use std::os::unix::fs::PermissionsExt;
     let mut alone = Alone::storing("");
     let first = Proxy::start(&alone.setup).expect("it starts");
-    assert!(first.call("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
+    assert!(first.call_console("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
     until("it writes", || counted(&first, "store_snapshots") > 1);
     drop(first);
     // From 512 bytes on no file can be written: each snapshot breaks off in its middle.
@@ -255,16 +255,16 @@
     alone.setup.program = limited;
     let next = Proxy::start(&alone.setup).expect("it starts");
     until("it cannot write", || counted(&next, "store_failures") > 2);
-    let told = next.call("STATUS\n").expect("an answer").0;
+    let told = next.call_console("STATUS\n").expect("an answer").0;
     assert!(told.starts_with("400 no member"), "its only member is out still: {told}");
     assert_eq!(counted(&next, "store_snapshots"), 0);
     assert_eq!(std::fs::read(&snapshot).expect("a snapshot"), before, "the former one stays whole");
     // Words are short and find room; what they say outlasts this process, too.
-    assert!(next.call("RESTORE s-00000000\n").expect("an answer").0.starts_with("200"));
+    assert!(next.call_console("RESTORE s-00000000\n").expect("an answer").0.starts_with("200"));
     drop(next);
     alone.setup.program = PROGRAM.into();
     let last = Proxy::start(&alone.setup).expect("it starts");
-    assert!(last.call("STATUS\n").expect("an answer").0.starts_with("200"));
+    assert!(last.call_console("STATUS\n").expect("an answer").0.starts_with("200"));
     assert_eq!(counted(&last, "store_torn"), 0);
 }
 
@@ -303,10 +303,10 @@
     assert_eq!(line, "run = \"exec target/release/linentrail\"");
     std::fs::create_dir_all(alone.folder.join("linentrail-t")).expect("a folder");
     let mut setup = alone.setup.clone();
-    setup.shipped = true;
+    setup.as_shipped = true;
     setup.config.as_object_mut().expect("fields").remove("console");
     // A folder that looks like a store's, and what might be taken for its settings.
-    setup.shared = Some(alone.folder.clone());
+    setup.shared_folder = Some(alone.folder.clone());
     setup.environment = ["STORE", "LINENTRAIL_STORE", "LINENTRAIL_KEY", "LINENTRAIL_AGREEMENT", "AGREEMENT"]
         .map(|n| (n.to_string(), alone.folder.display().to_string()))
         .into();
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -210,7 +210,7 @@
 fn connections_accepted_by_the_machine_are_taken_at_the_end_though_accept_fails_for_a_moment() {
     const CLIENTS: usize = 16;
     let mut world = World::new(&[(Call::AcceptFails, 2)]);
-    world.setup.still_coming = Some(Duration::from_millis(1));
+    world.setup.accept_after_term = Some(Duration::from_millis(1));
     let proxy = world.start();
     proxy.signal("STOP").unwrap();
     runtime().block_on(async {
@@ -403,7 +403,7 @@
 fn a_request_that_has_begun_when_the_end_comes_is_answered() {
     let mut world = World::new(&[]);
     world.setup.odata = true;
-    world.setup.still_coming = Some(Duration::from_millis(300));
+    world.setup.accept_after_term = Some(Duration::from_millis(300));
     for odata in [false, true] {
         let proxy = world.start();
         let (to, whole, answer) = if odata {
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -53,7 +53,7 @@
             program: env!("CARGO_BIN_EXE_linentrail").into(),
             config: proxy::config("127.0.0.1:9", &list, proxy::settings(), sockets, 192),
             odata: true,
-            still_coming: Some(Duration::from_millis(500)),
+            accept_after_term: Some(Duration::from_millis(500)),
             ..Setup::default()
         };
         World { members, setup }
