--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -7,7 +7,7 @@
 use crate::member::{AnswerStatus, Behaviour, PositionPolicy, WhenBehind};
 use crate::proxy::CLASSES;
 use crate::registry::DiscoveryBehaviour;
-use crate::shim::{Call, DiskError};
+use crate::shim::{CallFault, DiskError};
 use std::fmt::{self, Display};
 use std::time::Duration;
 
@@ -167,7 +167,7 @@
     /// The proxies agree on their rules, and so many of them vote; 0: they do not.
     pub voters: u32,
     /// System calls of the proxies that fail, each once in so many.
-    pub calls: Vec<(Call, u32)>,
+    pub calls: Vec<(CallFault, u32)>,
     /// What a repeat of a request may do, by class.
     pub effects: [Effect; CLASSES.len()],
     /// Session reads carry the last commit of their session; else the proxies remember it.
@@ -560,8 +560,11 @@
     })
 }
 
-fn call(name: &str) -> Result<Call, String> {
-    Call::ALL.into_iter().find(|call| call.name() == name).ok_or_else(|| format!("there is no call '{name}'"))
+fn call(name: &str) -> Result<CallFault, String> {
+    CallFault::ALL
+        .into_iter()
+        .find(|call| call.name() == name)
+        .ok_or_else(|| format!("there is no call '{name}'"))
 }
 
 fn harm(words: &[&str]) -> Result<Harm, String> {
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -540,9 +540,9 @@
                     self.0.registry.set_started_now(m as usize - 1);
                 }
             }
-            Step::CallsFail(who, on) => self.shims(who, |shim| shim.calls_fail(*on))?,
-            Step::ClockStep(who, us) => self.shims(who, |shim| shim.clock_step(*us))?,
-            Step::Disk(who, error) => self.shims(who, |shim| shim.disk_fails(*error))?,
+            Step::CallsFail(who, on) => self.shims(who, |shim| shim.set_call_faults(*on))?,
+            Step::ClockStep(who, us) => self.shims(who, |shim| shim.set_clock_step(*us))?,
+            Step::Disk(who, error) => self.shims(who, |shim| shim.set_disk_error(*error))?,
             Step::Ill(ill) => self.0.registry.set_behaviour(*ill),
             Step::Lists(m, state) => self.0.registry.set_lifecycle(*m as usize - 1, state),
         }
--- a/crates/standins/src/shim.rs
+++ b/crates/standins/src/shim.rs
@@ -18,7 +18,7 @@
 
 /// A call that fails or does less than it was asked to, as the shim names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Call {
+pub enum CallFault {
     /// A read brings one byte while more stands in the socket.
     RecvShort,
     /// A read brings a drawn part of what stands in the socket.
@@ -43,36 +43,36 @@
     Pause,
 }
 
-impl Call {
+impl CallFault {
     /// All of them.
-    pub const ALL: [Call; 11] = [
-        Call::RecvShort,
-        Call::RecvCut,
-        Call::SendShort,
-        Call::RecvFails,
-        Call::AcceptFails,
-        Call::ConnectFails,
-        Call::SocketFails,
-        Call::WaitInterrupted,
-        Call::CallInterrupted,
-        Call::CallNoMemory,
-        Call::Pause,
+    pub const ALL: [CallFault; 11] = [
+        CallFault::RecvShort,
+        CallFault::RecvCut,
+        CallFault::SendShort,
+        CallFault::RecvFails,
+        CallFault::AcceptFails,
+        CallFault::ConnectFails,
+        CallFault::SocketFails,
+        CallFault::WaitInterrupted,
+        CallFault::CallInterrupted,
+        CallFault::CallNoMemory,
+        CallFault::Pause,
     ];
 
     /// The name that the shim and scenarios have for it.
     pub fn name(self) -> &'static str {
         match self {
-            Call::RecvShort => "recv_short",
-            Call::RecvCut => "recv_cut",
-            Call::SendShort => "send_short",
-            Call::RecvFails => "recv_fails",
-            Call::AcceptFails => "accept_fails",
-            Call::ConnectFails => "connect_fails",
-            Call::SocketFails => "socket_fails",
-            Call::WaitInterrupted => "wait_intr",
-            Call::CallInterrupted => "call_intr",
-            Call::CallNoMemory => "call_nomem",
-            Call::Pause => "pause",
+            CallFault::RecvShort => "recv_short",
+            CallFault::RecvCut => "recv_cut",
+            CallFault::SendShort => "send_short",
+            CallFault::RecvFails => "recv_fails",
+            CallFault::AcceptFails => "accept_fails",
+            CallFault::ConnectFails => "connect_fails",
+            CallFault::SocketFails => "socket_fails",
+            CallFault::WaitInterrupted => "wait_intr",
+            CallFault::CallInterrupted => "call_intr",
+            CallFault::CallNoMemory => "call_nomem",
+            CallFault::Pause => "pause",
         }
     }
 }
@@ -104,11 +104,11 @@
 
 impl Shim {
     /// One for a proxy whose files are in `folder`, in which the control file and the log of faults are made. `calls`
-    /// fail once in so many; nothing fails before [`Shim::calls_fail`] says so. The disk's faults hold below `disk`.
+    /// fail once in so many; nothing fails before [`Shim::set_call_faults`] says so. The disk's faults hold below `disk`.
     ///
     /// # Errors
     /// When the files cannot be made.
-    pub fn new(folder: &Path, disk: &Path, seed: u64, calls: &[(Call, u32)]) -> Result<Self> {
+    pub fn new(folder: &Path, disk: &Path, seed: u64, calls: &[(CallFault, u32)]) -> Result<Self> {
         let path = folder.join("fault-control");
         let control = File::options().create(true).truncate(true).read(true).write(true).open(&path)?;
         control.set_len(CONTROL_BYTES)?;
@@ -130,7 +130,7 @@
 
     /// The same, but no more than so many calls fail.
     #[must_use]
-    pub fn at_most(mut self, faults: u32) -> Self {
+    pub fn limit_faults(mut self, faults: u32) -> Self {
         for (name, value) in &mut self.environment {
             if name == FAULTS {
                 *value += &format!(",at_most={faults}");
@@ -152,7 +152,7 @@
     ///
     /// # Errors
     /// When the control file cannot be written.
-    pub fn clock_step(&self, us: i64) -> Result<()> {
+    pub fn set_clock_step(&self, us: i64) -> Result<()> {
         self.set(CLOCK_STEP_AT, us)
     }
 
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     /// When the control file cannot be written.
-    pub fn disk_fails(&self, error: Option<DiskError>) -> Result<()> {
+    pub fn set_disk_error(&self, error: Option<DiskError>) -> Result<()> {
         self.set(DISK_ERROR_AT, error.map_or(0, DiskError::errno))
     }
 
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// When the control file cannot be written.
-    pub fn calls_fail(&self, on: bool) -> Result<()> {
+    pub fn set_call_faults(&self, on: bool) -> Result<()> {
         self.set(CALLS_FAIL_AT, i64::from(on))
     }
 }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -8,7 +8,7 @@
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
 use linentrail_standins::registry::{entry, Registry};
-use linentrail_standins::shim::{Call, Shim};
+use linentrail_standins::shim::{CallFault, Shim};
 use linentrail_standins::{runtime, wire};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -50,7 +50,7 @@
 }
 
 impl World {
-    fn new(calls: &[(Call, u32)]) -> Self {
+    fn new(calls: &[(CallFault, u32)]) -> Self {
         let group = Group::default();
         let capacity = Capacity::default();
         let members: Vec<Member> =
@@ -135,46 +135,46 @@
 
 #[test]
 fn short_reads_lose_no_request_and_no_answer() {
-    for calls in [&[(Call::RecvShort, 5)][..], &[(Call::RecvCut, 1)]] {
+    for calls in [&[(CallFault::RecvShort, 5)][..], &[(CallFault::RecvCut, 1)]] {
         let world = World::new(calls);
         let proxy = world.start();
-        world.shim.calls_fail(true).unwrap();
+        world.shim.set_call_faults(true).unwrap();
         all_are_served(&world, &proxy);
     }
 }
 
 #[test]
 fn short_writes_and_interrupted_waits_lose_nothing() {
-    let world = World::new(&[(Call::SendShort, 3), (Call::WaitInterrupted, 5)]);
+    let world = World::new(&[(CallFault::SendShort, 3), (CallFault::WaitInterrupted, 5)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn calls_that_a_signal_interrupts_lose_nothing() {
-    let world = World::new(&[(Call::CallInterrupted, 5)]);
+    let world = World::new(&[(CallFault::CallInterrupted, 5)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn calls_that_find_no_memory_for_a_moment_lose_nothing() {
-    let world = World::new(&[(Call::CallNoMemory, 10)]);
+    let world = World::new(&[(CallFault::CallNoMemory, 10)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn a_start_outlasts_sockets_that_are_not_to_be_had_for_a_moment() {
-    let world = World::new(&[(Call::SocketFails, 2)]);
-    world.shim.calls_fail(true).unwrap();
+    let world = World::new(&[(CallFault::SocketFails, 2)]);
+    world.shim.set_call_faults(true).unwrap();
     let mut faults = 0;
     for seed in 0..6 {
-        let shim = Shim::new(&world.folder.0, &world.folder.0, seed, &[(Call::SocketFails, 2)]).unwrap();
-        shim.calls_fail(true).unwrap();
+        let shim = Shim::new(&world.folder.0, &world.folder.0, seed, &[(CallFault::SocketFails, 2)]).unwrap();
+        shim.set_call_faults(true).unwrap();
         let setup = Setup { environment: shim.environment(), ..world.setup.clone() };
         let started = Proxy::start(&setup);
         assert!(started.is_ok(), "seed {seed}: {:?}", started.err());
@@ -193,8 +193,10 @@
     }
     world.setup.config["known"]["instances"] = Vec::<String>::new().into();
     world.setup.browse = Some(names.start());
-    let shim = Shim::new(&world.folder.0, &world.folder.0, 7, &[(Call::ConnectFails, 1)]).unwrap().at_most(3);
-    shim.calls_fail(true).unwrap();
+    let shim = Shim::new(&world.folder.0, &world.folder.0, 7, &[(CallFault::ConnectFails, 1)])
+        .unwrap()
+        .limit_faults(3);
+    shim.set_call_faults(true).unwrap();
     world.setup.environment = shim.environment();
     let proxy = world.start();
     runtime().block_on(async {
@@ -209,7 +211,7 @@
 #[test]
 fn connections_accepted_by_the_machine_are_taken_at_the_end_though_accept_fails_for_a_moment() {
     const CLIENTS: usize = 16;
-    let mut world = World::new(&[(Call::AcceptFails, 2)]);
+    let mut world = World::new(&[(CallFault::AcceptFails, 2)]);
     world.setup.accept_after_term = Some(Duration::from_millis(1));
     let proxy = world.start();
     proxy.signal("STOP").unwrap();
@@ -223,7 +225,7 @@
             streams.push(stream);
         }
         proxy.signal("TERM").unwrap();
-        world.shim.calls_fail(true).unwrap();
+        world.shim.set_call_faults(true).unwrap();
         proxy.signal("CONT").unwrap();
         for (n, mut stream) in streams.into_iter().enumerate() {
             let mut all = Vec::new();
@@ -349,7 +351,7 @@
     const HOUR: i64 = 3_600_000_000;
     for step in [0, HOUR, -HOUR] {
         let world = World::new(&[]);
-        world.shim.clock_step(step).unwrap();
+        world.shim.set_clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
             let mut client = PgClient::connect(proxy.pg).await.unwrap();
@@ -379,7 +381,7 @@
         world.setup.config["discovery"] = discovery.to_string().into();
         // One of many: its share of each member is less than a request at a time.
         world.setup.config["settings"]["instances"] = 100.into();
-        world.shim.clock_step(step).unwrap();
+        world.shim.set_clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
             let mut client = PgClient::connect(proxy.pg).await.unwrap();
