--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -63,26 +63,26 @@
     }
 }
 
-pub struct Driver {
+pub struct RouterDriver {
     pub router: Router,
     pub now: Time,
     next: u64,
 }
 
-impl Driver {
+impl RouterDriver {
     /// A primary (1) and two replicas (2, 3), all heard of from the list alone, some while ago: first connections wait
     /// for nobody's turn.
     pub fn new(settings: Settings) -> Self {
-        let mut driver = Driver::blank(settings);
+        let mut driver = RouterDriver::without_members(settings);
         driver.list(ListKind::Disk, vec![member(1, true), member(2, false), member(3, false)]);
         driver.now += 4_000 * MS;
         driver
     }
 
     /// One that has heard of nobody.
-    pub fn blank(settings: Settings) -> Self {
+    pub fn without_members(settings: Settings) -> Self {
         let router = Router::new(settings).expect("settings");
-        Driver { router, now: 100_000 * MS, next: 0 }
+        RouterDriver { router, now: 100_000 * MS, next: 0 }
     }
 
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
@@ -91,7 +91,7 @@
         out
     }
 
-    pub fn after(&mut self, span: Time) -> Vec<Action> {
+    pub fn advance(&mut self, span: Time) -> Vec<Action> {
         self.now += span;
         self.step(&[Event::Wake { tag: 0 }])
     }
@@ -130,7 +130,7 @@
     }
 
     /// A read of any kind at `member` answers with this position and role.
-    pub fn hear(&mut self, member: u32, position: Time, role: Role) -> Vec<Action> {
+    pub fn probe_answer(&mut self, member: u32, position: Time, role: Role) -> Vec<Action> {
         let report =
             Report { position: Some(position + MS), primary: Some(role == Role::Primary), busy: None };
         self.step(&[Event::Probed { member: MemberId(member), ok: true, report: Some(report) }])
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -3,11 +3,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn a_write_that_waits_for_its_connection_is_not_sent_to_a_member_announced_as_leaving_meanwhile() {
-    play(
+    run_scenario(
         "member p primary
          start watching patient
          p does shut
@@ -25,7 +25,7 @@
 #[test]
 fn what_waits_for_its_connection_when_its_client_leaves_is_never_sent() {
     for leaves in ["close", "fin"] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start patient
              p does shut
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_client_that_leaves_behind_its_goodbye_has_left() {
-    play(
+    run_scenario(
         "member p primary
          start patient
          p does shut
@@ -64,7 +64,7 @@
 fn an_end_that_stands_behind_unread_queries_is_seen_while_answers_are_owed() {
     // Sixteen are read ahead; the end is behind the others. What was sent may run, and nothing more is sent for them.
     let asked: String = (1..=20).map(|n| format!("a send read k{n} monthly-report\n")).collect();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          start patient
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_request_that_is_open_when_settings_get_shorter_still_has_its_time_at_the_end() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -115,7 +115,7 @@
 #[test]
 fn a_connection_from_before_a_member_has_moved_carries_nothing_more() {
     // The answer that comes after the move is the client's; its connection leads to whoever has the former address now.
-    play(
+    run_scenario(
         "member p primary
          start watching
          member q primary
@@ -135,7 +135,7 @@
 
 #[test]
 fn what_waits_for_its_connection_when_its_member_moves_goes_to_the_new_address() {
-    play(
+    run_scenario(
         "member p primary
          start watching patient
          member q primary
@@ -152,7 +152,7 @@
 
 #[test]
 fn a_booking_that_nobody_waits_for_any_more_is_dropped_before_it_is_sent_and_runs_on_after() {
-    play(
+    run_scenario(
         "member p primary
          start odata patient
          p does shut
@@ -185,7 +185,7 @@
 fn idle_clients_that_fill_the_descriptors_do_not_keep_the_list_out_when_discovery_is_back() {
     // 60 descriptors; clients hold and ask for more of them than there are while every call to discovery fails.
     let each = |what: &str| (0..60).map(|n| what.replace('#', &n.to_string()) + "\n").collect::<String>();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          list does reset
@@ -208,7 +208,7 @@
 #[test]
 fn where_lists_are_pushed_the_agent_is_called_from_the_start_and_again_after_any_failure() {
     // What it holds counts as told whether or not this process has called.
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start pushed
@@ -241,7 +241,7 @@
 #[test]
 fn the_list_of_the_start_is_confirmed_at_once_where_nothing_has_changed() {
     // A watch would wait for a change first, and nothing may be sent meanwhile once that list is too old.
-    play(
+    run_scenario(
         "member p primary
          start watching
          list expect 1 confirms
@@ -258,7 +258,7 @@
 #[test]
 fn a_move_of_discovery_is_one_move_whatever_becomes_of_the_calls_after_it() {
     // Each failed call is followed by the module's pause; were it taken for a move, the whole list would be asked for at once.
-    play(
+    run_scenario(
         "member p primary
          start watching
          list expect 1 confirms
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,11 +2,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn reads_and_writes_pass_in_the_order_of_their_queries() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw ;
@@ -28,7 +28,7 @@
 
 #[test]
 fn what_was_asked_before_the_goodbye_is_answered() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -43,7 +43,7 @@
 
 #[test]
 fn what_cannot_be_read_gets_its_sqlstate() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw SELECT 1
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_booking_that_may_have_run_is_neither_sent_again_nor_refused() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does reset
@@ -80,7 +80,7 @@
 #[test]
 fn a_half_read_value_is_never_passed_on() {
     // A read may be repeated: what another member gives whole is served. A booking fails visibly.
-    play(
+    run_scenario(
         "member p primary
          start
          p does half
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_refusal_says_when_to_come_back() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          p does full
@@ -107,7 +107,7 @@
 
 #[test]
 fn clients_still_connect_after_sigterm_and_nothing_taken_is_lost() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -127,7 +127,7 @@
 #[test]
 fn when_all_seats_are_taken_the_longest_idle_client_makes_room() {
     // 40 descriptors leave four seats for clients.
-    play(
+    run_scenario(
         "member p primary
          start small
          a send read k1 yard-board
@@ -150,7 +150,7 @@
 
 #[test]
 fn the_service_describes_itself_and_names_what_it_does_not_do() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send http GET /
@@ -190,7 +190,7 @@
 
 #[test]
 fn deadlines_and_failures_have_their_own_status() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          p does error
@@ -206,7 +206,7 @@
 
 #[test]
 fn a_charging_booking_needs_an_id_that_can_prove_something() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send POST k1 01
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_booking_is_charged_once_whatever_client_and_member_reset() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start odata
@@ -261,7 +261,7 @@
 fn a_session_reads_its_last_write_through_either_front() {
     // The replicas lag by a minute and the reads carry no position of their own: only what the proxy remembers of
     // the session keeps them off.
-    play(
+    run_scenario(
         "member p primary
          member r replica 60000
          member s replica 60000
@@ -298,7 +298,7 @@
 
 #[test]
 fn members_are_browsed_for_and_leave_when_no_longer_named() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          member q replica 1
@@ -324,7 +324,7 @@
 
 #[test]
 fn members_whose_records_are_not_renewed_expire() {
-    play(
+    run_scenario(
         "member p primary
          dns does list p 4
          start dnssd
@@ -357,7 +357,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_member_that_is_told_to_leave() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start watching
@@ -389,7 +389,7 @@
 fn a_proxy_that_holds_a_list_never_asks_for_the_whole_one_and_learns_of_a_drain_all_the_same() {
     // A whole list costs discovery many times a watch. One that fails is begun again from the version held.
     for ill in ["overbooked", "reset"] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              member r replica 1
              list does {ill}
@@ -413,7 +413,7 @@
 fn a_list_that_cannot_be_used_is_dropped_and_what_is_held_serves_on() {
     for ill in ["cut", "noise", "older", "many"] {
         let counter = if ill == "cut" { "list_failures" } else { "list_dropped" };
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              member r replica 1
              list does {ill}
@@ -433,7 +433,7 @@
 
 #[test]
 fn while_discovery_says_nothing_known_members_serve() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          list does silent
@@ -449,7 +449,7 @@
 
 #[test]
 fn a_service_that_answers_watches_at_once_with_nothing_is_not_asked_as_fast_as_it_answers() {
-    play(
+    run_scenario(
         "member p primary
          list does hasty
          start watching
@@ -467,7 +467,7 @@
     // Six of seven go within moments, each with a read out. What is kept of them goes with the first list after 5 s;
     // a connection to the one that stays may rest.
     let each = |line: &str| (0..6).map(|n| line.replace('#', &n.to_string()) + "\n").collect::<String>();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          {}start watching
          list expect 1 watches
@@ -503,7 +503,7 @@
 #[test]
 fn a_connection_near_its_idle_limit_is_closed_rather_than_written_to() {
     // At the limit the member's machine would answer with a reset, and a booking lost so may not be sent again.
-    play(
+    run_scenario(
         "member p primary
          start brief
          a send write k1 01
@@ -520,7 +520,7 @@
 fn a_replica_that_seems_near_enough_is_no_proof_for_a_write_that_members_do_not_know() {
     // By its last word the replica is 1 ms behind. The read carries no position, so that the replica itself
     // would answer it from what it has.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start odata
@@ -543,7 +543,7 @@
 fn a_primary_that_has_lost_its_role_unseen_gives_no_stale_session_read() {
     // The read goes to the member last known as primary; what its answer tells of it shows that it is behind. It must
     // have time to hear from the replica first, should that be asked anew.
-    play(
+    run_scenario(
         "member p primary
          member r replica 60000
          start odata
@@ -562,7 +562,7 @@
 
 #[test]
 fn a_client_that_holds_its_body_back_is_told_to_go_on() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send wire POST /records HTTP/1.1\\nSkip-Class: place-order\\nSkip-Tenant: acme\\nSkip-Group: 1\\nContent-Length: 2\\nExpect: 100-continue\\n\\n
@@ -574,7 +574,7 @@
 
 #[test]
 fn http_that_cannot_be_read_is_answered_as_odata() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send wire GET /\\n\\n
@@ -593,7 +593,7 @@
 #[test]
 fn after_sighup_the_file_says_where_discovery_is_and_the_open_watch_ends() {
     // The variable still names the old address, whose watch would never be answered.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start watching
@@ -635,7 +635,7 @@
 #[test]
 fn a_request_with_a_long_deadline_outlasts_a_planned_restart() {
     // Its class may take 15 s; new clients are taken for 3 s after SIGTERM.
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -654,7 +654,7 @@
 fn a_silent_or_unfinished_client_is_closed_within_three_seconds() {
     // a says nothing, b nothing after its startup; c begins its startup, d its first message, and e one after it has
     // been served.
-    play(
+    run_scenario(
         "member p primary
          start
          e send read k1 yard-board
@@ -685,7 +685,7 @@
 #[test]
 fn what_no_client_should_send_gets_an_error_and_then_a_close() {
     // A message of no known sort, one with bytes behind its text, a negative length; the last two go on sending.
-    play(
+    run_scenario(
         "member p primary
          start
          a send hello
@@ -714,7 +714,7 @@
 
 #[test]
 fn sound_queries_in_front_of_what_cannot_be_read_are_answered_first() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -734,7 +734,7 @@
 
 #[test]
 fn names_and_values_that_no_client_should_send_never_reach_a_member() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw SELECT v FROM records WHERE k = 'k1' /* id=01,c=yard-board,t=acme,d=-5,cluster=1 */
@@ -757,7 +757,7 @@
 
 #[test]
 fn the_id_of_an_open_request_is_not_served_twice() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -776,7 +776,7 @@
 #[test]
 fn silent_clients_make_room_before_any_that_was_served() {
     // 40 descriptors leave four permits for clients. Silent is who has said nothing for 200 ms.
-    play(
+    run_scenario(
         "member p primary
          start small
          a send read k1 yard-board
@@ -808,13 +808,13 @@
     script
         .push_str("counts pg_no_room 3\nc19 expect error 53300\nc19 expect error 08P01\nc19 expect closed\n");
     script.push_str("c0 expect error 08P01\nc0 expect closed\na send read k1 yard-board\na expect row -");
-    play(&script);
+    run_scenario(&script);
 }
 
 #[test]
 fn what_comes_behind_an_answer_is_not_the_next_ones() {
     // The value itself is good. In the second part the copy comes while the connection rests.
-    play(
+    run_scenario(
         "member p primary
          start
          p does twice
@@ -838,7 +838,7 @@
 #[test]
 fn a_spoilt_refusal_proves_nothing() {
     // Taken at its word it would be passed on as a refusal, and the booking tried again, though it may have run.
-    play(
+    run_scenario(
         "member p primary
          start
          p does noisy
@@ -863,7 +863,7 @@
 #[test]
 fn the_rest_of_an_answer_that_stalls_is_not_waited_for() {
     // The booking itself would wait for 12 s.
-    play(
+    run_scenario(
         "member p primary
          start
          p does stall
@@ -879,7 +879,7 @@
 #[test]
 fn a_report_that_cannot_be_true_teaches_nothing() {
     // It claims the role of the primary, at a position beyond all others.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start
@@ -928,7 +928,7 @@
         "a send hello\na send bytes 510001d4c0\no19 expect 503 Retry-After\na expect error 53300\n",
     );
     script.push_str("o0 expect 408 Unfinished\nb send read k1 yard-board\nb expect row -");
-    play(&script);
+    run_scenario(&script);
 }
 
 #[test]
@@ -941,5 +941,5 @@
     script.push_str(
         "c0 expect closed\ncounts closed_to_make_room 2\nc11 send read k1 yard-board\nc11 expect row -",
     );
-    play(&script);
+    run_scenario(&script);
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn reads_go_to_the_replica_with_fewest_out_and_spill_to_the_primary_then_wait() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut per = [0usize; 4];
     let mut ids = Vec::new();
     for _ in 0..40 {
@@ -30,16 +30,16 @@
 
 #[test]
 fn a_crowded_read_leaves_early_but_one_that_waits_for_a_position_stays() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let last = (0..40).map(|_| d.request(ANY, None).0).last().unwrap();
-    let actions = d.after(100 * MS);
+    let actions = d.advance(100 * MS);
     assert!(refused(&actions, last), "a full fleet: give up well before the aim");
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
     let asked = probes(&actions)[0];
-    assert!(!refused(&d.after(100 * MS), id));
+    assert!(!refused(&d.advance(100 * MS), id));
     let report = Report { position: Some(d.now), primary: Some(false), busy: None };
     let actions = d.step(&[Event::Probed { member: MemberId(asked), ok: true, report: Some(report) }]);
     assert_eq!(sent(&actions), vec![(id, asked)]);
@@ -48,9 +48,9 @@
 #[test]
 fn the_gate_is_exact_for_bounded_reads() {
     for (age, qualifies) in [(500 * MS, true), (500 * MS + 1, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        d.hear(2, d.now - age, Role::Replica);
+        d.probe_answer(2, d.now - age, Role::Replica);
         let (_, actions) = d.request(BOUNDED, None);
         assert_eq!(!sent(&actions).is_empty(), qualifies, "age {age}");
     }
@@ -59,9 +59,9 @@
 #[test]
 fn the_gate_is_exact_for_session_reads() {
     for (lead, qualifies) in [(0, true), (1, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        d.hear(2, d.now - 50 * MS - lead, Role::Replica);
+        d.probe_answer(2, d.now - 50 * MS - lead, Role::Replica);
         let (_, actions) = d.request(SESSION, Some(50 * MS));
         assert_eq!(!sent(&actions).is_empty(), qualifies, "lead {lead}");
     }
@@ -69,24 +69,24 @@
 
 #[test]
 fn a_remembered_write_binds_its_session_even_if_the_read_carries_an_age_of_zero() {
-    let mut d = Driver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
+    let mut d = RouterDriver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
     let (write, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(write, 1)]);
-    d.hear(2, d.now - 100 * MS, Role::Replica);
-    d.hear(3, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(2, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(3, d.now - 100 * MS, Role::Replica);
     d.ended(write, 0, Outcome::Completed, note(d.now, Role::Primary));
     let (read, actions) = d.request(SESSION, Some(0));
     assert!(sent(&actions).is_empty(), "no replica has shown the write");
     assert_eq!(probes(&actions).len(), 1, "they are asked first");
-    assert_eq!(sent(&d.after(50 * MS)), vec![(read, 1)]);
-    d.hear(3, d.now, Role::Replica);
+    assert_eq!(sent(&d.advance(50 * MS)), vec![(read, 1)]);
+    d.probe_answer(3, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(0));
     assert_eq!(sent(&actions), vec![(read, 3)]);
 }
 
 #[test]
 fn members_that_check_are_tried_on_their_usual_lag_but_not_twice() {
-    let mut d = Driver::new(Settings { when_behind: WhenBehind::Refuses, ..settings() });
+    let mut d = RouterDriver::new(Settings { when_behind: WhenBehind::Refuses, ..settings() });
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     for _ in 0..2 {
         let (id, actions) = d.request(ANY, None);
@@ -103,7 +103,7 @@
 #[test]
 fn members_that_check_are_tried_though_little_is_heard_of_them_and_others_are_not() {
     for (when_behind, tried) in [(WhenBehind::Refuses, true), (WhenBehind::Answers, false)] {
-        let mut d = Driver::new(Settings { when_behind, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { when_behind, instances: 100, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         // Never heard of: 100 ms after the session's write any sound replica has it, but not at once.
         let (id, actions) = d.request(SESSION, Some(100 * MS));
@@ -114,7 +114,7 @@
             let (_, actions) = d.request(SESSION, Some(30 * MS));
             assert_eq!(sent(&actions).len(), 1, "heard of 8 s ago, 20 ms behind");
         }
-        let mut d = Driver::new(Settings { when_behind, ..settings() });
+        let mut d = RouterDriver::new(Settings { when_behind, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         assert!(sent(&d.request(SESSION, Some(20 * MS)).1).is_empty(), "too soon to try");
     }
@@ -123,7 +123,7 @@
 #[test]
 fn an_unsafe_write_that_may_have_run_is_never_sent_again_nor_refused() {
     for outcome in [Outcome::Errored, Outcome::Overdue, Outcome::Reset, Outcome::Cancelled] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         let (id, _) = d.request(UNSAFE, None);
         let actions = d.ended(id, 0, outcome, None);
         assert!(sent(&actions).is_empty() && !refused(&actions, id) && failed(&actions, id), "{outcome:?}");
@@ -132,7 +132,7 @@
 
 #[test]
 fn an_unsafe_write_that_cannot_have_run_looks_for_the_new_primary() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     let actions = d.ended(id, 0, Outcome::Miss, note(d.now, Role::Replica));
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_keyed_write_is_repeated_within_its_window_and_fails_at_once_after_it() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     d.now += 1_999 * MS;
     let actions = d.ended(id, 0, Outcome::Errored, None);
@@ -173,7 +173,7 @@
 }
 
 /// The members that a request goes to first from these actions on; none where it fails before.
-fn sent_again(d: &mut Driver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
+fn sent_again(d: &mut RouterDriver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
     let mut members = Vec::new();
     let deadline = d.now + settings().classes[KEYED].deadline;
     loop {
@@ -183,14 +183,14 @@
             return members;
         }
         assert!(d.now < deadline, "nobody has answered it");
-        actions = d.after(10 * MS);
+        actions = d.advance(10 * MS);
     }
 }
 
 #[test]
 fn a_keyed_read_is_sent_again_to_a_zone_that_does_not_know_it() {
     for need in [Consistency::Any, Consistency::Bounded(500 * MS), Consistency::Session, Consistency::Fresh] {
-        let mut d = Driver::new(known_in_its_zone(need));
+        let mut d = RouterDriver::new(known_in_its_zone(need));
         let primary_is_near = need == Consistency::Fresh;
         d.list(
             ListKind::Full,
@@ -200,14 +200,14 @@
                 elsewhere(3, false),
             ],
         );
-        d.hear(2, d.now, Role::Replica);
-        d.hear(3, d.now, Role::Replica);
+        d.probe_answer(2, d.now, Role::Replica);
+        d.probe_answer(3, d.now, Role::Replica);
         let (id, actions) = d.request(KEYED, None);
         let first = if primary_is_near { 1 } else { 2 };
         assert_eq!(sent(&actions), vec![(id, first)], "{need:?}");
         if primary_is_near {
             // The role moves to another zone before the first attempt ends.
-            d.hear(3, d.now + MS, Role::Primary);
+            d.probe_answer(3, d.now + MS, Role::Primary);
         }
         let actions = d.ended(id, 0, Outcome::Reset, None);
         assert!(sent_again(&mut d, id, actions).is_empty(), "{need:?}");
@@ -216,15 +216,15 @@
 
 #[test]
 fn a_keyed_write_is_taken_back_for_a_new_primary_that_does_not_know_it() {
-    let mut d = Driver::new(known_in_its_zone(Consistency::Write));
+    let mut d = RouterDriver::new(known_in_its_zone(Consistency::Write));
     d.list(ListKind::Full, vec![member(1, true), member(2, false), elsewhere(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.now += 500 * MS;
-    let actions = d.hear(3, d.now, Role::Primary);
+    let actions = d.probe_answer(3, d.now, Role::Primary);
     assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "it can be answered nowhere else");
     // The role comes back to a member of its zone.
-    let actions = d.hear(2, d.now + 10 * MS, Role::Primary);
+    let actions = d.probe_answer(2, d.now + 10 * MS, Role::Primary);
     assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "member 3 lost the role, not member 1");
     assert!(d.ended(id, 0, Outcome::Completed, None).iter().all(|a| !matches!(a, Action::Fail { .. })));
 }
@@ -232,23 +232,23 @@
 #[test]
 fn a_keyed_read_at_a_quiet_member_is_taken_back_where_no_other_knows_it() {
     for (zone, taken_back) in [(0, true), (1, false)] {
-        let mut d = Driver::new(known_in_its_zone(Consistency::Any));
+        let mut d = RouterDriver::new(known_in_its_zone(Consistency::Any));
         let other = Member { zone, ..member(3, false) };
         d.list(ListKind::Full, vec![elsewhere(1, true), member(2, false), other]);
         let (id, actions) = d.request(KEYED, None);
         assert_eq!(sent(&actions).len(), 1);
-        let actions: Vec<Action> = (0..150).flat_map(|_| d.after(10 * MS)).collect();
+        let actions: Vec<Action> = (0..150).flat_map(|_| d.advance(10 * MS)).collect();
         assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), taken_back, "zone {zone}");
     }
 }
 
 #[test]
 fn a_keyed_write_looks_for_the_primary_in_a_zone_that_does_not_know_it() {
-    let mut d = Driver::new(known_in_its_zone(Consistency::Write));
+    let mut d = RouterDriver::new(known_in_its_zone(Consistency::Write));
     d.list(ListKind::Full, vec![member(1, true), elsewhere(2, false), elsewhere(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
-    d.hear(1, d.now + MS, Role::Replica);
+    d.probe_answer(1, d.now + MS, Role::Replica);
     let actions = d.ended(id, 0, Outcome::Reset, None);
     let again = sent_again(&mut d, id, actions);
     assert!(again.iter().all(|member| *member == 1), "{again:?}");
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_keyed_write_at_a_replaced_primary_is_taken_back_and_sent_to_the_new_one() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     d.now += 500 * MS;
     let report = Report { position: Some(d.now), primary: Some(true), busy: None };
@@ -268,24 +268,24 @@
 
 #[test]
 fn an_old_primary_that_returns_does_not_take_the_role_back() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.now += 5_000 * MS;
-    d.hear(3, d.now, Role::Primary);
-    d.hear(1, d.now - 4_000 * MS, Role::Primary);
+    d.probe_answer(3, d.now, Role::Primary);
+    d.probe_answer(1, d.now - 4_000 * MS, Role::Primary);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 3)]);
 }
 
 #[test]
 fn every_held_request_is_answered_before_its_deadline_even_without_members() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, Vec::new());
     for class in [ANY, BOUNDED, SESSION, KEYED, UNSAFE] {
         let (id, mut actions) = d.request(class, Some(MS));
         let deadline = d.now + settings().classes[class].deadline;
         while d.now < deadline && !refused(&actions, id) {
-            actions = d.after(10 * MS);
+            actions = d.advance(10 * MS);
         }
         assert!(refused(&actions, id) && d.now < deadline, "class {class}");
     }
@@ -293,7 +293,7 @@
 
 #[test]
 fn a_draining_or_missing_member_gets_nothing_new() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let draining = Member { service_state: ServiceState::Draining, ..member(2, false) };
     d.list(ListKind::Changes, vec![draining]);
     for _ in 0..20 {
@@ -309,7 +309,7 @@
 fn a_member_called_gone_serves_on_where_that_does_not_bind_unless_it_drained_before() {
     for (not_binding, drained) in [(true, false), (true, true), (false, false)] {
         let rules = Rules { removal_not_binding: not_binding, ..settings().rules };
-        let mut d = Driver::new(Settings { rules, ..settings() });
+        let mut d = RouterDriver::new(Settings { rules, ..settings() });
         let as_listed = |service_state| Member { service_state, ..member(2, false) };
         if drained {
             d.list(ListKind::Changes, vec![as_listed(ServiceState::Draining)]);
@@ -323,7 +323,7 @@
 
 #[test]
 fn a_cold_member_gets_little_and_what_it_turned_away_counts() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let cold = Member { up_since: Some(d.now - MS), ..member(2, false) };
     d.list(ListKind::Full, vec![cold]);
     let mut count = 0;
@@ -339,17 +339,17 @@
 
 #[test]
 fn a_full_primary_is_not_asked_again_every_round() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     assert!(sent(&d.ended(id, 0, Outcome::Saturated, note(d.now, Role::Primary))).is_empty());
-    assert!(sent(&d.after(5 * MS)).is_empty());
-    assert_eq!(sent(&d.after(50 * MS)), vec![(id, 1)]);
+    assert!(sent(&d.advance(5 * MS)).is_empty());
+    assert_eq!(sent(&d.advance(50 * MS)), vec![(id, 1)]);
 }
 
 #[test]
 fn slow_answers_narrow_a_members_bound_and_quick_ones_restore_it() {
     let room = |slow: usize, quick: usize| {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
         for n in 0..slow + quick {
             let (id, actions) = d.request(ANY, None);
@@ -368,7 +368,7 @@
 fn in_a_large_fleet_one_attempt_without_an_answer_tells_much_and_few_answers_restore_a_member() {
     let admitted_after = |bad: Outcome, quick: usize| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             d.list(ListKind::Full, vec![member(2, false)]);
             let (id, _) = d.request(ANY, None);
             d.now += 150 * MS;
@@ -391,12 +391,12 @@
 fn a_quiet_member_gets_nothing_new_whatever_its_probe_says_and_a_failed_probe_moves_its_reads() {
     for ok in [true, false] {
         let classes = vec![Class { aim: 700 * MS, deadline: 2_000 * MS, ..settings().classes[ANY].clone() }];
-        let mut d = Driver::new(Settings { classes, ..settings() });
+        let mut d = RouterDriver::new(Settings { classes, ..settings() });
         let (read, actions) = d.request(ANY, None);
         let at = sent(&actions)[0].1;
         let mut asked = Vec::new();
         while asked.is_empty() {
-            let actions = d.after(10 * MS);
+            let actions = d.advance(10 * MS);
             assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "before any probe");
             asked = probes(&actions);
         }
@@ -414,23 +414,23 @@
 
 #[test]
 fn a_member_once_silent_is_tried_with_one_request_at_a_time() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(1, true)]);
     let (id, _) = d.request(UNSAFE, None);
     for _ in 0..150 {
-        d.after(10 * MS);
+        d.advance(10 * MS);
         d.step(&[Event::Probed { member: MemberId(1), ok: true, report: None }]);
     }
     d.ended(id, 0, Outcome::Overdue, None);
     d.step(&[Event::Probed { member: MemberId(1), ok: true, report: None }]);
-    let tried = |d: &mut Driver| (0..5).map(|_| sent(&d.request(UNSAFE, None).1).len()).sum::<usize>();
+    let tried = |d: &mut RouterDriver| (0..5).map(|_| sent(&d.request(UNSAFE, None).1).len()).sum::<usize>();
     assert_eq!(tried(&mut d), 1, "a hung primary must not swallow a whole bound of writes again");
 }
 
 #[test]
 fn a_zone_whose_members_go_silent_together_is_left_alone_before_each_has_cost_a_request() {
     let lost = |heard_between: bool| {
-        let mut d = Driver::new(Settings { instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
         let far = |id| Member { zone: 1, ..member(id, false) };
         d.list(ListKind::Full, (2..10).map(far).collect());
         let mut struck = 0;
@@ -458,7 +458,7 @@
     // One that answers a probe tells that the zone is back: those left alone for its sake alone may be tried.
     d.now += 1_000 * MS;
     let asked = probes(&d.request(ANY, None).1)[0];
-    let mut actions = d.hear(asked, d.now, Role::Replica);
+    let mut actions = d.probe_answer(asked, d.now, Role::Replica);
     (0..8).for_each(|_| actions.extend(d.request(ANY, None).1));
     let tried: std::collections::BTreeSet<u32> = sent(&actions).into_iter().map(|(_, to)| to).collect();
     assert!((5..=6).contains(&tried.len()), "the five, and the one that answered: {tried:?}");
@@ -471,7 +471,7 @@
     // Each of 100 routers has found six members out of reach; 3 s later one answers a probe of each.
     let (mut trials, mut asked) = (0, 0);
     for seed in 0..100 {
-        let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
         d.list(ListKind::Full, (2..8).map(|id| Member { zone: 1, ..member(id, false) }).collect());
         let (id, mut actions) = d.request(ANY, None);
         for attempt in 0..3 {
@@ -481,7 +481,7 @@
         d.step(&[Event::Disconnected { id }]);
         d.now += 3_000 * MS;
         let probed = probes(&d.request(ANY, None).1)[0];
-        trials += sent(&d.hear(probed, d.now, Role::Replica)).len();
+        trials += sent(&d.probe_answer(probed, d.now, Role::Replica)).len();
         for _ in 0..5 {
             asked += 1;
             trials += sent(&d.request(ANY, None).1).len();
@@ -494,7 +494,7 @@
 
 #[test]
 fn a_member_that_fails_quickly_loses_its_reads_to_the_others() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut late = 0;
     for n in 0..60 {
         let (id, mut actions) = d.request(ANY, None);
@@ -511,7 +511,7 @@
 
 #[test]
 fn quick_errors_at_all_members_alike_shut_none_of_them_out() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut sends = [0usize; 4];
     for n in 0..200 {
         let (id, mut actions) = d.request(ANY, None);
@@ -530,7 +530,7 @@
 
 #[test]
 fn a_reset_among_answers_that_arrive_does_not_shut_the_member_out() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(2, false)]);
     let (first, _) = d.request(ANY, None);
     let (second, _) = d.request(ANY, None);
@@ -546,7 +546,7 @@
 #[test]
 fn equal_counts_are_broken_by_the_seed_and_a_cold_members_share_adds_up_over_many_drivers() {
     let first = |seed, cold: bool| {
-        let mut d = Driver::new(Settings { seed, instances: 300, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 300, ..settings() });
         let up_since = cold.then_some(d.now - MS);
         d.list(ListKind::Full, vec![Member { up_since, ..member(2, false) }, member(3, false)]);
         let (_, actions) = d.request(ANY, None);
@@ -566,7 +566,7 @@
         let (per_router, listed) = (20, 3 + cold);
         let mut got = vec![0; cold as usize];
         for seed in 0..routers {
-            let mut d = Driver::new(Settings { seed, instances: routers as u32, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: routers as u32, ..settings() });
             let mut list = vec![member(1, true), member(2, false), member(3, false)];
             let back = |id| Member { up_since: Some(d.now - MS), ..member(id, false) };
             list.extend((4..4 + cold).map(back));
@@ -600,11 +600,11 @@
     const SPAN: Time = 1_500 * MS;
     for (routers, fresh) in [(20u64, 0), (30, 0), (24, 12)] {
         let fleet = |seed| Settings { seed, instances: routers as u32, ..settings() };
-        let mut all: Vec<Driver> = (0..routers).map(|seed| Driver::new(fleet(seed))).collect();
+        let mut all: Vec<RouterDriver> = (0..routers).map(|seed| RouterDriver::new(fleet(seed))).collect();
         let start = all[0].now;
         for (n, d) in all.iter_mut().enumerate() {
             if (n as u64) < fresh {
-                *d = Driver::blank(fleet(n as u64));
+                *d = RouterDriver::without_members(fleet(n as u64));
                 d.now = start;
             }
             let warm = (1..5).map(|id| Member { up_since: Some(1), ..member(id, id == 1) });
@@ -651,7 +651,7 @@
 fn where_a_whole_group_is_half_warm_hardly_a_read_finds_nobody_and_repeats_find_some_too() {
     let found = |age: Time, repeat: bool| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             let new = |id| Member { up_since: Some(d.now - age), ..member(id, id == 1) };
             d.list(ListKind::Full, (1..8).map(new).collect());
             let (group, class, deadline) = (9, ANY, d.now + 800 * MS);
@@ -683,7 +683,7 @@
 fn a_cold_primary_gets_writes_by_twice_its_warmth_and_no_reads() {
     let count = |class| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             d.list(ListKind::Full, vec![Member { up_since: Some(d.now), ..member(1, true) }]);
             sent(&d.request(class, None).1).len()
         };
@@ -698,9 +698,9 @@
 fn idle_connections_are_closed_where_they_lose_requests_and_only_there() {
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle { .. }));
     for (idle_lost, used_lost, expected) in [(2, 0, true), (2, 4, false), (1, 0, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        let attempt = |d: &mut Driver, pause: Time, outcome| {
+        let attempt = |d: &mut RouterDriver, pause: Time, outcome| {
             d.now += pause;
             let (id, actions) = d.request(ANY, None);
             assert_eq!(sent(&actions).len(), 1);
@@ -722,7 +722,7 @@
 
 #[test]
 fn an_unknown_replica_is_asked_before_the_primary_takes_a_read() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
     assert_eq!(probes(&actions).len(), 1, "hundreds of drivers must not ask them all");
@@ -733,7 +733,7 @@
 }
 
 /// How many of `count` reads are sent at once, one after another, each answered after `spent`.
-fn admitted(d: &mut Driver, spent: Time, count: usize) -> usize {
+fn admitted(d: &mut RouterDriver, spent: Time, count: usize) -> usize {
     let mut sent_now = 0;
     for _ in 0..count {
         let (id, actions) = d.request(ANY, None);
@@ -747,7 +747,7 @@
 
 #[test]
 fn overload_seen_at_many_members_thins_requests_to_all_of_them() {
-    let mut d = Driver::new(Settings { instances: 300, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 300, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
     assert_eq!(admitted(&mut d, 10 * MS, 40), 40);
     admitted(&mut d, 250 * MS, 40);
@@ -761,7 +761,7 @@
 
 #[test]
 fn in_a_large_fleet_slow_answers_within_the_aim_turn_no_read_away_from_members_that_hold_nothing() {
-    let mut d = Driver::new(Settings { instances: 100, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
     // Slow ones at half of the members; the other half holds nothing and was never slow.
     assert_eq!(admitted(&mut d, 150 * MS, 19), 19);
@@ -770,7 +770,7 @@
 
 #[test]
 fn odd_lists_change_nothing_that_the_rules_do_not_demand() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Changes, vec![member(2, false), member(2, false)]);
     d.list(ListKind::Changes, Vec::new());
     d.list(ListKind::Changes, vec![Member { group: 77, zone: 9, ..member(50, false) }]);
@@ -782,7 +782,7 @@
 
 #[test]
 fn a_member_listed_under_another_group_gets_nothing_of_its_old_one() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Changes, vec![Member { group: 77, ..member(2, false) }]);
     for _ in 0..20 {
         assert!(sent(&d.request(ANY, None).1).iter().all(|(_, m)| *m != 2));
@@ -791,12 +791,12 @@
 
 #[test]
 fn a_failed_list_call_is_repeated_after_a_pause() {
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     let follow = |a: &[Action]| a.contains(&Action::Subscribe);
     assert!(!follow(&d.list(ListKind::Failed, Vec::new())), "at once");
     let mut asked = false;
     for _ in 0..15 {
-        asked |= follow(&d.after(100 * MS));
+        asked |= follow(&d.advance(100 * MS));
     }
     assert!(asked);
 }
@@ -808,7 +808,7 @@
     let spread = |instances: u32, took: Time| {
         let (mut firsts, mut calls) = (Vec::new(), Vec::new());
         for seed in 0..u64::from(instances) {
-            let mut d = Driver::new(Settings { seed, instances, subscribe: true, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances, subscribe: true, ..settings() });
             let (start, mut own) = (d.now, Vec::new());
             let mut asks = d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe);
             while d.now < start + 30_000 * MS {
@@ -817,7 +817,7 @@
                     d.now += took;
                     d.list(ListKind::Failed, vec![]);
                 }
-                asks = d.after(10 * MS).contains(&Action::Subscribe);
+                asks = d.advance(10 * MS).contains(&Action::Subscribe);
             }
             // What has changed before the start counts as told soon after it, and the answer may take 2 s.
             assert!(own[0] <= 2_010 * MS, "{}", own[0]);
@@ -844,13 +844,13 @@
         }
         spread(6, took);
     }
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     assert!(d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe), "few ask at once");
 }
 
 #[test]
 fn unknown_and_finished_things_are_ignored() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(ANY, None);
     d.ended(id, 0, Outcome::Completed, None);
     let stray = RequestId(77);
@@ -859,7 +859,7 @@
         assert!(sent(&d.step(&[Event::Disconnected { id }, Event::Started { id, attempt: 3 }])).is_empty());
     }
     d.step(&[Event::Probed { member: MemberId(99), ok: false, report: None }]);
-    assert!(sent(&d.after(0)).is_empty());
+    assert!(sent(&d.advance(0)).is_empty());
 }
 
 #[test]
@@ -877,7 +877,7 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         let mut all = Vec::new();
         for n in 0..200 {
             d.now += 3 * MS;
@@ -895,7 +895,7 @@
 #[test]
 fn each_router_takes_its_even_share_of_a_members_bound() {
     let room = |instances, class| {
-        let mut d = Driver::new(Settings { instances, ..settings() });
+        let mut d = RouterDriver::new(Settings { instances, ..settings() });
         d.list(ListKind::Full, vec![if class == UNSAFE { member(1, true) } else { member(2, false) }]);
         (0..60).filter(|_| !sent(&d.request(class, None).1).is_empty()).count()
     };
@@ -908,7 +908,7 @@
 #[test]
 fn an_attempt_is_given_up_early_only_where_a_repeat_is_allowed_and_still_in_time() {
     let stop = |class, after: Time| {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         for _ in 0..200 {
             let (id, _) = d.request(class, None);
             d.ended(id, 0, Outcome::Completed, note(d.now, Role::Primary));
@@ -932,7 +932,7 @@
 fn attempts_cut_off_as_lost_do_not_make_the_next_ones_be_cut_off_sooner() {
     // Work takes 20 ms, and then members jam: what does not find them idle takes 150 ms, still within the aim. Of answers
     // alone the mean would be that of the few quick ones, and all others would end within 16 ms, run all the same.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut early = 0;
     for n in 0..600u64 {
         let takes = match n {
@@ -964,7 +964,7 @@
 #[test]
 fn a_read_with_too_little_time_for_an_answer_is_refused_at_once_but_for_a_few() {
     // Work takes 40 ms; clients that give up after 30 ms would have members work in vain, those with 400 ms would not.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut ask = |left: Time| {
         let id = RequestId(1_000_000 + d.now);
         let event = Event::Request {
@@ -1003,29 +1003,29 @@
 #[test]
 fn a_write_that_reached_no_member_is_given_up_before_half_of_its_time() {
     // Late refusals of what was never tried cost more than the chance of a new primary is worth.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![]);
     let (id, actions) = d.request(UNSAFE, None);
     assert!(sent(&actions).is_empty());
-    assert!(!refused(&d.after(1_900 * MS), id), "a primary may still be found in time");
-    let actions = d.after(90 * MS);
+    assert!(!refused(&d.advance(1_900 * MS), id), "a primary may still be found in time");
+    let actions = d.advance(90 * MS);
     let away = Some(500 * MS);
     assert!(actions.contains(&Action::Refuse { id, retry_after: away }), "{actions:?}");
     // One that a member has turned away was tried: it may wait until its client leaves.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(1, true)]);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.ended(id, 0, Outcome::Miss, note(d.now, Role::Replica));
     d.list(ListKind::Full, vec![]);
-    assert!(!refused(&d.after(2_500 * MS), id));
-    assert!(refused(&d.after(1_495 * MS), id));
+    assert!(!refused(&d.advance(2_500 * MS), id));
+    assert!(refused(&d.advance(1_495 * MS), id));
 }
 
 #[test]
 fn members_that_are_gone_are_forgotten_and_prove_everything_anew_when_they_return() {
-    let mut d = Driver::new(settings());
-    d.hear(2, d.now, Role::Replica);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(2, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert_eq!(sent(&actions), vec![(read, 2)]);
     let gone = |id| Member { service_state: ServiceState::Removed, ..member(id, false) };
@@ -1037,12 +1037,12 @@
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert!(sent(&actions).is_empty(), "what it had proved is forgotten");
     assert_eq!(probes(&actions), vec![2]);
-    assert_eq!(sent(&d.hear(2, d.now, Role::Replica)), vec![(read, 2)]);
+    assert_eq!(sent(&d.probe_answer(2, d.now, Role::Replica)), vec![(read, 2)]);
 }
 
 #[test]
 fn most_members_replaced_within_seconds_leave_nothing_behind() {
-    let mut d = Driver::new(Settings { instances: 100, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
     let of = |id: u32| Member { group: u64::from(id % 10), ..member(id, id < 10) };
     d.list(ListKind::Full, (0..60).map(of).collect());
     let before = d.router.entry_count();
@@ -1067,7 +1067,7 @@
     // 100 routers find it out at one moment and have a read for its group every 10 ms.
     let mut probed = Vec::new();
     for seed in 0..100 {
-        let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         let (start, (id, _)) = (d.now, d.request(ANY, None));
         d.ended(id, 0, Outcome::Refused, None);
@@ -1092,7 +1092,7 @@
 
 #[test]
 fn what_comes_and_goes_leaves_nothing_behind() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let before = d.router.entry_count();
     for i in 100..200 {
         d.list(ListKind::Changes, vec![member(i, false)]);
@@ -1111,15 +1111,15 @@
             proven_position: None,
             repeat: false,
         }]);
-        assert!(refused(&d.after(100 * MS), id));
+        assert!(refused(&d.advance(100 * MS), id));
     }
     assert_eq!(d.router.entry_count(), before);
 }
 
 #[test]
 fn new_settings_change_neither_what_is_known_nor_how_an_open_request_is_judged() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     // Fewer attempts than before, and a slot more, which has the former class made safe.
@@ -1133,14 +1133,14 @@
         "it came as one that must not run twice: {actions:?}"
     );
     // Sent anew, the primary is still known; and a request has two attempts from now on.
-    d.hear(1, d.now, Role::Primary);
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     let again = d.ended(id, 0, Outcome::Saturated, None);
-    let again = [again, d.after(100 * MS), d.after(100 * MS)].concat();
+    let again = [again, d.advance(100 * MS), d.advance(100 * MS)].concat();
     assert_eq!(sent(&again), [(id, 1)]);
     let last = d.ended(id, 1, Outcome::Saturated, None);
-    let last = [last, d.after(100 * MS), d.after(100 * MS)].concat();
+    let last = [last, d.advance(100 * MS), d.advance(100 * MS)].concat();
     assert!(sent(&last).is_empty() && refused(&last, id), "{last:?}");
 }
 
@@ -1148,8 +1148,8 @@
 fn attempts_allowed_later_are_not_for_a_request_that_came_before() {
     let mut few = settings();
     few.max_attempts = 1;
-    let mut d = Driver::new(few);
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(few);
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     d.step(&[Event::Settings(Box::new(settings()))]);
@@ -1159,25 +1159,25 @@
 
 #[test]
 fn the_operators_word_on_a_member_leaves_a_call_to_discovery_due() {
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     let out = Member { service_state: ServiceState::Draining, ..member(2, false) };
     let first = d.list(ListKind::Operator, vec![out]);
-    let later = [first, d.after(10 * MS), d.after(10_000 * MS)].concat();
+    let later = [first, d.advance(10 * MS), d.advance(10_000 * MS)].concat();
     assert!(later.contains(&Action::Subscribe), "{later:?}");
 }
 
 #[test]
 fn a_long_request_costs_a_quiet_member_few_probes_and_where_work_takes_long_none() {
     // Nothing is answered while it runs: a member that hangs looks the same.
-    let asked = |d: &mut Driver, span: Time| {
+    let asked = |d: &mut RouterDriver, span: Time| {
         let mut asked = 0;
         for _ in 0..span / (50 * MS) {
-            asked += probes(&d.after(50 * MS)).len();
+            asked += probes(&d.advance(50 * MS)).len();
         }
         asked
     };
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
     assert!(asked(&mut d, 450 * MS) <= 1);
     let more = asked(&mut d, 1_000 * MS);
@@ -1185,8 +1185,8 @@
     // The same where a write takes 700 ms as a rule.
     let mut long = settings();
     long.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (2_800 * MS, 9_000 * MS));
-    let mut d = Driver::new(long);
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(long);
+    d.probe_answer(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
     assert_eq!(asked(&mut d, 1_500 * MS), 0);
 }
@@ -1197,7 +1197,7 @@
     let order = |worth: f64| {
         let mut set = Settings { instances: 96, ..settings() };
         set.classes[BOUNDED] = Class { importance: worth, ..set.classes[ANY].clone() };
-        let mut driver = Driver::new(set);
+        let mut driver = RouterDriver::new(set);
         let mut out = Vec::new();
         // Until none has room any more.
         let cheap = loop {
@@ -1226,15 +1226,15 @@
     let set = Settings { subscribe: true, instances: 300, ..settings() };
     // One of those whose first call is late: its turn comes after the list may count as overruled.
     let late = |seed: &u64| {
-        let mut d = Driver::blank(Settings { seed: *seed, ..set.clone() });
+        let mut d = RouterDriver::without_members(Settings { seed: *seed, ..set.clone() });
         let began = d.now;
         d.list(ListKind::Disk, vec![member(1, true), member(2, false)]);
-        while !d.after(10 * MS).contains(&Action::Subscribe) {}
+        while !d.advance(10 * MS).contains(&Action::Subscribe) {}
         d.now >= began + 1_800 * MS
     };
     let seed = (0..100).find(late).expect("calls are spread over 2 s");
     let start = || {
-        let mut d = Driver::blank(Settings { seed, ..set.clone() });
+        let mut d = RouterDriver::without_members(Settings { seed, ..set.clone() });
         d.list(ListKind::Disk, vec![member(1, true), member(2, false)]);
         d
     };
@@ -1251,14 +1251,14 @@
     let gone = Member { service_state: ServiceState::Removed, ..member(2, false) };
     let actions = d.list(ListKind::Changes, vec![gone]);
     let mut to = sent(&actions);
-    to.extend(sent(&d.after(600 * MS)));
+    to.extend(sent(&d.advance(600 * MS)));
     assert!(to.contains(&(write, 1)) && !to.iter().any(|(_, member)| *member == 2), "{read:?} {to:?}");
 
     // What waits too long is refused, in time for its client to come back.
     let mut d = start();
     d.now += 2_100 * MS;
     let (read, _) = d.request(ANY, None);
-    let waited: Vec<Action> = (0..20).flat_map(|_| d.after(10 * MS)).collect();
+    let waited: Vec<Action> = (0..20).flat_map(|_| d.advance(10 * MS)).collect();
     assert!(refused(&waited, read) && sent(&waited).is_empty(), "{waited:?}");
 
     // A discovery that is down has told nobody anything.
@@ -1270,9 +1270,9 @@
 
 #[test]
 fn a_remembered_session_read_goes_by_proof_also_of_a_write_that_the_router_was_only_told_of() {
-    let mut d = Driver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
+    let mut d = RouterDriver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
     d.list(ListKind::Full, vec![member(2, false)]);
-    d.hear(2, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(2, d.now - 100 * MS, Role::Replica);
     let read = Event::Request {
         id: RequestId(900),
         class: SESSION,
@@ -1288,17 +1288,17 @@
 
 #[test]
 fn a_report_from_before_a_member_lost_its_role_does_not_give_the_role_back() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.now += 1_000 * MS;
     let (write, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), [(write, 1)]);
     d.ended(write, 0, Outcome::Miss, note(d.now, Role::Replica));
     // Reports are refreshed a few times a second; this one is from before the election.
     d.now += 100 * MS;
-    d.hear(1, d.now - 300 * MS, Role::Primary);
+    d.probe_answer(1, d.now - 300 * MS, Role::Primary);
     let (read, actions) = d.request(SESSION, Some(10 * MS));
-    let actions = [actions, d.after(100 * MS)].concat();
+    let actions = [actions, d.advance(100 * MS)].concat();
     assert!(!sent(&actions).contains(&(read, 1)), "it has told that it is a replica, and behind");
 }
 
@@ -1309,7 +1309,7 @@
             let rules = Rules { warm_after, ..settings().rules };
             Settings { rules, ..settings() }
         };
-        let mut d = Driver::new(with(before));
+        let mut d = RouterDriver::new(with(before));
         let fresh = Member { up_since: Some(d.now - 2_000 * MS), ..member(2, false) };
         d.list(ListKind::Full, vec![fresh]);
         d.step(&[Event::Settings(Box::new(with(after)))]);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,11 +2,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn the_console_answers_each_line_once_and_no_call_it_does_not_know() {
-    play(
+    run_scenario(
         "member p primary
          start console
          console 200 STATUS
@@ -30,7 +30,7 @@
 #[test]
 fn status_says_no_while_no_request_could_be_served() {
     // Its only member is out by hand.
-    play(
+    run_scenario(
         "member p primary
          start console
          console 200 STATUS
@@ -43,7 +43,7 @@
 
 #[test]
 fn callers_that_say_nothing_do_not_keep_out_one_that_does() {
-    play(
+    run_scenario(
         "member p primary
          start console
          silent 60
@@ -58,7 +58,7 @@
 #[test]
 fn the_console_is_there_where_clients_hold_all_the_descriptors_they_may() {
     // A small proxy has seats for four clients; the others wait at the door.
-    play(
+    run_scenario(
         "member p primary
          start console small
          a send hello
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_member_out_by_hand_gets_nothing_new_and_finishes_what_it_has() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console
@@ -102,7 +102,7 @@
 
 #[test]
 fn what_discovery_says_meanwhile_does_not_put_a_member_back() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console watching
@@ -130,7 +130,7 @@
 
 #[test]
 fn the_one_that_leaves_neither_shuts_the_listener_nor_leaves_a_request_unread() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          a send read k1 monthly-report
@@ -160,7 +160,7 @@
 
 #[test]
 fn what_the_operators_say_at_either_process_binds_both_and_the_next() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console handed
@@ -199,7 +199,7 @@
 #[test]
 fn calls_at_both_processes_at_once_are_all_recorded() {
     // Each call reads, changes and writes the same file.
-    play(
+    run_scenario(
         "member p primary
          member a replica 0
          member b replica 0
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_file_of_the_handover_that_cannot_be_used_is_passed_over() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console handed
@@ -248,7 +248,7 @@
 
 #[test]
 fn one_process_goes_on_where_the_other_is_killed() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          upgrade
@@ -401,7 +401,7 @@
 
 #[test]
 fn new_settings_hold_for_both_fronts_and_a_dropped_class_is_like_an_unknown_one() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          a send read k1 haste
@@ -438,7 +438,7 @@
         "config lacks services/3/aim_us",
         "config sets family_info/needs_by_class [\"any\"]",
     ] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start watching
              list expect 1 watches
@@ -465,7 +465,7 @@
     for (before, after, told) in
         [("non_idempotent", "read_like", "error XX000"), ("read_like", "non_idempotent", "row 01")]
     {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start
              config drops place-order
@@ -493,7 +493,7 @@
 fn a_session_reads_by_the_next_process_what_it_has_just_written_by_the_former() {
     // The replica is far behind, and the read carries no position by which it could know. The write's answer leaves the
     // former process when that no longer takes clients, so that the read can only come by the next.
-    play(
+    run_scenario(
         "member p primary
          member r replica 600000
          start console handed
@@ -518,7 +518,7 @@
 #[test]
 fn a_session_reads_what_it_has_written_where_the_processes_cannot_see_each_other() {
     // A folder where a lock should be; the replica is far behind.
-    play(
+    run_scenario(
         "member p primary
          member r replica 600000
          start odata console handed
@@ -537,7 +537,7 @@
 
 #[test]
 fn both_told_to_end_answer_what_they_have_taken() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          p does hold
@@ -621,7 +621,7 @@
 
 #[test]
 fn a_booking_tried_at_both_processes_runs_once() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -638,7 +638,7 @@
 
 #[test]
 fn a_booking_that_ran_by_one_process_runs_again_by_the_other() {
-    play(
+    run_scenario(
         "member p primary
          start console handed odata
          b send GET k0 monthly-report
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -10,13 +10,13 @@
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
 use linentrail_standins::registry::entry;
 use linentrail_standins::{runtime, wire};
-use scenario::play;
+use scenario::run_scenario;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_second_copy_soon_behind_an_answer_is_never_the_next_answer() {
     // The copy comes after the answer was passed on and before the connection has rested.
-    play(
+    run_scenario(
         "member p primary
          start
          a send write k1 01
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_second_copy_behind_a_miss_does_not_answer_the_next_read() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start
@@ -64,7 +64,7 @@
 #[test]
 fn a_large_value_that_breaks_off_is_served_whole_by_another_member() {
     let value = "5a".repeat(64 * 1024);
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          start
--- a/tests/repeat_ids.rs
+++ b/tests/repeat_ids.rs
@@ -2,12 +2,12 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn a_booking_tried_at_both_processes_at_once_runs_once_and_is_refused_by_neither() {
     for _ in 0..4 {
-        play(
+        run_scenario(
             "member p primary
              start odata console handed
              o send GET k0 monthly-report
@@ -36,7 +36,7 @@
              p expect 1 write k{n}-\n"
         )
     };
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_booking_whose_process_was_killed_in_the_middle_does_not_run_again_by_the_other() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -75,7 +75,7 @@
 
 #[test]
 fn an_id_that_stands_for_another_booking_at_the_other_process_is_a_conflict() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_booking_of_a_client_whose_clock_runs_ahead_does_not_run_again_by_the_next_process() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send POST k1 01 id=x sent=-30
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_booking_that_the_last_process_but_one_ran_does_not_run_again() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send POST k1 01 id=x sent=-30
@@ -133,7 +133,7 @@
 #[test]
 fn a_booking_does_not_run_again_where_ids_cannot_be_shared() {
     // A file where the folder of the ids should be: the former can tell nothing, and what is not told proves nothing.
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_booking_does_not_run_again_where_the_former_process_hangs() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send POST k1 01 id=x sent=-30
@@ -172,7 +172,7 @@
 #[test]
 fn a_booking_does_not_run_again_where_the_shared_folder_cannot_be_joined_at_the_start() {
     // A folder where its lock should be: the next process can neither see the former nor be seen by it.
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send POST k1 01 id=x sent=-60
@@ -194,7 +194,7 @@
 
 #[test]
 fn both_processes_go_on_with_new_bookings_and_with_those_that_never_ran() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -229,7 +229,7 @@
 
 #[test]
 fn without_odata_no_ids_are_shared() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          a send write k1 01
--- a/tests/returning.rs
+++ b/tests/returning.rs
@@ -8,10 +8,10 @@
 
 const MEMBERS: u32 = 8;
 
-fn fleet(routers: u32) -> Vec<Driver> {
+fn fleet(routers: u32) -> Vec<RouterDriver> {
     let router = |n: u32| {
         let settings = Settings { instances: routers, seed: u64::from(n) * 7_919 + 1, ..settings() };
-        let mut driver = Driver::blank(settings);
+        let mut driver = RouterDriver::without_members(settings);
         driver.list(ListKind::Disk, (1..=MEMBERS).map(|id| member(id, id == 1)).collect());
         driver
     };
@@ -70,7 +70,7 @@
     let ids: Vec<RequestId> = (0..4).map(|_| driver.request(ANY, None).0).collect();
     let (mut opened, mut given_up) = (vec![began], Vec::new());
     while driver.now < began + 190 * MS {
-        let actions = driver.after(10 * MS);
+        let actions = driver.advance(10 * MS);
         opened.extend(sent(&actions).iter().filter(|(_, m)| *m != 1).map(|_| driver.now));
         given_up.extend(ids.iter().filter(|id| refused(&actions, **id)).map(|_| driver.now));
     }
@@ -81,7 +81,7 @@
     assert!(given_up.iter().all(|at| *at >= began + 150 * MS) && !given_up.is_empty(), "{given_up:?}");
     // One router alone opens what it needs soon.
     let mut alone = fleet(1).remove(0);
-    alone.after(61 * MS);
+    alone.advance(61 * MS);
     for n in 1..MEMBERS {
         let (_, actions) = alone.request(ANY, None);
         assert_eq!(sent(&actions).len(), 1, "read {n}");
@@ -91,12 +91,12 @@
 /// Moments at which writes first go out to the primary, router by router, where each has so many waiting at its start,
 /// answered 20 ms later.
 fn first_writes(routers: u32, waiting: usize) -> Vec<Vec<Time>> {
-    let write = |driver: &mut Driver| {
+    let write = |driver: &mut RouterDriver| {
         let began = driver.now;
         (0..waiting).for_each(|_| drop(driver.request(UNSAFE, None)));
         let (mut went, mut out) = (Vec::new(), Vec::<(RequestId, Time)>::new());
         while driver.now < began + 400 * MS {
-            let mut actions = driver.after(10 * MS);
+            let mut actions = driver.advance(10 * MS);
             while out.first().is_some_and(|(_, at)| driver.now >= at + 20 * MS) {
                 let (id, _) = out.remove(0);
                 let position = driver.now - MS;
@@ -132,19 +132,19 @@
 #[test]
 fn a_primary_that_was_never_known_is_sought_at_few_members_at_a_time() {
     let set = Settings { instances: 24, list_role: ListedRole::Absent, ..settings() };
-    let mut unknown = Driver::blank(set);
+    let mut unknown = RouterDriver::without_members(set);
     unknown.list(ListKind::Full, (1..=MEMBERS).map(|id| member(id, false)).collect());
-    unknown.after(4_000 * MS);
+    unknown.advance(4_000 * MS);
     let (_, actions) = unknown.request(UNSAFE, None);
     let mut asked = probes(&actions);
     assert_eq!(asked.len(), 2, "{asked:?}");
-    assert!(probes(&unknown.after(10 * MS)).is_empty(), "none has answered yet");
+    assert!(probes(&unknown.advance(10 * MS)).is_empty(), "none has answered yet");
     // As one answers the next is asked, until all have been.
     for _ in 0..MEMBERS {
         let Some(member) = asked.first().copied() else { break };
         asked.remove(0);
         let position = unknown.now - 60 * MS;
-        let more = probes(&unknown.hear(member, position, Role::Replica));
+        let more = probes(&unknown.probe_answer(member, position, Role::Replica));
         assert!(more.len() <= 1, "{more:?}");
         asked.extend(more);
     }
@@ -154,10 +154,10 @@
 #[test]
 fn a_member_named_for_primary_is_tried_before_others_are_asked() {
     let set = Settings { instances: 24, list_role: ListedRole::Absent, ..settings() };
-    let mut driver = Driver::blank(set);
+    let mut driver = RouterDriver::without_members(set);
     driver.list(ListKind::Full, (1..=MEMBERS).map(|id| member(id, false)).collect());
     driver.list(ListKind::Operator, vec![member(5, true)]);
-    driver.after(4_000 * MS);
+    driver.advance(4_000 * MS);
     let (id, actions) = driver.request(UNSAFE, None);
     assert_eq!((sent(&actions), probes(&actions)), (vec![(id, 5)], vec![]));
     // It denies: nothing ran, the others are asked, and another is tried in its turn.
@@ -165,7 +165,7 @@
     assert!(!probes(&actions).is_empty());
     let mut tried = sent(&actions);
     for _ in 0..20 {
-        tried.extend(sent(&driver.after(20 * MS)));
+        tried.extend(sent(&driver.advance(20 * MS)));
     }
     assert!(tried.iter().all(|(r, m)| *r == id && *m != 5) && !tried.is_empty(), "{tried:?}");
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -137,7 +137,7 @@
 }
 
 /// Runs a scenario.
-pub fn play(script: &str) {
+pub fn run_scenario(script: &str) {
     let mut stage = Stage::default();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
         stage.step(line);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -99,7 +99,7 @@
 }
 
 struct World {
-    routers: Vec<Driver>,
+    routers: Vec<RouterDriver>,
     settings: Settings,
     servers: Vec<Server>,
     due: Vec<(Time, Due)>,
@@ -123,10 +123,10 @@
             when_behind: WhenBehind::Refuses,
             ..settings()
         };
-        let now = Driver::blank(settings.clone()).now;
-        let routers =
-            (0..ROUTERS).map(|n| Driver::blank(Settings { seed: seed * 1_000 + n, ..settings.clone() }));
-        let routers: Vec<Driver> = routers.collect();
+        let now = RouterDriver::without_members(settings.clone()).now;
+        let routers = (0..ROUTERS)
+            .map(|n| RouterDriver::without_members(Settings { seed: seed * 1_000 + n, ..settings.clone() }));
+        let routers: Vec<RouterDriver> = routers.collect();
         let (wakes, open) = (vec![None; routers.len()], routers.iter().map(|_| Default::default()).collect());
         let (due, random) = (Vec::new(), seed | 1);
         World { routers, settings, servers, due, wakes, open, now, ids: 0, random, served: 0, asked: 0 }
@@ -402,7 +402,7 @@
     let writes = |fall_multiple: f64| {
         let one = |seed| {
             let rules = Rules { fall_multiple, ..settings().rules };
-            let mut d = Driver::new(Settings { seed, instances: 100, rules, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, rules, ..settings() });
             d.list(ListKind::Full, vec![Member { up_since: Some(d.now), ..member(1, true) }]);
             sent(&d.request(UNSAFE, None).1).len()
         };
--- a/tests/unsafe_reads.rs
+++ b/tests/unsafe_reads.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 /// The class of session reads may not be repeated, as the settings of a deployment may say.
 const UNSAFE: &str = "config sets services/1/idempotency \"non_idempotent\"\n";
@@ -31,7 +31,7 @@
         [(UNSAFE, all_mute), (UNSAFE, all_unplaced), (UNSAFE, replicas_mute), (KEYED, all_mute)]
     {
         for read in SESSION_READS {
-            play(&format!(
+            run_scenario(&format!(
                 "{class}
                  member p primary
                  member r replica 0
@@ -48,7 +48,7 @@
     }
     // The proxy takes a write that told no commit for committed when its answer came; replicas are chosen by what was told.
     for read in SESSION_READS {
-        play(&format!(
+        run_scenario(&format!(
             "{UNSAFE}
              config sets family_info/session_marks \"remembered\"
              member p primary
@@ -73,7 +73,7 @@
         ("", "a send read k1 my-booking", "a expect row 01"),
         (UNSAFE, "o send GET k1 my-booking", "o expect 200"),
     ] {
-        play(&format!(
+        run_scenario(&format!(
             "{class}
              config sets family_info/session_marks \"remembered\"
              member p primary
@@ -101,7 +101,7 @@
     let by_odata = "o send GET k1 my-booking Skip-Wait=3000
          o expect 502";
     for read in [by_pg, by_odata] {
-        play(&format!(
+        run_scenario(&format!(
             "{UNSAFE}
              member p primary
              member r replica 60000
@@ -121,7 +121,7 @@
     // A member that turns a statement away does so before it describes a row.
     for code in NEVER_RAN {
         for place in ["after-description", "after-row"] {
-            play(&format!(
+            run_scenario(&format!(
                 "{UNSAFE}
                  member p primary
                  start odata traced
@@ -151,7 +151,7 @@
             ("before", "error XX000", "502"),
             ("behind", "row 01", "201"),
         ] {
-            play(&format!(
+            run_scenario(&format!(
                 "{UNSAFE}
                  member p primary
                  start odata traced
@@ -173,7 +173,7 @@
 #[test]
 fn what_may_have_run_at_a_member_that_fails_is_told_as_a_failure() {
     for does in ["error", "reset", "half", "stall", "swapped", "unready", "noisy", "broken 40"] {
-        play(&format!(
+        run_scenario(&format!(
             "{UNSAFE}
              member p primary
              member r replica 0
@@ -190,7 +190,7 @@
              sum 1 read k2"
         ));
     }
-    play(&format!(
+    run_scenario(&format!(
         "{UNSAFE}
          member p primary
          member r replica 0
@@ -208,7 +208,7 @@
 
 #[test]
 fn a_copy_of_an_earlier_refusal_is_not_taken_for_the_next_answer() {
-    play(&format!(
+    run_scenario(&format!(
         "{UNSAFE}
          member p primary
          start traced
@@ -237,7 +237,7 @@
 #[test]
 fn a_read_keeps_the_effect_that_its_class_had_when_it_came() {
     // The first came while it might be repeated, the second while it might not.
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          member q replica 0
@@ -271,7 +271,7 @@
     for (fails, answers, of_read, of_write) in
         [("r", "p", "error XX000", "row 02"), ("p", "r", "row -", "error XX000")]
     {
-        play(&format!(
+        run_scenario(&format!(
             "{UNSAFE}
              member p primary
              member r replica 0
@@ -298,7 +298,7 @@
 #[test]
 fn a_client_is_told_to_repeat_what_members_cannot_know_again() {
     // Each try by OData has an id of its own at members; by the other protocol tries share their client's.
-    play(
+    run_scenario(
         "config sets services/1/idempotency \"idempotency_key\"
          config sets services/1/group \"all\"
          config sets services/1/window_us 1
