--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for all that surrounds linentrail, on loopback addresses: members with their log and their faults,
-//! discovery, a DNS server, clients of both fronts, and the proxy itself as a child process.
+//! Stand-ins for everything that surrounds linentrail, on loopback addresses: members with a shared log and injectable
+//! faults, discovery, a DNS server, clients of both fronts, and the proxy itself as a child process.
 //!
-//! One implementation serves the scenarios of the tests and the measurements of the lab. Each stand-in runs on a
-//! runtime of its own threads; whoever uses it may block.
+//! The tests' scenarios and the lab's measurements use the same implementation. Stand-ins run on a shared runtime with
+//! its own threads, so the code that uses them may block.
 
 pub mod client;
 pub mod dns;
@@ -28,28 +28,28 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The runtime on which stand-ins run.
+/// The runtime on which the stand-ins run.
 ///
 /// # Panics
-/// When the machine gives no threads.
+/// When no threads can be created.
 pub fn runtime() -> &'static Handle {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     let start = || Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("threads");
     RUNTIME.get_or_init(start).handle()
 }
 
-/// A listener on a free loopback port, with its address.
+/// A listener on a free port of 127.0.0.1, with its address.
 ///
 /// # Panics
-/// When there is none.
+/// When no port is free.
 pub(crate) fn listener() -> (tokio::net::TcpListener, std::net::SocketAddr) {
     listener_at(std::net::Ipv4Addr::LOCALHOST)
 }
 
-/// The same at another address of the loopback.
+/// As [`listener`], on another loopback address.
 ///
 /// # Panics
-/// When there is none.
+/// When no port is free.
 pub(crate) fn listener_at(ip: std::net::Ipv4Addr) -> (tokio::net::TcpListener, std::net::SocketAddr) {
     let _entered = runtime().enter();
     let listener = std::net::TcpListener::bind((ip, 0)).expect("a free port");
--- a/crates/standins/src/shim.rs
+++ b/crates/standins/src/shim.rs
@@ -1,50 +1,50 @@
-//! System calls that fail: the shim of `shim/faults.c`, loaded into a proxy, and the file by which a running proxy's
-//! faults, wall clock and disk are controlled.
+//! Injects failing system calls into a proxy: the settings of the preloaded shim (`shim/faults.c`), and the control file
+//! through which a running proxy's call faults, wall clock and disk errors are changed.
 
 use std::fs::File;
 use std::io::Result;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The library, as the build made it.
+/// Path of the shim library that the build script compiles.
 const LIBRARY: &str = env!("LINENTRAIL_FAULT_SHIM");
-/// The variable that names the calls that fail.
+/// The environment variable that lists the faults.
 const FAULTS: &str = "LINENTRAIL_FAULTS";
-/// Where the control file holds each of its three numbers.
+/// Offsets of the three numbers in the control file.
 const CLOCK_STEP_AT: u64 = 0;
 const DISK_ERROR_AT: u64 = 8;
 const CALLS_FAIL_AT: u64 = 16;
 const CONTROL_BYTES: u64 = 24;
 
-/// A call that fails or does less than it was asked to, as the shim names it.
+/// A system call that fails or transfers less than requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallFault {
-    /// A read brings one byte while more stands in the socket.
+    /// A read returns one byte although more is available.
     RecvShort,
-    /// A read brings a drawn part of what stands in the socket.
+    /// A read returns a random part of the available bytes.
     RecvCut,
-    /// A write takes one byte.
+    /// A write accepts one byte.
     SendShort,
-    /// A read fails, and the connection with it.
+    /// A read fails and the connection breaks.
     RecvFails,
-    /// A connection cannot be accepted for the moment.
+    /// Accepting a connection fails temporarily.
     AcceptFails,
-    /// A connection cannot be made for the moment.
+    /// Connecting fails temporarily.
     ConnectFails,
-    /// There is no socket to be had for the moment.
+    /// Creating a socket fails temporarily.
     SocketFails,
-    /// A wait ends with EINTR.
+    /// A wait for events fails with EINTR.
     WaitInterrupted,
-    /// A read, a write or a connect ends with EINTR.
+    /// A read, a write or a connect fails with EINTR.
     CallInterrupted,
-    /// A read or a write finds no memory.
+    /// A read or a write fails for lack of memory.
     CallNoMemory,
-    /// The process is held up for 150 ms before it writes.
+    /// The calling thread is delayed for 150 ms before a write.
     Pause,
 }
 
 impl CallFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [CallFault; 11] = [
         CallFault::RecvShort,
         CallFault::RecvCut,
@@ -59,7 +59,7 @@
         CallFault::Pause,
     ];
 
-    /// The name that the shim and scenarios have for it.
+    /// Its name in LINENTRAIL_FAULTS and in scenarios.
     pub fn name(self) -> &'static str {
         match self {
             CallFault::RecvShort => "recv_short",
@@ -77,10 +77,10 @@
     }
 }
 
-/// What write() and fsync() fail with.
+/// The error with which write() and fsync() fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskError {
-    /// ENOSPC: some writes are then half done.
+    /// ENOSPC; some of the failing writes write half of their bytes first.
     Full,
     /// EIO.
     Broken,
@@ -95,7 +95,7 @@
     }
 }
 
-/// The faults of one proxy's system calls.
+/// The shim of one proxy: its environment and its control file.
 #[derive(Debug)]
 pub struct Shim {
     control: File,
@@ -103,11 +103,11 @@
 }
 
 impl Shim {
-    /// One for a proxy whose files are in `folder`, in which the control file and the log of faults are made. `calls`
-    /// fail once in so many; nothing fails before [`Shim::set_call_faults`] says so. The disk's faults hold below `disk`.
+    /// Creates the control file in `folder`, where the log of faults is written too. Each fault of `calls` affects one
+    /// call in the given number, once [`Shim::set_call_faults`] has enabled them. Disk errors affect files below `disk`.
     ///
     /// # Errors
-    /// When the files cannot be made.
+    /// When the control file cannot be created.
     pub fn new(folder: &Path, disk: &Path, seed: u64, calls: &[(CallFault, u32)]) -> Result<Self> {
         let path = folder.join("fault-control");
         let control = File::options().create(true).truncate(true).read(true).write(true).open(&path)?;
@@ -116,19 +116,19 @@
         for (call, every) in calls {
             faults += &format!(",{}={every}", call.name());
         }
-        let text = |path: PathBuf| path.to_string_lossy().into_owned();
+        let path_text = |path: PathBuf| path.to_string_lossy().into_owned();
         let environment = [
             ("LD_PRELOAD", LIBRARY.to_string()),
             (FAULTS, faults),
-            ("LINENTRAIL_FAULT_CONTROL", text(path)),
-            ("LINENTRAIL_FAULT_FOLDER", text(disk.to_path_buf())),
-            ("LINENTRAIL_FAULT_LOG", text(folder.join("fault-log"))),
+            ("LINENTRAIL_FAULT_CONTROL", path_text(path)),
+            ("LINENTRAIL_FAULT_FOLDER", path_text(disk.to_path_buf())),
+            ("LINENTRAIL_FAULT_LOG", path_text(folder.join("fault-log"))),
         ];
         let environment = environment.map(|(name, value)| (name.to_string(), value)).to_vec();
         Ok(Shim { control, environment })
     }
 
-    /// The same, but no more than so many calls fail.
+    /// Limits the total number of call faults.
     #[must_use]
     pub fn limit_faults(mut self, faults: u32) -> Self {
         for (name, value) in &mut self.environment {
@@ -139,36 +139,36 @@
         self
     }
 
-    /// What the proxy's environment must say.
+    /// The environment variables that the proxy must be started with.
     pub fn environment(&self) -> Vec<(String, String)> {
         self.environment.clone()
     }
 
-    fn set(&self, at: u64, value: i64) -> Result<()> {
-        self.control.write_all_at(&value.to_ne_bytes(), at)
+    fn write_control(&self, offset: u64, value: i64) -> Result<()> {
+        self.control.write_all_at(&value.to_ne_bytes(), offset)
     }
 
-    /// The proxy's wall clock shows the machine's and so many us, from now on.
+    /// Offsets the proxy's wall clock from the machine's by `us` from now on.
     ///
     /// # Errors
     /// When the control file cannot be written.
     pub fn set_clock_step(&self, us: i64) -> Result<()> {
-        self.set(CLOCK_STEP_AT, us)
+        self.write_control(CLOCK_STEP_AT, us)
     }
 
-    /// Writes below the disk's folder fail so from now on, or no longer.
+    /// Makes writes below the disk folder fail with `error` from now on; with none they succeed again.
     ///
     /// # Errors
     /// When the control file cannot be written.
     pub fn set_disk_error(&self, error: Option<DiskError>) -> Result<()> {
-        self.set(DISK_ERROR_AT, error.map_or(0, DiskError::errno))
+        self.write_control(DISK_ERROR_AT, error.map_or(0, DiskError::errno))
     }
 
-    /// Whether calls fail from now on.
+    /// Enables or disables the call faults.
     ///
     /// # Errors
     /// When the control file cannot be written.
     pub fn set_call_faults(&self, on: bool) -> Result<()> {
-        self.set(CALLS_FAIL_AT, i64::from(on))
+        self.write_control(CALLS_FAIL_AT, i64::from(on))
     }
 }
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -1,13 +1,13 @@
-//! Messages of PostgreSQL's protocol, version 3, in plain bytes: stand-ins must not share the proxy's codec, or a
-//! fault in it would cancel out.
+//! Messages of PostgreSQL's protocol, version 3, encoded by hand. The stand-ins do not share the proxy's codec, because
+//! a fault in a shared codec would cancel itself out in tests.
 
 use std::io::{Error, ErrorKind, Read, Result};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The longest message that a stand-in reads.
-const LONGEST: usize = 16 << 20;
+/// The longest message body that a stand-in reads.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// One message: its tag, its length, its body.
+/// Encodes one message: its tag, its length, its body.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut message = Vec::with_capacity(body.len() + 5);
     put(&mut message, tag, body);
@@ -37,53 +37,53 @@
     message
 }
 
-/// An error that leaves the connection open, and ReadyForQuery.
+/// A non-fatal error followed by ReadyForQuery.
 pub fn error(code: &str) -> Vec<u8> {
     [message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()), message(b'Z', b"I")].concat()
 }
 
-fn length(head: &[u8]) -> Result<usize> {
-    let length = head.last_chunk().map_or(0, |l| u32::from_be_bytes(*l) as usize);
-    let body = length.checked_sub(4).filter(|l| *l <= LONGEST);
-    body.ok_or_else(|| Error::new(ErrorKind::InvalidData, "a message of impossible length"))
+fn body_length(header: &[u8]) -> Result<usize> {
+    let length = header.last_chunk().map_or(0, |l| u32::from_be_bytes(*l) as usize);
+    let body = length.checked_sub(4).filter(|l| *l <= MAX_BODY_BYTES);
+    body.ok_or_else(|| Error::new(ErrorKind::InvalidData, "invalid message length"))
 }
 
-/// The next message's tag (0 where it has none) and body.
+/// Reads the next message: its tag (0 if not `tagged`) and its body.
 ///
 /// # Errors
-/// When the connection ends or breaks first, or the length cannot be true.
+/// When the connection ends or breaks first, or the length is invalid.
 pub fn read(from: &mut impl Read, tagged: bool) -> Result<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    let head = if tagged { &mut head[..] } else { &mut head[..4] };
-    from.read_exact(head)?;
-    let mut body = vec![0; length(head)?];
+    let mut header = [0; 5];
+    let header = if tagged { &mut header[..] } else { &mut header[..4] };
+    from.read_exact(header)?;
+    let mut body = vec![0; body_length(header)?];
     from.read_exact(&mut body)?;
-    Ok((if tagged { head[0] } else { 0 }, body))
+    Ok((if tagged { header[0] } else { 0 }, body))
 }
 
-/// As [`read`], without blocking; `body` is overwritten.
+/// As [`read`], asynchronously; `body` is overwritten.
 ///
 /// # Errors
 /// As [`read`].
 pub async fn read_async(from: &mut (impl AsyncRead + Unpin), tagged: bool, body: &mut Vec<u8>) -> Result<u8> {
-    let mut head = [0; 5];
-    let head = if tagged { &mut head[..] } else { &mut head[..4] };
-    from.read_exact(head).await?;
+    let mut header = [0; 5];
+    let header = if tagged { &mut header[..] } else { &mut header[..4] };
+    from.read_exact(header).await?;
     body.clear();
-    body.resize(length(head)?, 0);
+    body.resize(body_length(header)?, 0);
     from.read_exact(body).await?;
-    Ok(if tagged { head[0] } else { 0 })
+    Ok(if tagged { header[0] } else { 0 })
 }
 
-/// Bytes from hex digits; what is not hex counts as 0.
+/// Decodes hex digits; any other character counts as 0.
 pub fn unhex(hex: &str) -> Vec<u8> {
     let digit = |d: u8| char::from(d).to_digit(16).unwrap_or(0) as u8;
     hex.as_bytes().chunks_exact(2).map(|p| digit(p[0]) << 4 | digit(p[1])).collect()
 }
 
-/// Two hex digits a byte.
+/// Encodes each byte as two hex digits.
 pub fn hex(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
-    let both = |b: &u8| [DIGITS[usize::from(b >> 4)], DIGITS[usize::from(b & 15)]].map(char::from);
-    bytes.iter().flat_map(both).collect()
+    let digits = |b: &u8| [DIGITS[usize::from(b >> 4)], DIGITS[usize::from(b & 15)]].map(char::from);
+    bytes.iter().flat_map(digits).collect()
 }
