--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of both fronts, without blocking: one connection each, one request at a time, or several in a row.
+//! Asynchronous clients of both fronts. Each has one connection and sends one request at a time, or several in a row.
 
 use crate::wire;
 use base64::Engine;
@@ -8,64 +8,64 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// What a client asks for.
+/// A request as a client sends it.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     /// The class, by name.
     pub class: &'static str,
     /// The key.
     pub key: String,
-    /// The value of a booking; none for a read.
+    /// The value that a booking writes; none for a read.
     pub value: Option<Vec<u8>>,
-    /// How long it waits, in ms.
+    /// Deadline of the request, in ms.
     pub wait_ms: u64,
-    /// The position that a read must see, in Unix ms.
+    /// The position that a read must include, in Unix ms.
     pub after: Option<u64>,
 }
 
-/// What a client was told.
+/// The answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientAnswer {
-    /// The value, empty where the key is unknown.
+    /// The value; empty if the key is unknown.
     Served(Vec<u8>),
-    /// Refused, and when to come back in ms.
+    /// Refused, and after how many ms to retry.
     Refused(Option<u64>),
-    /// Failed, with the SQLSTATE or the status.
+    /// Failed, with the SQLSTATE or the HTTP status.
     Failed(String),
 }
 
-/// A new request id, unlike all others of this process.
+/// A request id that is unique in this process.
 pub fn request_id() -> String {
     static LAST: AtomicU64 = AtomicU64::new(1);
     format!("{:08x}{:08x}", std::process::id(), LAST.fetch_add(1, Ordering::Relaxed))
 }
 
 impl ClientRequest {
-    /// The statement under an id.
+    /// The SQL statement of this request under a request id.
     pub fn sql(&self, id: &str) -> String {
         self.sql_for_group(id, 1, false)
     }
 
-    /// The same for a group, and for a client that has tried before.
-    pub fn sql_for_group(&self, id: &str, group: u32, again: bool) -> String {
+    /// As [`ClientRequest::sql`], for a group; `retry` marks the statement as a retry.
+    pub fn sql_for_group(&self, id: &str, group: u32, retry: bool) -> String {
         let ClientRequest { class, key, value, wait_ms, after } = self;
-        let head = match value {
+        let statement = match value {
             None => format!("SELECT v FROM records WHERE k = '{key}'"),
             Some(value) => {
                 format!("INSERT INTO records (k, v) VALUES ('{key}', '\\x{}') RETURNING v", wire::hex(value))
             }
         };
         let after = after.map_or(String::new(), |a| format!(",after={a}"));
-        let again = if again { ",r=1" } else { "" };
-        format!("{head} /* id={id},c={class},t=acme,d={wait_ms},cluster={group}{after}{again} */")
+        let retry = if retry { ",r=1" } else { "" };
+        format!("{statement} /* id={id},c={class},t=acme,d={wait_ms},cluster={group}{after}{retry} */")
     }
 }
 
-/// How the fields of an error begin behind which the connection ends.
+/// Start of the fields of an error after which the connection is closed.
 const FATAL: &[u8] = b"SFATAL\0";
 
-/// What the fields of an error tell.
-fn told_by_error(fields: &[u8]) -> ClientAnswer {
+/// Converts the fields of an ErrorResponse.
+fn answer_from_error(fields: &[u8]) -> ClientAnswer {
     let text = String::from_utf8_lossy(fields);
     let field = |name: char| text.split('\0').find_map(|t| t.strip_prefix(name));
     match field('C') {
@@ -74,17 +74,17 @@
     }
 }
 
-/// A client by PostgreSQL's protocol.
+/// A client that speaks PostgreSQL's protocol.
 pub struct PgClient {
     stream: BufReader<TcpStream>,
     body: Vec<u8>,
 }
 
 impl PgClient {
-    /// Connects, and waits for the welcome.
+    /// Connects, sends the startup message and waits for ReadyForQuery.
     ///
     /// # Errors
-    /// When there is none.
+    /// When the connection fails or ends first.
     pub async fn connect(to: SocketAddr) -> Result<Self> {
         let mut this = PgClient::connect_without_startup(to).await?;
         this.stream.write_all(&wire::startup()).await?;
@@ -92,23 +92,23 @@
         Ok(this)
     }
 
-    /// Connects, and says nothing yet.
+    /// Connects without sending anything.
     ///
     /// # Errors
-    /// When no connection comes up.
+    /// When the connection fails.
     pub async fn connect_without_startup(to: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
         Ok(PgClient { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
     }
 
-    /// Sends the startup and these queries in one go, as the protocol allows, and gives the answer to the first of them: what
-    /// comes behind the welcome, or a fatal error in its place.
+    /// Sends the startup message and these queries in one write, as the protocol allows. Returns the answer to the first
+    /// query, or the fatal error that the proxy sends instead of ReadyForQuery.
     ///
     /// # Errors
     /// As [`PgClient::answer`].
     pub async fn request_with_startup(&mut self, queries: &[u8]) -> Result<ClientAnswer> {
-        // Where the other side has ended the connection already, its last word may still be read.
+        // If the proxy has already closed the connection, its last message can still be read.
         let _ = self.stream.write_all(&[&wire::startup(), queries].concat()).await;
         self.first_answer().await
     }
@@ -117,13 +117,13 @@
         loop {
             match wire::read_async(&mut self.stream, true, &mut self.body).await? {
                 b'Z' => return self.answer().await,
-                b'E' => return Ok(told_by_error(&self.body)),
+                b'E' => return Ok(answer_from_error(&self.body)),
                 _ => {}
             }
         }
     }
 
-    /// Sends queries in one go.
+    /// Sends queries in one write.
     ///
     /// # Errors
     /// When the connection breaks.
@@ -131,44 +131,46 @@
         self.stream.write_all(queries).await
     }
 
-    /// The next answer.
+    /// Reads the next answer.
     ///
     /// # Errors
     /// When the connection ends first, or the answer is not one row or one error.
     pub async fn answer(&mut self) -> Result<ClientAnswer> {
-        let mut told = None;
+        let mut answer = None;
         loop {
             let tag = wire::read_async(&mut self.stream, true, &mut self.body).await?;
             let body = &self.body;
             let next = match tag {
                 b'Z' => {
-                    return told.ok_or_else(|| Error::new(ErrorKind::InvalidData, "an answer of nothing"))
+                    return answer.ok_or_else(|| {
+                        Error::new(ErrorKind::InvalidData, "an answer without a row or an error")
+                    })
                 }
                 b'D' => ClientAnswer::Served(body.get(6..).unwrap_or_default().to_vec()),
-                b'C' if told.is_none() => ClientAnswer::Served(Vec::new()),
+                b'C' if answer.is_none() => ClientAnswer::Served(Vec::new()),
                 b'I' => ClientAnswer::Served(Vec::new()),
-                // Nothing comes behind a fatal error.
-                b'E' if body.starts_with(FATAL) => return Ok(told_by_error(body)),
-                b'E' => told_by_error(body),
+                // No message follows a fatal error.
+                b'E' if body.starts_with(FATAL) => return Ok(answer_from_error(body)),
+                b'E' => answer_from_error(body),
                 _ => continue,
             };
-            if told.is_some() && tag != b'E' {
-                return Err(Error::new(ErrorKind::InvalidData, "more than one answer"));
+            if answer.is_some() && tag != b'E' {
+                return Err(Error::new(ErrorKind::InvalidData, "more than one row or error in an answer"));
             }
-            told = Some(next);
+            answer = Some(next);
         }
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a request and waits for the answer.
     ///
     /// # Errors
     /// As [`PgClient::answer`].
-    pub async fn request(&mut self, ask: &ClientRequest) -> Result<ClientAnswer> {
-        self.send(&wire::query(&ask.sql(&request_id()))).await?;
+    pub async fn request(&mut self, request: &ClientRequest) -> Result<ClientAnswer> {
+        self.send(&wire::query(&request.sql(&request_id()))).await?;
         self.answer().await
     }
 
-    /// Waits until something has come, and takes nothing.
+    /// Waits until data has arrived, without consuming it; returns the number of buffered bytes.
     ///
     /// # Errors
     /// When the connection breaks first.
@@ -176,19 +178,19 @@
         Ok(self.stream.fill_buf().await?.len())
     }
 
-    /// Whether the other side has ended the connection, as far as can be seen now.
+    /// Whether the proxy has closed the connection, as far as this side has seen; does not wait.
     pub async fn ended(&mut self) -> bool {
-        let look = tokio::time::timeout(std::time::Duration::ZERO, self.stream.fill_buf()).await;
-        look.is_ok_and(|seen| seen.map_or(true, <[u8]>::is_empty))
+        let peeked = tokio::time::timeout(std::time::Duration::ZERO, self.stream.fill_buf()).await;
+        peeked.is_ok_and(|buffered| buffered.map_or(true, <[u8]>::is_empty))
     }
 
-    /// Bytes that came without being asked for.
+    /// The number of bytes received beyond the last answer.
     pub fn unread_bytes(&self) -> usize {
         self.stream.buffer().len()
     }
 }
 
-/// A client by OData.
+/// A client that speaks OData.
 pub struct ODataClient {
     stream: BufReader<TcpStream>,
     body: Vec<u8>,
@@ -198,25 +200,25 @@
     /// Connects.
     ///
     /// # Errors
-    /// When that fails.
+    /// When the connection fails.
     pub async fn connect(to: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
         Ok(ODataClient { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
     }
 
-    /// Asks, and waits for the answer; a booking under a repeat id of its own.
+    /// Sends a request and waits for the answer. A booking gets a new repeat id.
     ///
     /// # Errors
     /// As [`ODataClient::answer`].
-    pub async fn request(&mut self, ask: &ClientRequest) -> Result<ClientAnswer> {
-        self.send(ask).await;
+    pub async fn request(&mut self, request: &ClientRequest) -> Result<ClientAnswer> {
+        self.send(request).await;
         self.answer().await
     }
 
     /// Sends a request.
-    pub async fn send(&mut self, ask: &ClientRequest) {
-        let ClientRequest { class, key, value, wait_ms, after } = ask;
+    pub async fn send(&mut self, request: &ClientRequest) {
+        let ClientRequest { class, key, value, wait_ms, after } = request;
         let after = after.map_or(String::new(), |a| format!("Skip-After: {a}\r\n"));
         let fields = format!(
             "Host: t\r\nSkip-Class: {class}\r\nSkip-Tenant: acme\r\nSkip-Group: 1\r\nSkip-Wait: {wait_ms}\r\n{after}"
@@ -235,17 +237,17 @@
                 )
             }
         };
-        // Where the other side has ended the connection already, its last word may still be read.
+        // If the proxy has already closed the connection, its last message can still be read.
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
 
-    /// The next answer.
+    /// Reads the next answer.
     ///
     /// # Errors
-    /// When the connection ends first, or the answer cannot be read.
+    /// When the connection ends first, or the answer cannot be parsed.
     pub async fn answer(&mut self) -> Result<ClientAnswer> {
-        let bad = |what| Error::new(ErrorKind::InvalidData, what);
-        let (mut line, mut status, mut length, mut come_back) = (String::new(), String::new(), 0, None);
+        let invalid = |what| Error::new(ErrorKind::InvalidData, what);
+        let (mut line, mut status, mut length, mut retry_after) = (String::new(), String::new(), 0, None);
         loop {
             line.clear();
             if self.stream.read_line(&mut line).await? == 0 {
@@ -257,9 +259,9 @@
             }
             match text.split_once(": ") {
                 Some((name, v)) if name.eq_ignore_ascii_case("content-length") => {
-                    length = v.parse().map_err(|_| bad("a length that is none"))?;
+                    length = v.parse().map_err(|_| invalid("invalid Content-Length"))?;
                 }
-                Some((name, v)) if name.eq_ignore_ascii_case("retry-after") => come_back = v.parse().ok(),
+                Some((name, v)) if name.eq_ignore_ascii_case("retry-after") => retry_after = v.parse().ok(),
                 None if status.is_empty() => status = text.split(' ').nth(1).unwrap_or_default().to_string(),
                 _ => {}
             }
@@ -270,13 +272,14 @@
         Ok(match &status[..] {
             "200" | "201" => {
                 let body: serde_json::Value = serde_json::from_slice(&self.body)?;
-                let value = body.get("v").and_then(|v| v.as_str()).ok_or_else(|| bad("no value"))?;
+                let value =
+                    body.get("v").and_then(|v| v.as_str()).ok_or_else(|| invalid("the body has no value"))?;
                 let value =
                     base64::engine::general_purpose::URL_SAFE_NO_PAD.decode(value.trim_end_matches('='));
-                ClientAnswer::Served(value.map_err(|_| bad("a value that is no base64"))?)
+                ClientAnswer::Served(value.map_err(|_| invalid("the value is not base64"))?)
             }
             "404" => ClientAnswer::Served(Vec::new()),
-            "503" => ClientAnswer::Refused(come_back.map(|s: u64| s * 1000)),
+            "503" => ClientAnswer::Refused(retry_after.map(|s: u64| s * 1000)),
             _ => ClientAnswer::Failed(status),
         })
     }
--- a/crates/standins/src/dns.rs
+++ b/crates/standins/src/dns.rs
@@ -1,4 +1,4 @@
-//! A DNS server over TCP that names members as instances of a service, as DNS-SD (RFC 6763) has them.
+//! A DNS server over TCP that announces members as DNS-SD service instances (RFC 6763).
 
 use crate::{listener, runtime};
 use hickory_proto::op::{Message, OpCode, ResponseCode};
@@ -9,23 +9,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The service as which members are named.
+/// The service whose instances the members are.
 pub const SERVICE: &str = "_postgresql._tcp.members.test.";
 
-struct Named {
+struct Instance {
     label: String,
     port: u16,
     ttl: u32,
-    whole: bool,
+    with_txt: bool,
 }
 
 struct State {
     service: String,
-    named: Vec<Named>,
+    instances: Vec<Instance>,
     garbage: bool,
 }
 
-/// The server and what it names. Copies share it.
+/// The server and its instances. Clones share them.
 #[derive(Clone)]
 pub struct DnsServer(Arc<Mutex<State>>);
 
@@ -36,13 +36,13 @@
 }
 
 impl DnsServer {
-    /// One that names instances of this service.
+    /// A server for instances of this service.
     pub fn for_service(service: &str) -> Self {
-        let state = State { service: service.to_string(), named: Vec::new(), garbage: false };
+        let state = State { service: service.to_string(), instances: Vec::new(), garbage: false };
         DnsServer(Arc::new(Mutex::new(state)))
     }
 
-    /// Starts it; where it listens.
+    /// Starts the server and returns its address.
     pub fn start(&self) -> SocketAddr {
         let (listener, address) = listener();
         let this = self.clone();
@@ -59,45 +59,45 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names an instance with a time to live in seconds; not `whole`: without its TXT record.
-    pub fn add_instance(&self, label: &str, port: u16, ttl: u32, whole: bool) {
+    /// Announces an instance with a time to live in seconds. Unless `with_txt`, its TXT record is missing.
+    pub fn add_instance(&self, label: &str, port: u16, ttl: u32, with_txt: bool) {
         self.remove_instance(label);
-        self.state().named.push(Named { label: label.to_string(), port, ttl, whole });
+        self.state().instances.push(Instance { label: label.to_string(), port, ttl, with_txt });
     }
 
-    /// Names it no longer.
+    /// Removes an instance.
     pub fn remove_instance(&self, label: &str) {
-        self.state().named.retain(|n| n.label != label);
+        self.state().instances.retain(|n| n.label != label);
     }
 
-    /// From now on it answers with what is no DNS message.
+    /// From now on answers with bytes that are no DNS message.
     pub fn send_garbage(&self) {
         self.state().garbage = true;
     }
 
     async fn serve(&self, mut stream: TcpStream) -> Option<()> {
         loop {
-            let mut question = vec![0; usize::from(stream.read_u16().await.ok()?)];
-            stream.read_exact(&mut question).await.ok()?;
-            let reply = self.answer(&Message::from_vec(&question).ok()?)?;
-            let whole = [&(reply.len() as u16).to_be_bytes()[..], &reply].concat();
-            stream.write_all(&whole).await.ok()?;
+            let mut message = vec![0; usize::from(stream.read_u16().await.ok()?)];
+            stream.read_exact(&mut message).await.ok()?;
+            let reply = self.answer(&Message::from_vec(&message).ok()?)?;
+            let framed = [&(reply.len() as u16).to_be_bytes()[..], &reply].concat();
+            stream.write_all(&framed).await.ok()?;
         }
     }
 
-    fn answer(&self, question: &Message) -> Option<Vec<u8>> {
+    fn answer(&self, message: &Message) -> Option<Vec<u8>> {
         let state = self.state();
         if state.garbage {
             return Some(vec![7; 5]);
         }
         let service = Name::from_ascii(&state.service).ok()?;
         let mut records = Vec::new();
-        let asked = question.queries.first()?;
-        // Of thousands, only those that the question can be about.
-        let about = asked.name.to_ascii();
-        let every = asked.name == service;
-        for Named { label, port, ttl, whole } in &state.named {
-            if !every && !about.starts_with(label.as_str()) {
+        let query = message.queries.first()?;
+        // With thousands of instances, build records only for those whose label matches the question.
+        let query_name = query.name.to_ascii();
+        let is_service_query = query.name == service;
+        for Instance { label, port, ttl, with_txt } in &state.instances {
+            if !is_service_query && !query_name.starts_with(label.as_str()) {
                 continue;
             }
             let instance = service.prepend_label(label.as_str()).ok()?;
@@ -106,16 +106,16 @@
             add(&service, RData::PTR(PTR(instance.clone())));
             add(&instance, RData::SRV(SRV::new(0, 0, *port, host.clone())));
             add(&host, RData::A(A::new(127, 0, 0, 1)));
-            if *whole {
+            if *with_txt {
                 add(&instance, RData::TXT(TXT::new(["cell=1", "zone=a"].map(str::to_string).to_vec())));
             }
         }
-        let mut reply = Message::response(question.metadata.id, OpCode::Query);
-        reply.add_query(asked.clone());
-        if records.iter().all(|r| r.name != asked.name) {
+        let mut reply = Message::response(message.metadata.id, OpCode::Query);
+        reply.add_query(query.clone());
+        if records.iter().all(|r| r.name != query.name) {
             reply.metadata.response_code = ResponseCode::NXDomain;
         }
-        let fits = |r: &Record| r.name == asked.name && r.record_type() == asked.query_type;
+        let fits = |r: &Record| r.name == query.name && r.record_type() == query.query_type;
         reply.add_answers(records.into_iter().filter(fits));
         reply.to_vec().ok()
     }
