--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The real proxy as a child process, with the files that it is told by.
+//! Runs the real proxy as a child process and writes its configuration files.
 
 use crate::rig::events::Log;
 use crate::{dns, now_ms};
@@ -14,39 +14,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the program may take to start or to print its counters on a slow machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for the console and the counters to answer on a slow machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How the proxy is to start.
+/// How to start the proxy.
 #[derive(Debug, Clone, Default)]
 pub struct Setup {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Its configuration, as the platform would give it.
+    /// Its configuration, in the format of the platform.
     pub config: Value,
     /// Whether OData is served.
     pub odata: bool,
-    /// The DNS server at which members are browsed for.
+    /// The DNS server at which to browse for members.
     pub browse: Option<SocketAddr>,
-    /// Whether what it logs is passed on.
+    /// Whether to echo its log on stderr.
     pub echo_log: bool,
     /// Its log filter.
     pub log: Option<String>,
-    /// A listener that it inherits, as the platform hands one on.
+    /// A listening socket for it to inherit, as from the platform.
     pub listener: Option<Arc<TcpListener>>,
-    /// The folder that its processes share; none: it gets none.
+    /// The folder that successive processes of the proxy share, passed as TMPDIR; none leaves TMPDIR unset.
     pub shared_folder: Option<PathBuf>,
-    /// More of the operators' file.
+    /// Text to append to the operators' file.
     pub operators: String,
-    /// What stands in its configuration's file, where that is not the configuration.
+    /// Text to write to the configuration file instead of `config`.
     pub config_text: Option<String>,
-    /// More of its environment.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
-    /// It is started as the deploy file says, from the repository's root: without an operators' file of its own.
+    /// Whether to start it as the deploy file does, from the repository's root: LINENTRAIL_FILE is not set.
     pub as_shipped: bool,
-    /// Where it is told by which rules it acts, and as whom: the log must have the target `rules`.
+    /// The event log that records which rules the proxy applies, and the number of the proxy there. Its log filter must
+    /// include the target `rules`.
     pub rules: Option<(u32, Log)>,
-    /// How long after SIGTERM it still takes clients; none: longer than any test takes to bring one.
+    /// How long after SIGTERM it still accepts clients; none for 3 s, longer than any test takes to connect one.
     pub accept_after_term: Option<Duration>,
 }
 
@@ -56,7 +57,7 @@
         "group": "all", "window_us": 5_000_000, "stream": false, "importance": 1.0})
 }
 
-/// The users' four classes, by name: aim and deadline in ms. That of writes comes last.
+/// The users' four classes: name, aim and deadline in ms. The class of writes comes last.
 pub const CLASSES: [(&str, u64, u64); 4] = [
     ("yard-board", 200, 500),
     ("my-booking", 300, 1_200),
@@ -64,17 +65,17 @@
     ("place-order", 1_000, 3_000),
 ];
 
-/// The settings of those, at aims and deadlines so many times longer.
+/// The settings of those classes, with aims and deadlines multiplied by `times`.
 pub fn classes(times: u64) -> Value {
-    let one = |(name, aim, deadline): (&str, u64, u64)| {
+    let class_settings = |(name, aim, deadline): (&str, u64, u64)| {
         let repeat = if name == "place-order" { "non_idempotent" } else { "read_like" };
         class(name, repeat, (aim * 1000 * times, deadline * 1000 * times))
     };
-    CLASSES.map(one).to_vec().into()
+    CLASSES.map(class_settings).to_vec().into()
 }
 
-/// Settings of one instance with the users' four classes and one tenant. Aims are long, so that no verdict depends on
-/// the machine's speed.
+/// Settings of one instance with the users' four classes and one tenant. Aims and deadlines are long, so that test
+/// results do not depend on the machine's speed.
 pub fn settings() -> Value {
     let long = (8_000_000, 15_000_000);
     json!({
@@ -91,19 +92,19 @@
     })
 }
 
-/// The configuration of a proxy on a free port that knows these members.
-pub fn config(discovery: &str, known: &[Value], settings: Value, sockets: u64, memory_mb: u64) -> Value {
+/// The configuration of a proxy that listens on a free port and starts with these members.
+pub fn config(discovery: &str, members: &[Value], settings: Value, sockets: u64, memory_mb: u64) -> Value {
     json!({
         "name": "t", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "5",
-        "known": {"generation": 1, "reset": true, "instances": known}, "settings": settings,
+        "known": {"generation": 1, "reset": true, "instances": members}, "settings": settings,
         "limits": {"sockets": sockets, "memory_mb": memory_mb}
     })
 }
 
-/// The line of counters printed last, and how many were.
-type Printed = Arc<(Mutex<(u64, String)>, Condvar)>;
+/// The number of counter lines printed and the last of them.
+type PrintedCounters = Arc<(Mutex<(u64, String)>, Condvar)>;
 
-/// The program from its exec on, before anybody knows that it serves. It is killed when dropped.
+/// A started process that may not serve yet. It is killed when dropped.
 #[derive(Debug)]
 pub struct ProxyProcess {
     child: Child,
@@ -119,10 +120,10 @@
 }
 
 impl ProxyProcess {
-    /// Writes its files and starts it.
+    /// Writes the files and starts the process.
     ///
     /// # Errors
-    /// When that cannot be done.
+    /// When the files cannot be written or the process cannot be started.
     pub fn new(setup: &Setup) -> Result<Self> {
         let dir = folder()?;
         let text = setup.config_text.clone().unwrap_or_else(|| setup.config.to_string());
@@ -132,60 +133,60 @@
         Ok(ProxyProcess { child, dir })
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn ended(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
-    /// Waits until it serves.
+    /// Waits until the log says that the proxy serves, and reads the addresses from there.
     ///
     /// # Errors
-    /// When it ends before it serves.
+    /// When the process ends first.
     pub fn wait_until_serving(mut self, setup: &Setup) -> Result<Proxy> {
         let (out, err) = (self.child.stdout.take(), self.child.stderr.take());
         let (Some(out), Some(err)) = (out, err) else { return Err(Error::other("no pipes")) };
         let mut lines = BufReader::new(err).lines();
-        let mut said = Vec::new();
+        let mut log_lines = Vec::new();
         let mut address = |what: &str| {
             for line in lines.by_ref().map_while(Result::ok) {
                 let found = line.contains(what).then(|| line.rsplit(' ').next()?.parse().ok()).flatten();
-                said.push(line);
+                log_lines.push(line);
                 if found.is_some() {
                     return found;
                 }
             }
             None
         };
-        let called = setup.config.get("console").is_some();
-        let console = if called { address("operators call at") } else { None };
+        let has_console = setup.config.get("console").is_some();
+        let console = if has_console { address("operators call at") } else { None };
         let pg = address("serving clients at");
         let odata = if setup.odata { address("serving OData at") } else { None };
-        let whole = odata.is_some() == setup.odata && console.is_some() == called;
-        let (Some(pg), true) = (pg, whole) else {
-            return Err(Error::other(format!("the proxy does not start: {}", said.join("; "))));
+        let all_found = odata.is_some() == setup.odata && console.is_some() == has_console;
+        let (Some(pg), true) = (pg, all_found) else {
+            return Err(Error::other(format!("the proxy did not start: {}", log_lines.join("; "))));
         };
-        let (loud, rules) = (setup.echo_log, setup.rules.clone());
-        let tell = move |line: String| {
+        let (echo_log, rules) = (setup.echo_log, setup.rules.clone());
+        let handle_line = move |line: String| {
             if let Some((proxy, log)) = &rules {
                 log.rules(*proxy, &line);
             }
-            if loud {
+            if echo_log {
                 eprintln!("proxy: {line}");
             }
         };
-        // What was said before it served counts, too.
-        said.into_iter().for_each(&tell);
-        thread::spawn(move || lines.map_while(Result::ok).for_each(tell));
-        let printed = Printed::default();
-        let known = printed.clone();
+        // The log lines from before the proxy served are passed on, too.
+        log_lines.into_iter().for_each(&handle_line);
+        thread::spawn(move || lines.map_while(Result::ok).for_each(handle_line));
+        let counters_printed = PrintedCounters::default();
+        let writer = counters_printed.clone();
         thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                let mut last = known.0.lock().unwrap_or_else(PoisonError::into_inner);
+                let mut last = writer.0.lock().unwrap_or_else(PoisonError::into_inner);
                 *last = (last.0 + 1, line);
-                known.1.notify_all();
+                writer.1.notify_all();
             }
         });
-        Ok(Proxy { process: self, printed, pg, odata, console })
+        Ok(Proxy { process: self, counters_printed, pg, odata, console })
     }
 }
 
@@ -205,11 +206,11 @@
     }
 }
 
-/// The command that starts it, with its files in `dir`.
+/// The command that starts the proxy with its files in `dir`.
 fn command(setup: &Setup, dir: &Path) -> Result<Command> {
     let mut command = match &setup.listener {
         None => Command::new(&setup.program),
-        // The shell puts it where the platform has it.
+        // The shell moves the socket to descriptor 3, where the platform passes it.
         Some(listener) => {
             let mut shell = Command::new("/bin/sh");
             shell.args(["-c", "exec \"$0\" 3<&0 0</dev/null"]).arg(&setup.program);
@@ -232,46 +233,46 @@
     if !setup.as_shipped {
         command.env("LINENTRAIL_FILE", dir.join("linentrail.hcl"));
     }
-    // Last, so that a test can say otherwise.
+    // Applied last, so that a test can override the variables above.
     command.envs(setup.environment.iter().cloned());
     Ok(command)
 }
 
-/// The running program.
+/// A proxy that serves.
 pub struct Proxy {
     process: ProxyProcess,
-    printed: Printed,
-    /// Where clients connect.
+    counters_printed: PrintedCounters,
+    /// Address for PostgreSQL clients.
     pub pg: SocketAddr,
-    /// Where OData clients do.
+    /// Address for OData clients.
     pub odata: Option<SocketAddr>,
-    /// Where operators call.
+    /// Address of the console.
     pub console: Option<SocketAddr>,
 }
 
-/// A folder of this process's own, new with each call.
+/// Creates a new folder for each call.
 fn folder() -> Result<PathBuf> {
-    static MADE: AtomicU64 = AtomicU64::new(0);
-    let made = MADE.fetch_add(1, Ordering::Relaxed);
-    let dir = std::env::temp_dir().join(format!("linentrail-{}-{made}-{}", std::process::id(), now_ms()));
+    static NEXT: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let dir = std::env::temp_dir().join(format!("linentrail-{}-{number}-{}", std::process::id(), now_ms()));
     std::fs::create_dir_all(&dir)?;
     Ok(dir)
 }
 
-/// Sends all of these processes a signal at one moment.
+/// Sends a signal to all of these processes with one command.
 ///
 /// # Errors
-/// When one of them has gone.
-pub fn signal_all(ids: &[u32], which: &str) -> Result<()> {
+/// When one of them has ended.
+pub fn signal_all(ids: &[u32], signal: &str) -> Result<()> {
     let ids: Vec<String> = ids.iter().map(u32::to_string).collect();
-    match Command::new("kill").arg(format!("-{which}")).args(ids).stderr(Stdio::null()).status()?.success() {
+    match Command::new("kill").arg(format!("-{signal}")).args(ids).stderr(Stdio::null()).status()?.success() {
         true => Ok(()),
-        false => Err(Error::other("a proxy has gone")),
+        false => Err(Error::other("a proxy has ended")),
     }
 }
 
 impl Proxy {
-    /// Starts it and waits until it serves.
+    /// Starts a proxy and waits until it serves.
     ///
     /// # Errors
     /// When it cannot be started, or ends before it serves.
@@ -279,29 +280,29 @@
         ProxyProcess::new(setup)?.wait_until_serving(setup)
     }
 
-    /// The same, with a word as soon as the program runs.
+    /// As [`Proxy::start`]; calls `on_started` as soon as the process runs.
     ///
     /// # Errors
     /// When it cannot be started, or ends before it serves.
-    pub fn start_with_hook(setup: &Setup, runs: impl FnOnce()) -> Result<Self> {
-        let launched = ProxyProcess::new(setup)?;
-        runs();
-        launched.wait_until_serving(setup)
+    pub fn start_with_hook(setup: &Setup, on_started: impl FnOnce()) -> Result<Self> {
+        let process = ProxyProcess::new(setup)?;
+        on_started();
+        process.wait_until_serving(setup)
     }
 
-    /// The console's answer to a line, and the time it took.
+    /// Sends a line to the console; returns the answer and the time it took.
     ///
     /// # Errors
-    /// When there is no console, or no answer.
+    /// When there is no console or no answer.
     pub fn call_console(&self, line: &str) -> Result<(String, Duration)> {
-        let began = Instant::now();
-        let address = self.console.ok_or_else(|| Error::other("it has no console"))?;
+        let started_at = Instant::now();
+        let address = self.console.ok_or_else(|| Error::other("the proxy has no console"))?;
         let mut stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(line.as_bytes())?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer)?;
-        Ok((answer, began.elapsed()))
+        Ok((answer, started_at.elapsed()))
     }
 
     /// Its process id.
@@ -309,52 +310,52 @@
         self.process.child.id()
     }
 
-    /// The folder of its files.
+    /// The folder of its configuration files.
     pub fn dir(&self) -> &Path {
         &self.process.dir
     }
 
-    /// Sends it a signal, named as `kill` takes it.
+    /// Sends the process a signal, named as for `kill`.
     ///
     /// # Errors
-    /// When that cannot be done.
-    pub fn signal(&self, which: &str) -> Result<()> {
-        signal_all(&[self.process.child.id()], which)
+    /// When the signal cannot be sent.
+    pub fn signal(&self, signal: &str) -> Result<()> {
+        signal_all(&[self.process.child.id()], signal)
     }
 
-    /// Its counters now, by name.
+    /// Its current counters by name, which it prints on SIGUSR1.
     ///
     /// # Errors
-    /// When it does not print them.
+    /// When it does not print them in time.
     pub fn counters(&self) -> Result<BTreeMap<String, u64>> {
-        let (lock, told) = &*self.printed;
+        let (lock, arrived) = &*self.counters_printed;
         let before = lock.lock().unwrap_or_else(PoisonError::into_inner).0;
         self.signal("USR1")?;
         let guard = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let (last, late) = told
-            .wait_timeout_while(guard, PATIENCE, |last| last.0 <= before)
+        let (last, wait_result) = arrived
+            .wait_timeout_while(guard, ANSWER_TIMEOUT, |last| last.0 <= before)
             .unwrap_or_else(PoisonError::into_inner);
-        if late.timed_out() {
-            return Err(Error::other("the proxy prints no counters"));
+        if wait_result.timed_out() {
+            return Err(Error::other("the proxy did not print its counters"));
         }
         let pair = |p: &str| p.split_once('=').and_then(|(n, v)| Some((n.to_string(), v.parse().ok()?)));
         Ok(last.1.split(' ').filter_map(pair).collect())
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn ended(&mut self) -> bool {
         self.process.ended()
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end.
     ///
     /// # Errors
-    /// When that cannot be done.
+    /// When waiting fails.
     pub fn wait(&mut self) -> Result<ExitStatus> {
         self.process.child.wait()
     }
 
-    /// How many descriptors it holds.
+    /// The number of open file descriptors of the process.
     ///
     /// # Errors
     /// When it has ended.
@@ -362,10 +363,10 @@
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.id()))?.count())
     }
 
-    /// Processor time that it has used, in ns, and the memory that it holds, in KiB.
+    /// The CPU time that the process has used, in ns, and its resident memory, in KiB.
     ///
     /// # Errors
-    /// When the machine does not tell.
+    /// When /proc does not have the values.
     pub fn usage(&self) -> Result<(u64, u64)> {
         let id = self.id();
         let text = std::fs::read_to_string(format!("/proc/{id}/schedstat"))?;
@@ -373,6 +374,6 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
         let memory =
             status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok());
-        cpu.zip(memory).ok_or_else(|| Error::other("the machine does not tell what a process uses"))
+        cpu.zip(memory).ok_or_else(|| Error::other("/proc does not say what the process uses"))
     }
 }
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -1,4 +1,5 @@
-//! Discovery by the platform's protocol: the whole list, and watches that wait for a change.
+//! A discovery service that speaks the platform's protocol: calls for the full member list, and watches that wait for a
+//! change.
 
 use crate::rig::events::{Log, What};
 use crate::{listener, runtime};
@@ -12,35 +13,35 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The answer to a call that it cannot take.
+/// The answer to a call beyond the rate limit.
 const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// Version, whole list, latest change.
+/// Version, full list, latest change.
 type List = (u64, Value, Value);
 
-/// What it does with calls.
+/// How discovery answers calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum DiscoveryBehaviour {
-    /// Answers.
+    /// Answers correctly.
     #[default]
     Well,
-    /// 503.
+    /// Answers with status 503.
     Overbooked,
-    /// Closes at once.
+    /// Closes the connection without an answer.
     Reset,
-    /// Says nothing.
+    /// Never answers.
     Silent,
-    /// Half of the answer, then a close.
+    /// Sends the first 60 bytes of the answer and closes the connection.
     Cut,
-    /// What is no list.
+    /// Answers with malformed JSON.
     Noise,
-    /// A whole list of an older version, which names nobody.
+    /// Answers with an empty full list of an older version.
     Older,
-    /// A list of 5,000 members.
+    /// Answers with a list of 5,000 members.
     Many,
-    /// Answers watches at once, with nothing.
+    /// Answers watches at once, even if nothing has changed.
     Hasty,
-    /// Answers with lists that are indented.
+    /// Answers with indented JSON.
     Indented,
 }
 
@@ -58,69 +59,70 @@
             "many" => DiscoveryBehaviour::Many,
             "hasty" => DiscoveryBehaviour::Hasty,
             "indented" => DiscoveryBehaviour::Indented,
-            _ => return Err(format!("discovery cannot do '{text}'")),
+            _ => return Err(format!("unknown behaviour of discovery '{text}'")),
         })
     }
 }
 
-/// Calls so far.
+/// Counts of the calls received so far.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Calls {
-    /// For the whole list.
+    /// Calls for the full list.
     pub whole: usize,
-    /// For what comes after a version.
+    /// Watches: calls for the changes after a version.
     pub watches: usize,
-    /// Those among them that wait for nothing.
+    /// Watches with a wait of 0 ms.
     pub confirms: usize,
-    /// The newest version after which a caller wants to hear: it has the list up to that one.
+    /// The newest version that a watch named: its caller has the list up to that version.
     pub newest_version: u64,
 }
 
-/// One caller's way in, where many are told apart.
+/// State of a listener that serves a single proxy.
 #[derive(Clone)]
-struct Door {
+struct ProxyListener {
     proxy: u32,
     log: Log,
-    /// Addresses as this caller is to see them.
+    /// The member addresses that this proxy is shown instead of the real ones.
     seen: Arc<HashMap<String, String>>,
-    /// Where a relay stands before it, that may hold back what was written: answers that the caller has not yet shown to
-    /// have, each with its version. None: what is written has arrived.
-    unproved: Option<Arc<Mutex<Unproved>>>,
+    /// Answers that the proxy has not yet confirmed, by version. Used when a relay in front of the proxy may delay
+    /// written answers; none if a written answer counts as received.
+    unconfirmed: Option<Arc<Mutex<Unconfirmed>>>,
 }
 
-/// Entries of answers by their version, of which the oldest go where a caller never shows that it has any.
-type Unproved = BTreeMap<u64, Value>;
-const UNPROVED_MOST: usize = 64;
+/// Entries of answers by version. The oldest are dropped if the proxy never confirms any.
+type Unconfirmed = BTreeMap<u64, Value>;
+const MAX_UNCONFIRMED: usize = 64;
 
-impl Door {
-    /// An answer is about to be written: that a member serves again may arrive, and be acted on, at once.
-    fn writes(&self, entries: &Value) {
+impl ProxyListener {
+    /// Called before an answer is written. Logs the active members first, because the proxy may receive the answer and
+    /// send requests to them at once.
+    fn before_write(&self, entries: &Value) {
         let serves = entries.as_array().into_iter().flatten().filter(|e| e["lifecycle"] == "active");
-        self.told(&serves.cloned().collect());
+        self.log_lifecycles(&serves.cloned().collect());
     }
 
-    /// An answer has been written: it has told the caller of its entries, unless a relay may still hold it.
-    fn written(&self, version: u64, entries: Value) {
-        let Some(unproved) = &self.unproved else { return self.told(&entries) };
-        let mut unproved = unproved.lock().unwrap_or_else(PoisonError::into_inner);
-        unproved.insert(version, entries);
-        while unproved.len() > UNPROVED_MOST {
-            unproved.pop_first();
+    /// Called after an answer was written. Logs its entries as received, or stores them if a relay may still hold them.
+    fn after_write(&self, version: u64, entries: Value) {
+        let Some(unconfirmed) = &self.unconfirmed else { return self.log_lifecycles(&entries) };
+        let mut unconfirmed = unconfirmed.lock().unwrap_or_else(PoisonError::into_inner);
+        unconfirmed.insert(version, entries);
+        while unconfirmed.len() > MAX_UNCONFIRMED {
+            unconfirmed.pop_first();
         }
     }
 
-    /// The caller asks for what comes after a version: it has the answers up to that one.
-    fn shows(&self, version: u64) {
-        let Some(unproved) = &self.unproved else { return };
-        let mut unproved = unproved.lock().unwrap_or_else(PoisonError::into_inner);
-        let later = unproved.split_off(&(version + 1));
-        for entries in std::mem::replace(&mut *unproved, later).values() {
-            self.told(entries);
+    /// Called when the proxy watches from a version: it has received the answers up to that version.
+    fn confirm_up_to(&self, version: u64) {
+        let Some(unconfirmed) = &self.unconfirmed else { return };
+        let mut unconfirmed = unconfirmed.lock().unwrap_or_else(PoisonError::into_inner);
+        let later = unconfirmed.split_off(&(version + 1));
+        for entries in std::mem::replace(&mut *unconfirmed, later).values() {
+            self.log_lifecycles(entries);
         }
     }
 
-    /// Notes what an answer that went out has told of members: their numbers are their ids'.
-    fn told(&self, entries: &Value) {
+    /// Logs the lifecycle of each member in a received answer. The number of a member is part of its instance id.
+    fn log_lifecycles(&self, entries: &Value) {
         for entry in entries.as_array().into_iter().flatten() {
             let id = entry["instanceId"].as_str().and_then(|id| id.rsplit('-').next());
             let Some(index) = id.and_then(|id| u32::from_str_radix(id, 16).ok()) else { continue };
@@ -129,29 +131,29 @@
         }
     }
 
-    fn shown(&self, mut entries: Value) -> Value {
+    fn with_shown_addresses(&self, mut entries: Value) -> Value {
         entries.as_array_mut().into_iter().flatten().for_each(|entry| rewrite_address(entry, &self.seen));
         entries
     }
 }
 
-/// How many calls it can take.
-struct Desk {
-    /// Time that each call costs; zero: none.
-    each: Duration,
-    /// Calls that may wait; beyond that they are answered with 503.
+/// Limits the rate of calls.
+struct RateLimit {
+    /// Time that each call takes; zero disables the limit.
+    call_time: Duration,
+    /// Calls that may wait; further ones are answered with status 503.
     queue: usize,
     waiting: AtomicUsize,
-    turn: tokio::sync::Mutex<()>,
+    in_service: tokio::sync::Mutex<()>,
 }
 
-/// Discovery and what it lists. Copies share it.
+/// The discovery service and its list. Clones share both.
 #[derive(Clone)]
 pub struct Registry {
     list: Arc<Mutex<List>>,
     changed: watch::Sender<u64>,
     state: Arc<Mutex<(DiscoveryBehaviour, Calls)>>,
-    desk: Arc<Desk>,
+    rate_limit: Arc<RateLimit>,
 }
 
 impl Default for Registry {
@@ -160,20 +162,20 @@
     }
 }
 
-/// An entry of the list.
+/// A list entry for an active member.
 pub fn entry(index: usize, address: SocketAddr) -> Value {
     json!({"instanceId": format!("s-{index:08x}"), "hostPort": address.to_string(), "zone": "a", "cell": 1,
         "lifecycle": "active", "weight": 1.0, "startedAtMs": 0})
 }
 
 /// Whether the caller has closed its connection, or its process has ended.
-async fn left(stream: &mut BufReader<TcpStream>) -> bool {
-    let mut look = [0];
-    let look = stream.get_mut().peek(&mut look);
-    matches!(tokio::time::timeout(Duration::ZERO, look).await, Ok(Ok(0) | Err(_)))
+async fn has_disconnected(stream: &mut BufReader<TcpStream>) -> bool {
+    let mut peeked = [0];
+    let peeked = stream.get_mut().peek(&mut peeked);
+    matches!(tokio::time::timeout(Duration::ZERO, peeked).await, Ok(Ok(0) | Err(_)))
 }
 
-/// Puts the address that a caller is to see into an entry.
+/// Replaces the address in an entry by the one to show, if there is one.
 pub fn rewrite_address(entry: &mut Value, seen: &HashMap<String, String>) {
     if let Some(shown) = entry["hostPort"].as_str().and_then(|a| seen.get(a)) {
         entry["hostPort"] = shown.as_str().into();
@@ -181,26 +183,31 @@
 }
 
 impl Registry {
-    /// One that answers so many calls a second, one after the other, and lets so many wait; 0: any number at once.
+    /// Answers at most `rate` calls a second, one at a time, and lets `queue` calls wait; a rate of 0 means no limit.
     pub fn with_rate(rate: f64, queue: usize) -> Self {
-        let each = if rate > 0.0 { Duration::from_secs_f64(1.0 / rate) } else { Duration::ZERO };
-        let desk = Desk { each, queue, waiting: AtomicUsize::new(0), turn: tokio::sync::Mutex::new(()) };
+        let call_time = if rate > 0.0 { Duration::from_secs_f64(1.0 / rate) } else { Duration::ZERO };
+        let rate_limit = RateLimit {
+            call_time,
+            queue,
+            waiting: AtomicUsize::new(0),
+            in_service: tokio::sync::Mutex::new(()),
+        };
         Registry {
             list: Arc::new(Mutex::new((1, json!([]), json!([])))),
             changed: watch::channel(1).0,
             state: Arc::default(),
-            desk: Arc::new(desk),
+            rate_limit: Arc::new(rate_limit),
         }
     }
 
-    /// Starts it with a whole list; where it listens.
+    /// Starts with a full list and returns the address.
     pub fn start(&self, whole: Value) -> SocketAddr {
         self.with(|list| list.1 = whole);
         self.open(None)
     }
 
-    /// A listener of its own for one caller, that sees members under other addresses. Behind a relay an answer counts as
-    /// told only when the caller's next call shows that it has come.
+    /// Opens a listener for one proxy, which sees members under the addresses of `seen`. If `relayed`, an answer counts as
+    /// received only when the proxy's next call confirms it.
     pub fn listen_for_proxy(
         &self,
         proxy: u32,
@@ -208,43 +215,43 @@
         seen: HashMap<String, String>,
         relayed: bool,
     ) -> SocketAddr {
-        let unproved = relayed.then(Arc::default);
-        self.open(Some(Door { proxy, log, seen: Arc::new(seen), unproved }))
+        let unconfirmed = relayed.then(Arc::default);
+        self.open(Some(ProxyListener { proxy, log, seen: Arc::new(seen), unconfirmed }))
     }
 
-    /// The whole list is another one, without a word to those that watch.
+    /// Replaces the full list without waking watches.
     pub fn set_list(&self, whole: Value) {
         self.with(|list| list.1 = whole);
     }
 
-    fn open(&self, door: Option<Door>) -> SocketAddr {
+    fn open(&self, listener_state: Option<ProxyListener>) -> SocketAddr {
         let (listener, address) = listener();
         let this = self.clone();
         runtime().spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (this, door) = (this.clone(), door.clone());
+                let (this, listener_state) = (this.clone(), listener_state.clone());
                 tokio::spawn(async move {
                     let mut stream = BufReader::new(stream);
-                    while this.serve(&mut stream, door.as_ref()).await.is_some() {}
+                    while this.serve(&mut stream, listener_state.as_ref()).await.is_some() {}
                 });
             }
         });
         address
     }
 
-    /// Waits for a call's turn; false where too many wait.
-    async fn turn(&self) -> bool {
-        if self.desk.each.is_zero() {
+    /// Waits until the rate limit admits a call; false if too many calls wait.
+    async fn admit(&self) -> bool {
+        if self.rate_limit.call_time.is_zero() {
             return true;
         }
-        if self.desk.waiting.fetch_add(1, Ordering::Relaxed) >= self.desk.queue {
-            self.desk.waiting.fetch_sub(1, Ordering::Relaxed);
+        if self.rate_limit.waiting.fetch_add(1, Ordering::Relaxed) >= self.rate_limit.queue {
+            self.rate_limit.waiting.fetch_sub(1, Ordering::Relaxed);
             return false;
         }
-        let turn = self.desk.turn.lock().await;
-        tokio::time::sleep(self.desk.each).await;
-        drop(turn);
-        self.desk.waiting.fetch_sub(1, Ordering::Relaxed);
+        let guard = self.rate_limit.in_service.lock().await;
+        tokio::time::sleep(self.rate_limit.call_time).await;
+        drop(guard);
+        self.rate_limit.waiting.fetch_sub(1, Ordering::Relaxed);
         true
     }
 
@@ -256,12 +263,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it does with calls from now on; those that wait are done with so when the list changes.
-    pub fn set_behaviour(&self, ill: DiscoveryBehaviour) {
-        self.state().0 = ill;
+    /// Changes how calls are answered. Watches that already wait are answered that way when the list changes.
+    pub fn set_behaviour(&self, behaviour: DiscoveryBehaviour) {
+        self.state().0 = behaviour;
     }
 
-    /// Calls that have come so far.
+    /// The calls received so far.
     pub fn calls(&self) -> Calls {
         self.state().1
     }
@@ -271,12 +278,16 @@
         self.with(|list| list.0)
     }
 
-    /// The whole list as it stands.
+    /// The full list.
     pub fn list(&self) -> Value {
         self.with(|list| list.1.clone())
     }
 
-    async fn serve(&self, stream: &mut BufReader<TcpStream>, door: Option<&Door>) -> Option<()> {
+    async fn serve(
+        &self,
+        stream: &mut BufReader<TcpStream>,
+        listener_state: Option<&ProxyListener>,
+    ) -> Option<()> {
         let (mut first, mut line) = (String::new(), String::new());
         stream.read_line(&mut first).await.ok().filter(|n| *n > 0)?;
         while line != "\r\n" {
@@ -291,39 +302,39 @@
             calls.confirms += usize::from(after.is_some() && wait == 0);
             calls.newest_version = calls.newest_version.max(after.unwrap_or(0));
         }
-        if let Some(Door { proxy, log, .. }) = door {
+        if let Some(ProxyListener { proxy, log, .. }) = listener_state {
             log.note(What::Called { proxy: *proxy, whole: after.is_none() });
         }
-        if let (Some(door), Some(after)) = (door, after) {
-            door.shows(after);
+        if let (Some(listener_state), Some(after)) = (listener_state, after) {
+            listener_state.confirm_up_to(after);
         }
-        let unanswered = || door.map(|d| d.log.note(What::Unanswered { proxy: d.proxy }));
-        let ill = || self.state().0;
-        // A caller that leaves while it waits has had its turn all the same.
-        if !self.turn().await {
+        let unanswered = || listener_state.map(|d| d.log.note(What::Unanswered { proxy: d.proxy }));
+        let behaviour = || self.state().0;
+        // A caller that disconnects while it waits still counts against the rate limit.
+        if !self.admit().await {
             unanswered();
             return stream.write_all(BUSY.as_bytes()).await.ok();
         }
-        // Whoever has given up while it waited for its turn does not hear the answer, even if it can be written.
-        if left(stream).await {
+        // A caller that gave up while it waited does not receive the answer, even if writing succeeds.
+        if has_disconnected(stream).await {
             unanswered();
             return None;
         }
-        if let Some(after) = after.filter(|_| ill() == DiscoveryBehaviour::Well) {
+        if let Some(after) = after.filter(|_| behaviour() == DiscoveryBehaviour::Well) {
             let mut changes = self.changed.subscribe();
             let newer = changes.wait_for(|version| *version > after);
             let _ = tokio::time::timeout(Duration::from_millis(wait), newer).await;
-            // Nor does the watch of a process that was killed meanwhile tell the next one anything.
-            if left(stream).await {
+            // A process that was killed during its watch received nothing, and its successor must not be credited with it.
+            if has_disconnected(stream).await {
                 return None;
             }
         }
         let (version, whole, change) = self.with(|list| list.clone());
-        // Of changes only the latest is kept: who missed more gets the whole list.
-        let (reset, entries) = match after {
+        // Only the latest change is kept; a caller that missed more gets the full list.
+        let (is_full, entries) = match after {
             Some(after) if version == after => (false, json!([])),
             Some(after) if version == after + 1 => (false, change),
-            // One that has left stands among changes alone.
+            // A member that has left appears in changes only.
             _ => (
                 true,
                 whole
@@ -335,13 +346,13 @@
                     .collect(),
             ),
         };
-        let shown = door.map_or(entries.clone(), |d| d.shown(entries.clone()));
-        let body = json!({"generation": version, "reset": reset, "instances": shown}).to_string();
+        let shown = listener_state.map_or(entries.clone(), |d| d.with_shown_addresses(entries.clone()));
+        let body = json!({"generation": version, "reset": is_full, "instances": shown}).to_string();
         let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let text = match ill() {
+        let text = match behaviour() {
             DiscoveryBehaviour::Well | DiscoveryBehaviour::Hasty => answer(&body),
             DiscoveryBehaviour::Indented => {
-                let list = json!({"generation": version, "reset": reset, "instances": shown});
+                let list = json!({"generation": version, "reset": is_full, "instances": shown});
                 answer(&format!("{list:#}"))
             }
             DiscoveryBehaviour::Overbooked => BUSY.to_string(),
@@ -365,38 +376,38 @@
                 answer(&json!({"generation": version + 9, "reset": true, "instances": many}).to_string())
             }
         };
-        let sound = matches!(
-            ill(),
+        let complete = matches!(
+            behaviour(),
             DiscoveryBehaviour::Well | DiscoveryBehaviour::Hasty | DiscoveryBehaviour::Indented
         );
-        if let Some(door) = door.filter(|_| sound) {
-            door.writes(&entries);
+        if let Some(listener_state) = listener_state.filter(|_| complete) {
+            listener_state.before_write(&entries);
         }
         let written = stream.write_all(text.as_bytes()).await.ok();
-        match (written.is_some() && sound, door) {
-            (true, Some(door)) => door.written(version, entries),
+        match (written.is_some() && complete, listener_state) {
+            (true, Some(listener_state)) => listener_state.after_write(version, entries),
             (false, Some(_)) if written.is_some() => drop(unanswered()),
             _ => {}
         }
         written
     }
 
-    /// One entry's lifecycle changes; watches are told.
+    /// Changes the lifecycle of an entry and wakes watches.
     pub fn set_lifecycle(&self, index: usize, lifecycle: &str) {
-        self.sets(index, "lifecycle", lifecycle);
+        self.set_field(index, "lifecycle", lifecycle);
     }
 
-    /// A member is to be found at another address; watches are told.
+    /// Changes the address of a member and wakes watches.
     pub fn set_address(&self, index: usize, address: SocketAddr) {
-        self.sets(index, "hostPort", address.to_string());
+        self.set_field(index, "hostPort", address.to_string());
     }
 
-    /// A member has started now; watches are told.
+    /// Sets the start time of a member to now and wakes watches.
     pub fn set_started_now(&self, index: usize) {
-        self.sets(index, "startedAtMs", crate::now_ms());
+        self.set_field(index, "startedAtMs", crate::now_ms());
     }
 
-    fn sets(&self, index: usize, field: &str, value: impl Into<Value>) {
+    fn set_field(&self, index: usize, field: &str, value: impl Into<Value>) {
         let value = value.into();
         let version = self.with(|list| {
             list.1[index][field] = value;
