--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -1,5 +1,5 @@
-//! A member of a group: one primary, the others replicas with a lag; service times, slots and a queue, a cold start,
-//! and every fault that the proxy must bear, by name.
+//! A member of a group: a primary or a replica with a lag, with service times, a limited number of slots, a queue, a
+//! cold start, and the faults that the proxy must tolerate, each selected by name.
 
 use crate::group::Group;
 use crate::rig::events::{Log, What};
@@ -15,77 +15,77 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Where in a whole answer an error stands that does not belong there.
+/// Position of an unexpected error in an otherwise complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorPlace {
-    /// Behind the description of the row, in place of the rest.
+    /// After RowDescription, instead of the rest.
     AfterDescription,
-    /// Behind the row, in place of the command's end.
+    /// After the row, instead of CommandComplete.
     AfterRow,
-    /// Behind the command's end.
+    /// After CommandComplete.
     AfterCompletion,
-    /// As a whole answer of its own, right in front of the real one.
+    /// As a complete answer immediately before the real one.
     BeforeAnswer,
-    /// As a whole answer of its own, right behind the real one.
+    /// As a complete answer immediately after the real one.
     BehindAnswer,
 }
 
-/// What a member does with statements.
+/// How a member handles statements. The variants are named after the words of scenarios.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Behaviour {
-    /// Answers.
+    /// Runs and answers them.
     #[default]
     Answer,
-    /// Runs them and keeps the answers back until it does something else.
+    /// Runs them, but withholds the answers until the behaviour changes.
     Hold,
-    /// Keeps the welcome of new connections back until it does something else.
+    /// Leaves the startup of new connections unanswered until the behaviour changes.
     Shut,
     /// Runs them and resets the connection.
     Reset,
-    /// Runs them and ends the connection in the middle of the answer.
+    /// Runs them and closes the connection in the middle of the answer.
     Half,
-    /// Runs them and resets the connection after so many bytes of the answer.
+    /// Runs them and resets the connection after this many bytes of the answer.
     Broken(usize),
-    /// Runs them and keeps all but so many bytes of the answer back until it does something else.
+    /// Runs them, sends this many bytes of the answer, and withholds the rest until the behaviour changes.
     Paused(usize),
-    /// Turns them away, unseen.
+    /// Refuses them with 53300, without running them.
     Full,
-    /// The same, without ReadyForQuery.
+    /// As `Full`, but omits ReadyForQuery.
     Unready,
-    /// The same, with noise behind.
+    /// As `Full`, followed by 40 bytes that are no message.
     Noisy,
-    /// Fails them.
+    /// Fails them with XX000.
     Error,
-    /// Takes itself for too far behind.
+    /// Refuses them with 72000, as a replica that lags too far.
     Miss,
-    /// A second copy comes right behind the answer.
+    /// Sends a second copy immediately after the answer.
     Twice,
-    /// A second copy comes so much later, before anything else is read.
+    /// Sends a second copy of the answer after this delay, before reading the next statement.
     Behind(Duration),
-    /// Half an answer, and nothing more.
+    /// Sends the first 20 bytes of the answer and nothing more.
     Stall,
-    /// The row before its description.
+    /// Sends the row before its RowDescription.
     Swapped,
-    /// Reports on itself what cannot be true.
+    /// Answers probes with a report that cannot be true.
     Boast,
-    /// Runs them, and its answers tell neither its role nor its position; its reports do.
+    /// Runs them; the answers contain neither role nor position, but the reports to probes do.
     Mute,
-    /// Runs them, and its answers tell its role without its position.
+    /// Runs them; the answers contain the role, but no position.
     Unplaced,
-    /// Runs them, and an error with this SQLSTATE stands in the answer.
+    /// Runs them and puts an error with this SQLSTATE into the answer.
     Marred(ErrorPlace, [u8; 5]),
-    /// Turns them away, unseen, and a second copy of that comes so much later, before anything else is read.
+    /// As `Full`, and sends a second copy of the refusal after this delay, before reading the next statement.
     FullBehind(Duration),
 }
 
 impl FromStr for Behaviour {
     type Err = String;
 
-    /// `answer`, `hold` and so on; `after` is a copy 30 ms later, `behind US` one after so many microseconds, `broken N`
-    /// a reset after N bytes, `marred PLACE CODE` an error in an answer.
+    /// Parses the word of a scenario: `answer`, `hold` and so on. `after` sends a copy 30 ms later, `behind US` one after
+    /// that many microseconds, `broken N` resets after N bytes, `marred PLACE CODE` puts an error into the answer.
     fn from_str(text: &str) -> Result<Self, String> {
         let (word, number) = text.split_once(' ').unwrap_or((text, ""));
-        let digits = |what| number.parse::<u64>().map_err(|_| format!("{text}: no number of {what}"));
+        let digits = |what| number.parse::<u64>().map_err(|_| format!("{text}: expected a number of {what}"));
         Ok(match word {
             "answer" => Behaviour::Answer,
             "hold" => Behaviour::Hold,
@@ -109,15 +109,15 @@
             "unplaced" => Behaviour::Unplaced,
             "marred" => Behaviour::marred(number)?,
             "full-behind" => Behaviour::FullBehind(Duration::from_micros(digits("us")?)),
-            _ => return Err(format!("no member does '{text}'")),
+            _ => return Err(format!("unknown behaviour of a member '{text}'")),
         })
     }
 }
 
 impl Behaviour {
-    /// Reads `PLACE CODE`.
+    /// Parses `PLACE CODE`.
     fn marred(text: &str) -> Result<Self, String> {
-        let unknown = || format!("no answer is marred as '{text}'");
+        let unknown = || format!("invalid error in an answer '{text}'");
         let (place, code) = text.split_once(' ').ok_or_else(unknown)?;
         let place = match place {
             "after-description" => ErrorPlace::AfterDescription,
@@ -132,60 +132,61 @@
     }
 }
 
-/// What a member does with a read for which it lags too far.
+/// What a member does with a read that requires a later position than it has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WhenBehind {
-    /// It answers from the data that it holds.
+    /// Answers from the data that it has.
     Answers,
-    /// It turns it away.
+    /// Refuses the read.
     #[default]
     Refuses,
-    /// It waits until it has caught up, for so long at most, and turns it away then.
+    /// Waits until it has caught up, at most this long, and refuses the read then.
     Waits(Duration),
 }
 
-/// What a member's answers to requests tell of it; its reports tell all.
+/// What a member's answers to requests say about its state. Its reports to probes always say everything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum AnswerStatus {
-    /// Its role and its position, or the commit of a write.
+    /// The role, and the position of a read or the commit of a write.
     #[default]
     All,
-    /// Its role, and the commit of a write.
+    /// The role, and the commit of a write.
     RoleAndCommit,
-    /// Its role.
+    /// The role.
     RoleOnly,
     /// Nothing.
     Nothing,
 }
 
-/// How a member treats positions.
+/// How a member handles positions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PositionPolicy {
-    /// What it does with a read for which it lags too far.
+    /// What it does with a read that requires a later position than it has.
     pub when_behind: WhenBehind,
-    /// What its answers tell.
+    /// What its answers say about its state.
     pub answer_status: AnswerStatus,
 }
 
-/// How much work a member can take.
+/// How much work a member can handle.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
-    /// Requests in work at once.
+    /// Requests processed at the same time.
     pub slots: usize,
-    /// Requests that may wait for one; beyond that they are turned away.
+    /// Requests that may wait for a slot; further ones are refused.
     pub queue: usize,
-    /// Shortest and longest service time, drawn evenly by the request's id.
+    /// Shortest and longest service time; a hash of the request's id picks a value uniformly in between.
     pub service_time: (Duration, Duration),
-    /// Share of its capacity at its start, and how long until it is warm.
+    /// Share of its capacity right after a start, and the time until it has all of it; none for a member that starts
+    /// warm.
     pub cold: Option<(f64, Duration)>,
-    /// Work of a new connection, in a slot like a request's.
+    /// Time that setting up a connection occupies a slot.
     pub handshake: Duration,
-    /// Connections at once, beyond which new ones are closed; 0: any number.
+    /// Maximum number of open connections; further ones are closed. 0 means no limit.
     pub max_connections: usize,
 }
 
 impl Default for Capacity {
-    /// As much as the machine gives, at once.
+    /// 4096 slots without service times, so that only the machine limits the member.
     fn default() -> Self {
         let service_time = (Duration::ZERO, Duration::ZERO);
         Capacity {
@@ -200,22 +201,22 @@
 }
 
 struct State {
-    does: Behaviour,
+    behaviour: Behaviour,
     primary: bool,
     lag: u64,
     positions: PositionPolicy,
-    seen: VecDeque<String>,
-    served: u64,
-    answered: u64,
-    opened: u64,
-    standing: usize,
+    statements: VecDeque<String>,
+    statements_received: u64,
+    answers_written: u64,
+    connections_opened: u64,
+    connections: usize,
     waiting: usize,
-    /// When it was last started.
-    since: Instant,
+    /// Time of the last start.
+    started_at: Instant,
 }
 
-/// Statements that are remembered for a scenario to look at.
-const SEEN: usize = 4096;
+/// Number of received statements that are kept for scenarios to check.
+const MAX_STATEMENTS: usize = 4096;
 
 struct Inner {
     address: SocketAddr,
@@ -224,33 +225,34 @@
     slots: Semaphore,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    /// Whether it is there at all.
+    /// Whether the member is up.
     up: watch::Sender<bool>,
-    /// Its number in a run of many processes, and where it notes what comes to it.
+    /// Its number in a run of the rig, and the event log in which it records what it receives.
     log: Option<(u32, Log)>,
 }
 
-/// A member. Copies are the same one.
+/// A member. Clones refer to the same one.
 #[derive(Clone)]
 pub struct Member(Arc<Inner>);
 
-/// What to do after an answer was made.
-enum Then {
+/// What to do with an encoded answer.
+enum AfterAnswer {
     Go,
     Copy(Duration),
-    /// So many bytes first.
+    /// Send this many bytes first and wait with the rest.
     Pause(usize),
     Close,
     Reset,
 }
 
 impl Member {
-    /// Starts one on a free port.
+    /// Starts a member on a free port of 127.0.0.1.
     pub fn start(group: &Group, primary: bool, lag_ms: u64, capacity: Capacity) -> Self {
         Self::start_at(Ipv4Addr::LOCALHOST, group, primary, lag_ms, capacity, None)
     }
 
-    /// The same at an address, which notes what comes to it under a number.
+    /// Starts a member on a free port of `ip`. If `log` is given, the member records what it receives there under its
+    /// number.
     pub fn start_at(
         ip: Ipv4Addr,
         group: &Group,
@@ -261,17 +263,17 @@
     ) -> Self {
         let (listener, address) = listener_at(ip);
         let state = State {
-            does: Behaviour::Answer,
+            behaviour: Behaviour::Answer,
             primary,
             lag: lag_ms,
             positions: PositionPolicy::default(),
-            seen: VecDeque::new(),
-            served: 0,
-            answered: 0,
-            opened: 0,
-            standing: 0,
+            statements: VecDeque::new(),
+            statements_received: 0,
+            answers_written: 0,
+            connections_opened: 0,
+            connections: 0,
             waiting: 0,
-            since: Instant::now(),
+            started_at: Instant::now(),
         };
         let this = Member(Arc::new(Inner {
             address,
@@ -287,13 +289,13 @@
         this
     }
 
-    /// Takes connections while it is up; while it is down its port refuses them.
+    /// Accepts connections while the member is up; while it is down, the port refuses them.
     async fn listen(self, mut listener: TcpListener) {
         let mut up = self.0.up.subscribe();
         loop {
             tokio::select! {
-                taken = listener.accept() => {
-                    let Ok((stream, _)) = taken else { return };
+                accepted = listener.accept() => {
+                    let Ok((stream, _)) = accepted else { return };
                     let member = self.clone();
                     tokio::spawn(async move { member.connection(stream).await });
                 }
@@ -313,17 +315,17 @@
         }
     }
 
-    /// Serves a connection until it ends, or the member goes down under it.
+    /// Serves a connection until it ends or the member goes down.
     async fn connection(&self, stream: TcpStream) {
         {
             let mut state = self.state();
-            state.opened += 1;
-            if self.0.capacity.max_connections > 0 && state.standing >= self.0.capacity.max_connections {
+            state.connections_opened += 1;
+            if self.0.capacity.max_connections > 0 && state.connections >= self.0.capacity.max_connections {
                 return;
             }
-            state.standing += 1;
+            state.connections += 1;
         }
-        self.tells(|member| What::Opened { member });
+        self.log_event(|member| What::Opened { member });
         let mut up = self.0.up.subscribe();
         let linger = socket2::SockRef::from(&stream).try_clone();
         let down = tokio::select! {
@@ -333,36 +335,36 @@
         if let (true, Ok(stream)) = (down, linger) {
             let _ = stream.set_linger(Some(Duration::ZERO));
         }
-        self.state().standing -= 1;
+        self.state().connections -= 1;
     }
 
-    fn tells(&self, what: impl FnOnce(u32) -> What) {
+    fn log_event(&self, what: impl FnOnce(u32) -> What) {
         if let Some((number, log)) = &self.0.log {
             log.note(what(*number));
         }
     }
 
-    /// Goes away with all its connections, or comes back, started anew.
+    /// Takes the member down, which resets all its connections, or starts it again.
     pub fn set_up(&self, up: bool) {
         if up {
-            self.state().since = Instant::now();
+            self.state().started_at = Instant::now();
             self.log_cold_start();
         }
         self.0.up.send_replace(up);
     }
 
-    /// Notes that it is cold, where it starts so.
+    /// Logs a cold start, if the member starts cold.
     pub fn log_cold_start(&self) {
         let Capacity { slots, service_time: (least, most), cold, .. } = self.0.capacity;
         if let Some((share, warm)) = cold {
             let mean = ((least + most) / 2).max(Duration::from_micros(1));
             let rate = (slots as f64 / mean.as_secs_f64()) as u64;
             let (share, warm) = ((share * 1e3) as u64, warm.as_micros() as u64);
-            self.tells(|member| What::Cold { member, share, warm, rate });
+            self.log_event(|member| What::Cold { member, share, warm, rate });
         }
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
@@ -371,37 +373,37 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From now on it does this.
+    /// Changes the behaviour, also for statements that wait for a change.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
-        self.state().does = behaviour;
+        self.state().behaviour = behaviour;
         self.0.changed.send_modify(|n| *n += 1);
     }
 
-    /// From now on it has this role, and as a replica this lag in ms.
+    /// Sets the role and, for a replica, the lag in ms.
     pub fn set_role(&self, primary: bool, lag_ms: u64) {
         let mut state = self.state();
         (state.primary, state.lag) = (primary, lag_ms);
     }
 
-    /// From now on it treats positions so.
+    /// Sets how it handles positions.
     pub fn set_position_policy(&self, positions: PositionPolicy) {
         self.state().positions = positions;
     }
 
-    /// How often it has been given a statement that begins so (`read KEY`, `write KEY`), of the last few thousand.
+    /// How many of the kept statements (the last 4096) are this one, written as `read KEY` or `write KEY`.
     pub fn statement_count(&self, what: &str) -> usize {
-        self.state().seen.iter().filter(|s| *s == what).count()
+        self.state().statements.iter().filter(|s| *s == what).count()
     }
 
-    /// All that it has been given, of the last few thousand.
+    /// The kept statements (the last 4096), oldest first.
     pub fn statements(&self) -> Vec<String> {
-        self.state().seen.iter().cloned().collect()
+        self.state().statements.iter().cloned().collect()
     }
 
-    /// Statements given, answers written, probes' among them, and connections opened, since its start.
+    /// The numbers of statements received, answers written (including those to probes), and connections opened.
     pub fn totals(&self) -> (u64, u64, u64) {
         let state = self.state();
-        (state.served, state.answered, state.opened)
+        (state.statements_received, state.answers_written, state.connections_opened)
     }
 
     async fn serve(&self, stream: TcpStream) -> Option<()> {
@@ -413,7 +415,7 @@
             let _slot = self.0.slots.acquire().await.ok()?;
             tokio::time::sleep(self.0.capacity.handshake).await;
         }
-        self.until(|does| does != Behaviour::Shut).await?;
+        self.wait_for_behaviour(|behaviour| behaviour != Behaviour::Shut).await?;
         wire::put(&mut reply, b'R', &[0; 4]);
         wire::put(&mut reply, b'Z', b"I");
         stream.write_all(&reply).await.ok()?;
@@ -425,21 +427,22 @@
             let sql = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
             reply.clear();
             let then = self.answer(sql, &mut reply).await;
-            let first = if let Then::Pause(bytes) = then { bytes.min(reply.len()) } else { reply.len() };
+            let first =
+                if let AfterAnswer::Pause(bytes) = then { bytes.min(reply.len()) } else { reply.len() };
             stream.write_all(&reply[..first]).await.ok()?;
-            self.state().answered += 1;
+            self.state().answers_written += 1;
             match then {
-                Then::Go => {}
-                Then::Pause(_) => {
-                    self.until(|does| !matches!(does, Behaviour::Paused(_))).await?;
+                AfterAnswer::Go => {}
+                AfterAnswer::Pause(_) => {
+                    self.wait_for_behaviour(|behaviour| !matches!(behaviour, Behaviour::Paused(_))).await?;
                     stream.write_all(&reply[first..]).await.ok()?;
                 }
-                Then::Copy(later) => {
+                AfterAnswer::Copy(later) => {
                     tokio::time::sleep(later).await;
                     stream.write_all(&reply).await.ok()?;
                 }
-                Then::Close => return None,
-                Then::Reset => {
+                AfterAnswer::Close => return None,
+                AfterAnswer::Reset => {
                     let _ = socket2::SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO));
                     return None;
                 }
@@ -447,51 +450,51 @@
         }
     }
 
-    /// The time that a request takes here now, by its id: the same id takes the same time.
+    /// The current service time of a request. It depends on the id, so the same id takes the same time.
     fn service(&self, id: &str) -> Duration {
         let (least, most) = self.0.capacity.service_time;
-        // The same in every run: this hasher's keys are fixed.
+        // This hasher has fixed keys, so the result is the same in every run.
         let mut hasher = DefaultHasher::new();
         id.hash(&mut hasher);
-        let part = (hasher.finish() >> 32) as f64 / (1u64 << 32) as f64;
-        let since = self.state().since;
+        let fraction = (hasher.finish() >> 32) as f64 / (1u64 << 32) as f64;
+        let started_at = self.state().started_at;
         let warmth = self.0.capacity.cold.map_or(1.0, |(share, warm)| {
-            share + (1.0 - share) * (since.elapsed().as_secs_f64() / warm.as_secs_f64()).min(1.0)
+            share + (1.0 - share) * (started_at.elapsed().as_secs_f64() / warm.as_secs_f64()).min(1.0)
         });
-        (least + (most - least).mul_f64(part)).div_f64(warmth)
+        (least + (most - least).mul_f64(fraction)).div_f64(warmth)
     }
 
-    async fn answer(&self, sql: &str, reply: &mut Vec<u8>) -> Then {
+    async fn answer(&self, sql: &str, reply: &mut Vec<u8>) -> AfterAnswer {
         if sql.is_empty() {
             wire::put(reply, b'I', &[]);
             wire::put(reply, b'Z', b"I");
-            return Then::Go;
+            return AfterAnswer::Go;
         }
-        let (does, primary, lag, positions) = {
+        let (behaviour, primary, lag, positions) = {
             let state = self.state();
-            (state.does, state.primary, state.lag, state.positions)
+            (state.behaviour, state.primary, state.lag, state.positions)
         };
         let position = now_ms().saturating_sub(lag);
         if sql == "SHOW stats" {
-            self.tells(|member| What::Probed { member });
-            let report = match does {
+            self.log_event(|member| What::Probed { member });
+            let report = match behaviour {
                 Behaviour::Boast => "x0=9e99,x1=1,q=0".to_string(),
                 _ => format!("x0={:.3},x1={},q=0", position as f64 / 1e3, u8::from(primary)),
             };
             row(reply, report.as_bytes(), 25, (Some(primary), Some(position)));
-            return Then::Go;
+            return AfterAnswer::Go;
         }
         let key = sql.split('\'').nth(1).unwrap_or_default();
         let field = |name: &str| sql.rsplit_once(&format!("{name}="))?.1.split([',', ' ']).next();
         let write = sql.starts_with("INSERT");
-        self.note(format!("{} {key}", if write { "write" } else { "read" }));
+        self.record_statement(format!("{} {key}", if write { "write" } else { "read" }));
         let id = field("id").unwrap_or_default();
         let number = u64::from_str_radix(id, 16).unwrap_or(0);
-        self.tells(|member| What::Given { member, id: number });
+        self.log_event(|member| What::Given { member, id: number });
         if let Some(ms) = field(",d").and_then(|ms| ms.parse::<u64>().ok()) {
-            self.tells(|_| What::Allowed { id: number, wait: ms * 1000 });
+            self.log_event(|_| What::Allowed { id: number, wait: ms * 1000 });
         }
-        let refusal = match does {
+        let refusal = match behaviour {
             Behaviour::Full | Behaviour::Unready | Behaviour::Noisy | Behaviour::FullBehind(_) => {
                 Some("53300")
             }
@@ -501,72 +504,73 @@
             _ => {
                 let after = field(",after").and_then(|a| a.parse::<u64>().ok());
                 let behind = after.filter(|_| !primary).map_or(0, |after| after.saturating_sub(position));
-                self.catches_up(Duration::from_millis(behind), positions.when_behind).await
+                self.refuse_if_behind(Duration::from_millis(behind), positions.when_behind).await
             }
         };
         let position = now_ms().saturating_sub(lag);
-        let turned_away = |member| What::TurnedAway { member, id: number };
+        let refused_event = |member| What::TurnedAway { member, id: number };
         if let Some(code) = refusal {
-            if does != Behaviour::Error {
-                self.tells(turned_away);
+            if behaviour != Behaviour::Error {
+                self.log_event(refused_event);
             }
             *reply = wire::error(code);
-            match does {
+            match behaviour {
                 Behaviour::Unready => reply.truncate(reply.len() - 6),
                 Behaviour::Noisy => reply.extend([0xff; 40]),
-                Behaviour::FullBehind(later) => return Then::Copy(later),
+                Behaviour::FullBehind(later) => return AfterAnswer::Copy(later),
                 _ => {}
             }
-            return Then::Go;
+            return AfterAnswer::Go;
         }
-        if !self.work(id).await {
-            self.tells(turned_away);
+        if !self.occupy_slot(id).await {
+            self.log_event(refused_event);
             *reply = wire::error("53300");
-            return Then::Go;
+            return AfterAnswer::Go;
         }
         let (value, commit) = if write {
             let hex = sql.split("'\\x").nth(1).and_then(|v| v.split('\'').next()).unwrap_or_default();
             let value = Bytes::from(wire::unhex(hex));
-            let brings = value.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b));
-            let ran = |member| What::Ran { member, id: number, key: key.to_string(), value: brings };
-            let noted = || self.tells(ran);
-            (Some(value.clone()), self.0.group.write_with(id, key, value, now_ms(), noted))
+            let value_number = value.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b));
+            let ran = |member| What::Ran { member, id: number, key: key.to_string(), value: value_number };
+            let on_commit = || self.log_event(ran);
+            (Some(value.clone()), self.0.group.write_with(id, key, value, now_ms(), on_commit))
         } else {
-            self.tells(|member| What::ReadRan { member, id: number });
+            self.log_event(|member| What::ReadRan { member, id: number });
             (self.0.group.read(key, if primary { u64::MAX } else { position }), position)
         };
-        let tells = match does {
+        let status = match behaviour {
             Behaviour::Mute => AnswerStatus::Nothing,
             Behaviour::Unplaced => AnswerStatus::RoleOnly,
             _ => positions.answer_status,
         };
-        let tells = match tells {
+        let status = match status {
             AnswerStatus::All => (Some(primary), Some(commit)),
             AnswerStatus::RoleAndCommit => (Some(primary), Some(commit).filter(|_| write)),
             AnswerStatus::RoleOnly => (Some(primary), None),
             AnswerStatus::Nothing => (None, None),
         };
-        row(reply, value.as_deref().unwrap_or_default(), 17, tells);
-        self.spoil(does, reply).await
+        row(reply, value.as_deref().unwrap_or_default(), 17, status);
+        self.apply_fault(behaviour, reply).await
     }
 
-    /// The refusal of a read for which it is so far behind, where it does not answer or catch up.
-    async fn catches_up(&self, behind: Duration, when_behind: WhenBehind) -> Option<&'static str> {
-        let patience = match when_behind {
+    /// Handles a read that requires a position `behind` ahead of the member. Returns the SQLSTATE of the refusal unless
+    /// the member answers anyway or catches up in time.
+    async fn refuse_if_behind(&self, behind: Duration, when_behind: WhenBehind) -> Option<&'static str> {
+        let max_wait = match when_behind {
             WhenBehind::Answers => return None,
             WhenBehind::Refuses => Duration::ZERO,
-            WhenBehind::Waits(patience) => patience,
+            WhenBehind::Waits(max_wait) => max_wait,
         };
-        let wait = behind.min(patience);
-        // A timer takes a millisecond at least, which nothing that need not wait may take.
+        let wait = behind.min(max_wait);
+        // A timer takes at least a millisecond, so reads that need not wait do not set one.
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        (behind > patience).then_some("72000")
+        (behind > max_wait).then_some("72000")
     }
 
-    /// Waits for a slot and does the work; false where the queue is full.
-    async fn work(&self, id: &str) -> bool {
+    /// Waits for a slot and for the service time; false if the queue is full.
+    async fn occupy_slot(&self, id: &str) -> bool {
         let service = self.service(id);
         if service.is_zero() {
             return true;
@@ -592,106 +596,107 @@
         true
     }
 
-    /// Waits until it does something of this sort.
-    async fn until(&self, fits: impl Fn(Behaviour) -> bool) -> Option<()> {
+    /// Waits until the behaviour satisfies a condition.
+    async fn wait_for_behaviour(&self, is_expected: impl Fn(Behaviour) -> bool) -> Option<()> {
         let mut changes = self.0.changed.subscribe();
-        while !fits(self.state().does) {
+        while !is_expected(self.state().behaviour) {
             changes.changed().await.ok()?;
         }
         Some(())
     }
 
-    fn note(&self, what: String) {
+    fn record_statement(&self, what: String) {
         let mut state = self.state();
-        state.served += 1;
-        if state.seen.len() >= SEEN {
-            state.seen.pop_front();
+        state.statements_received += 1;
+        if state.statements.len() >= MAX_STATEMENTS {
+            state.statements.pop_front();
         }
-        state.seen.push_back(what);
+        state.statements.push_back(what);
     }
 
-    /// Makes of a whole answer what the member's fault leaves of it.
-    async fn spoil(&self, does: Behaviour, reply: &mut Vec<u8>) -> Then {
-        /// The description of the row has so many bytes.
-        const DESCRIPTION: usize = 27;
-        match does {
+    /// Applies the fault of a behaviour to a complete answer.
+    async fn apply_fault(&self, behaviour: Behaviour, reply: &mut Vec<u8>) -> AfterAnswer {
+        /// Length of the RowDescription message.
+        const DESCRIPTION_BYTES: usize = 27;
+        match behaviour {
             Behaviour::Reset => {
                 reply.clear();
-                Then::Reset
+                AfterAnswer::Reset
             }
             Behaviour::Half => {
                 reply.truncate(20);
-                Then::Close
+                AfterAnswer::Close
             }
             Behaviour::Broken(bytes) => {
                 reply.truncate(bytes);
-                Then::Reset
+                AfterAnswer::Reset
             }
             Behaviour::Stall => {
                 reply.truncate(20);
-                Then::Go
+                AfterAnswer::Go
             }
             Behaviour::Twice => {
                 reply.extend_from_within(..);
-                Then::Go
+                AfterAnswer::Go
             }
-            Behaviour::Behind(later) => Then::Copy(later),
-            Behaviour::Paused(bytes) => Then::Pause(bytes),
+            Behaviour::Behind(later) => AfterAnswer::Copy(later),
+            Behaviour::Paused(bytes) => AfterAnswer::Pause(bytes),
             Behaviour::Marred(place, code) => {
-                mar(reply, place, &code);
-                Then::Go
+                insert_error(reply, place, &code);
+                AfterAnswer::Go
             }
             Behaviour::Swapped => {
-                let row =
-                    1 + reply[DESCRIPTION + 1..].first_chunk().map_or(0, |l| u32::from_be_bytes(*l)) as usize;
-                reply[..DESCRIPTION + row].rotate_left(DESCRIPTION);
-                Then::Go
+                let row = 1 + reply[DESCRIPTION_BYTES + 1..]
+                    .first_chunk()
+                    .map_or(0, |l| u32::from_be_bytes(*l)) as usize;
+                reply[..DESCRIPTION_BYTES + row].rotate_left(DESCRIPTION_BYTES);
+                AfterAnswer::Go
             }
             _ => {
-                if self.until(|does| does != Behaviour::Hold).await.is_none() {
-                    return Then::Close;
+                if self.wait_for_behaviour(|behaviour| behaviour != Behaviour::Hold).await.is_none() {
+                    return AfterAnswer::Close;
                 }
-                match self.state().does {
+                match self.state().behaviour {
                     Behaviour::Reset => {
                         reply.clear();
-                        Then::Reset
+                        AfterAnswer::Reset
                     }
-                    _ => Then::Go,
+                    _ => AfterAnswer::Go,
                 }
             }
         }
     }
 }
 
-/// Puts an error with this code into a whole answer of one row.
-fn mar(reply: &mut Vec<u8>, place: ErrorPlace, code: &[u8; 5]) {
-    /// Tag and length of a message.
-    const HEAD: usize = 5;
+/// Puts an error with this SQLSTATE into a complete answer of one row.
+fn insert_error(reply: &mut Vec<u8>, place: ErrorPlace, code: &[u8; 5]) {
+    /// Length of the tag and the length field of a message.
+    const HEADER: usize = 5;
     let code = String::from_utf8_lossy(code).into_owned();
-    let (whole, error) = (wire::error(&code), message_of_error(&code));
+    let (whole, error) = (wire::error(&code), error_message(&code));
     let message_end = |at: usize| {
         let length = reply[at + 1..].first_chunk().map_or(0, |length| u32::from_be_bytes(*length));
-        at + HEAD - 4 + length as usize
+        at + HEADER - 4 + length as usize
     };
-    let description_ends = message_end(0);
-    let row_ends = message_end(description_ends);
-    let command_ends = message_end(row_ends);
+    let description_end = message_end(0);
+    let row_end = message_end(description_end);
+    let command_end = message_end(row_end);
     let ready = wire::message(b'Z', b"I");
     *reply = match place {
-        ErrorPlace::AfterDescription => [&reply[..description_ends], &error, &ready].concat(),
-        ErrorPlace::AfterRow => [&reply[..row_ends], &error, &ready].concat(),
-        ErrorPlace::AfterCompletion => [&reply[..command_ends], &error, &ready].concat(),
+        ErrorPlace::AfterDescription => [&reply[..description_end], &error, &ready].concat(),
+        ErrorPlace::AfterRow => [&reply[..row_end], &error, &ready].concat(),
+        ErrorPlace::AfterCompletion => [&reply[..command_end], &error, &ready].concat(),
         ErrorPlace::BeforeAnswer => [&whole[..], reply].concat(),
         ErrorPlace::BehindAnswer => [&reply[..], &whole].concat(),
     };
 }
 
-/// An error that leaves the connection open, without ReadyForQuery.
-fn message_of_error(code: &str) -> Vec<u8> {
+/// Encodes a non-fatal error without ReadyForQuery.
+fn error_message(code: &str) -> Vec<u8> {
     wire::message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// A whole answer of one row, with what it tells of the member: whether it is a primary, and its position.
+/// Appends a complete answer of one row, with the role and the position of the member if given.
 fn row(to: &mut Vec<u8>, value: &[u8], type_id: u32, (primary, position): (Option<bool>, Option<u64>)) {
     let column = [&[0, 1, b'v', 0][..], &[0; 6], &type_id.to_be_bytes(), &[0; 6], &[0, 1]].concat();
     wire::put(to, b'T', &column);
