--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A driver of one router, for tests of the module alone.
+//! Drives a single [`Router`] step by step, for tests of the routing module without I/O.
 #![allow(dead_code, missing_docs)]
 
 use linentrail::*;
@@ -70,8 +70,8 @@
 }
 
 impl RouterDriver {
-    /// A primary (1) and two replicas (2, 3), all heard of from the list alone, some while ago: first connections wait
-    /// for nobody's turn.
+    /// Knows a primary (1) and two replicas (2, 3) from a list alone, received 4 s ago, so that first connections to them
+    /// are no longer spread over time.
     pub fn new(settings: Settings) -> Self {
         let mut driver = RouterDriver::without_members(settings);
         driver.list(ListKind::Disk, vec![member(1, true), member(2, false), member(3, false)]);
@@ -79,7 +79,7 @@
         driver
     }
 
-    /// One that has heard of nobody.
+    /// Knows no members.
     pub fn without_members(settings: Settings) -> Self {
         let router = Router::new(settings).expect("settings");
         RouterDriver { router, now: 100_000 * MS, next: 0 }
@@ -91,8 +91,8 @@
         out
     }
 
-    pub fn advance(&mut self, span: Time) -> Vec<Action> {
-        self.now += span;
+    pub fn advance(&mut self, duration: Time) -> Vec<Action> {
+        self.now += duration;
         self.step(&[Event::Wake { tag: 0 }])
     }
 
@@ -103,7 +103,7 @@
     pub fn request(&mut self, class: usize, token_age: Option<Time>) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
-        // An age of 0 says that the session has never written.
+        // A token age of 0 means that the session has never written.
         let session_position = token_age.filter(|age| *age > 0).map(|age| self.now.saturating_sub(age));
         let event = Event::Request {
             id,
@@ -129,7 +129,7 @@
         self.step(&[Event::Ended { id, attempt, outcome, complete, spent: MS, note, report: None }])
     }
 
-    /// A read of any kind at `member` answers with this position and role.
+    /// A probe of `member` succeeds and reports this role and a position 1 ms after `position`.
     pub fn probe_answer(&mut self, member: u32, position: Time, role: Role) -> Vec<Action> {
         let report =
             Report { position: Some(position + MS), primary: Some(role == Role::Primary), busy: None };
@@ -142,11 +142,11 @@
 }
 
 pub fn sent(actions: &[Action]) -> Vec<(RequestId, u32)> {
-    let pick = |a: &Action| match a {
+    let extract = |a: &Action| match a {
         Action::Send { id, member, .. } => Some((*id, member.0)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(extract).collect()
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
@@ -158,9 +158,9 @@
 }
 
 pub fn probes(actions: &[Action]) -> Vec<u32> {
-    let pick = |a: &Action| match a {
+    let extract = |a: &Action| match a {
         Action::Probe { member } => Some(member.0),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(extract).collect()
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,63 +1,75 @@
 //! A small language for scenarios on loopback sockets: the real program between stand-in clients, members and
-//! discovery. One step a line, `who verb what`, run in order; a step that does not come true fails the test.
+//! discovery. Each line is one step, `who verb what`. Steps run in order, and a step whose expectation fails fails the
+//! test.
 //!
 //! ```text
-//! member p primary            a member of group 1; replicas name their lag in ms: member r replica 400
-//! start [odata] [dnssd] [watching] [pushed] [small] [few] [brief] [scant] [patient] [traced]   the proxy, with the members so far as its list; for dnssd it must browse for
-//!                             them, watching: it has discovery to watch, pushed: an agent of its own, and 500 ms of drain grace, small: it has 40 descriptors, few: 60,
-//!                             brief: members close what is idle for 500 ms, scant: it has 16 MiB, patient: it waits 30 s for a
-//!                             connection to a member, traced: its log follows each request (printed where a test fails)
-//! dns does list p 2           a DNS server names member p with this time to live in seconds; `broken p 2`: without
-//!                             its TXT record; `drop p`: no longer; `garbage`: answers with what is no DNS message
-//! list does leaving p         discovery tells that p is `active`, `leaving` or has `left` (start watching)
-//! list does moves p q          discovery tells that p is to be found where q listens, a member that it does not list
-//! list does overbooked        well | overbooked | reset | silent | cut | noise | older | many | hasty: how calls end from now on;
-//!                             those that wait are done with so at the next change
-//! list expect 1 watches       so many calls for `watches` or for the `whole` list have come; 0: none ever
-//! list expect heard           the proxy has shown by its next call that it has the latest version
-//! list does move              discovery is to be another one that starts with the same list; `config does half` writes
-//!                             half of the file that says so, `config does whole` all of it, `hup` sends SIGHUP
-//! config adds NAME read_like any   the configuration gets another class; `config drops NAME`; `config sets limits/max_attempts 2`
-//!                             sets a value of the settings, `config lacks limits/max_attempts` leaves it out; until `config
-//!                             does whole` and `hup` nobody knows; in front of `start` a set value holds from the start
-//! counts NAME 1               one of the proxy's counters reaches this; `counts NAME under 9`: is less than that now
-//! p does hold                 answer | hold | reset | half | full | error | miss: what p does with statements from now on;
-//!                             twice: a second copy comes right behind, after: one comes 30 ms later, behind US: one comes so
-//!                             many microseconds later, broken N: a reset after N bytes of the answer, stall: half an
-//!                             answer and no more, swapped: a row before its description, unready: full without
-//!                             ReadyForQuery, noisy: full and noise; shut: new connections get no welcome; boast: a report that cannot be true,
-//!                             mute: answers tell neither role nor position, unplaced: no position; full-behind US: full, and a copy so
-//!                             many microseconds later; marred PLACE CODE: an error `after-description`, `after-row`, `after-completion`
-//!                             of a row, or a whole one `before` or `behind` the answer
-//! p does replica 9000         p's role and lag from now on
+//! member p primary            starts a member of group 1; replicas give their lag in ms: member r replica 400
+//! start [option ...]          starts the proxy with the members so far as its list. Options:
+//!                             odata: serves OData; dnssd: has no list and browses DNS-SD for members; watching: watches
+//!                             discovery; pushed: the platform's agent asks discovery, and the drain grace is 500 ms;
+//!                             small: 40 descriptors; few: 60; scant: 16 MiB of memory; brief: members' connections close
+//!                             after 500 ms without use; patient: connecting to a member may take 30 s; console: has a
+//!                             console; handed: inherits its listener and gets a folder that its processes share;
+//!                             traced: logs each request (the log is printed if the test fails)
+//! dns does list p 2           the DNS server announces member p with this time to live in seconds; `broken p 2`: without
+//!                             its TXT record; `drop p`: not any longer; `garbage`: answers with no DNS message
+//! list does leaving p         discovery reports p as `active`, `leaving` or `left` (start watching)
+//! list does moves p q         discovery reports the address of q for p; q is a member that it does not list
+//! list does overbooked        well | overbooked | reset | silent | cut | noise | older | many | hasty: how calls are answered
+//!                             from now on; waiting calls are answered that way at the next change
+//! list expect 1 watches       waits for this many calls: `watches`, `confirms` (watches that do not wait) or `whole` (the
+//!                             full list); 0: there has been none
+//! list expect heard           the proxy has confirmed the latest version by its next call
+//! list does move              the configuration names another discovery service, which starts with the same list. `config
+//!                             does half` writes half of the configuration file, `config does whole` all of it, and `hup`
+//!                             sends SIGHUP
+//! config adds NAME read_like any   adds a class to the configuration; `config drops NAME` removes it; `config sets
+//!                             limits/max_attempts 2` sets a value of the settings, `config lacks limits/max_attempts`
+//!                             removes it. All take effect with `config does whole` and `hup`; a value that is set before
+//!                             `start` applies from the start
+//! counts NAME 1               waits until a counter of the proxy reaches this value; `counts NAME under 9`: is below it now
+//! p does hold                 answer | hold | reset | half | full | error | miss: how p handles statements from now on;
+//!                             twice: a second copy immediately after the answer; after: one 30 ms later; behind US: one
+//!                             this many microseconds later; broken N: a reset after N bytes of the answer; stall: half an
+//!                             answer and no more; swapped: a row before its description; unready: full without
+//!                             ReadyForQuery; noisy: full, followed by invalid bytes; shut: leaves the startup of new
+//!                             connections unanswered; boast: a report that cannot be true; mute: answers without role and
+//!                             position; unplaced: without position; full-behind US: full, and a copy this many
+//!                             microseconds later; marred PLACE CODE: an error `after-description`, `after-row` or
+//!                             `after-completion` of a row, or a complete one `before` or `behind` the answer
+//! p does replica 9000         sets the role and the lag of p
 //! a send read K C [after=MS]  client a sends a read of key K in class C by PostgreSQL ...
 //! a send write K HEX          ... or a booking; `raw TEXT` sends a statement as it is, `bytes HEX` sends bytes,
-//!                             `bytes` and `hello` only connect, `flood N` sends so many more bytes, `sync` a Sync,
-//!                             `bye` the goodbye, `wire TEXT` text to OData, with \n for line ends
-//! o send GET K C [h=v ...]    client o does so by OData; also `POST K HEX` and `http METHOD TARGET`
-//! a expect row HEX            or `row -` if empty, `error CODE [detail]`, `empty`, `closed`; for OData `STATUS [text in the response]`
-//! a expect no refusal         an answer of any sort but 53300 or 57P03 (by OData 503), which promise that trying again is harmless
-//! sum 1 read K                all members together have been given that many such statements
-//! p expect 1 write K          p has been given that many statements so far that begin so
-//! p expect 2 opened           so many connections have come to p
-//! a close                     resets the connection; `a fin` ends it in order, and a may still listen
-//! descriptors noted           the proxy's descriptors are counted; `descriptors more 6`: by so many more; `descriptors back 1`:
-//!                             they come back to that and 1
-//! stop                        SIGTERM to the proxy; `gone` waits for its end
-//! start console               with a console; `start handed`: that inherits its listener and has a folder for its processes
-//! console 200 SUSPEND p       what the operators call is answered so, within a second; a member's name stands for its id, and
-//!                             \n for a line's end within
-//! silent 40                   so many callers connect to the console and say nothing
-//! upgrade                     a second process takes over from the first, which lives on as the `former` one
-//! o,n race POST K HEX ...     the requests of two OData clients at the same moment; `o,n expect one 201 and 412`: their answers, in either order
-//! p expect under 2 write k    p has been given fewer such statements so far
-//! both SUSPEND a b            calls about these at once, in turn at the one and the other process
-//! former hangs                the process that is to be the former one stands still (SIGSTOP); `former resumes` behind `upgrade`
-//! back out                    the next process is killed, and the former one goes on alone; `shared NAME is TEXT` writes a file
-//!                             of theirs, `shared NAME missing`: there is no such file; `blocked`, `free`: a
-//!                             folder stands in its place, and no longer
-//! former 200 RESTORE p        the same on the former one's console; `former stop`, `former gone` and `former kill`
-//! wait 50                     milliseconds; `clock` begins a span that must not have passed `within 3000`
+//!                             `bytes` only connects, `hello` connects and sends the startup message, `flood N` sends N
+//!                             more bytes, `sync` a Sync, `bye` a Terminate, `wire TEXT` text to OData, with \n for line
+//!                             ends
+//! o send GET K C [h=v ...]    client o sends a read by OData; also `POST K HEX` and `http METHOD TARGET`
+//! a expect row HEX            the next answer: also `row -` if empty, `error CODE [detail]`, `empty`, `closed`; for OData
+//!                             `STATUS [text in the response]`
+//! a expect no refusal         an answer of any kind except 53300 or 57P03 (503 by OData), which promise that a retry is
+//!                             harmless
+//! sum 1 read K                all members together have received this many such statements
+//! p expect 1 write K          p has received this many such statements so far
+//! p expect under 2 write k    p has received fewer such statements so far
+//! p expect 2 opened           waits until p has received this many connections
+//! a close                     resets the connection; `a fin` closes the sending side, and a still receives
+//! descriptors noted           stores the number of the proxy's descriptors; `descriptors more 6`: there are at least 6 more;
+//!                             `descriptors back 1`: waits until there is at most 1 more
+//! stop                        sends SIGTERM to the proxy; `gone` waits until it has ended
+//! console 200 SUSPEND p       a call to the console is answered with this status within a second; the name of a member
+//!                             stands for its id, and \n for a line end within the call
+//! silent 40                   this many callers connect to the console and send nothing
+//! upgrade                     a second process takes over from the first, which continues to run as `former`
+//! o,n race POST K HEX ...     sends one request on the connections of two OData clients at the same moment; `o,n expect one
+//!                             201 and 412`: their answers, in either order
+//! both SUSPEND a b            calls the consoles of both processes at once, alternating between them, once for each member
+//! former hangs                stops (SIGSTOP) the process that the next `upgrade` makes the former one; `former resumes`
+//!                             after `upgrade` continues it
+//! back out                    kills the new process, so that the former one goes on alone
+//! shared NAME is TEXT         writes a file in the shared folder; `shared NAME missing`: there is no such file; `blocked`
+//!                             puts a folder in its place, and `free` removes that folder
+//! former 200 RESTORE p        as `console`, at the former process; `former stop`, `former gone` and `former kill`
+//! wait 50                     waits this many ms; `clock` starts a stopwatch that must not have passed `within 3000`
 //! ```
 #![allow(dead_code)]
 
@@ -77,8 +89,8 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Longer than anything here takes on a slow machine: only a failure waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any step takes on a slow machine, so only failing steps wait this long.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn read_message(stream: &mut TcpStream, tagged: bool) -> Option<(u8, Vec<u8>)> {
     wire::read(stream, tagged).ok()
@@ -91,72 +103,72 @@
 }
 
 #[derive(Default)]
-struct Stage {
+struct ScenarioRunner {
     group: Group,
     members: Vec<(String, Member)>,
     clients: HashMap<String, TcpStream>,
     dns: DnsServer,
     registry: Registry,
     config: Value,
-    /// Values of the settings that were set before the start, by their paths.
+    /// Paths and values of the settings that were set before the start.
     preset: Vec<(String, Value)>,
-    clock: Option<Instant>,
+    stopwatch: Option<Instant>,
     descriptors: usize,
     proxy: Option<Proxy>,
-    /// What it was started with, and the one before it.
+    /// The setup of `proxy`, used again for an upgrade.
     setup: Setup,
     former: Option<Proxy>,
-    silent: Vec<TcpStream>,
+    silent_callers: Vec<TcpStream>,
     ids: u64,
 }
 
-/// A folder that the processes of one proxy share; it goes with the stage.
-fn shared() -> std::path::PathBuf {
-    static MADE: AtomicUsize = AtomicUsize::new(0);
-    let made = MADE.fetch_add(1, Ordering::Relaxed);
-    let dir = std::env::temp_dir().join(format!("linentrail-shared-{}-{made}", std::process::id()));
+/// Creates a folder for the processes of one proxy; the harness removes it when dropped.
+fn create_shared_folder() -> std::path::PathBuf {
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let dir = std::env::temp_dir().join(format!("linentrail-shared-{}-{number}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-impl Drop for Stage {
+impl Drop for ScenarioRunner {
     fn drop(&mut self) {
         (self.proxy, self.former) = (None, None);
         self.setup.shared_folder.as_ref().map(std::fs::remove_dir_all);
     }
 }
 
-/// Waits until it has come true; if it does not, the failure says so.
-fn until(true_now: impl Fn() -> bool, failure: impl Fn() -> String) {
-    let began = Instant::now();
-    while !true_now() {
-        assert!(began.elapsed() < PATIENCE, "{}", failure());
+/// Waits until a condition holds; panics with the message of `failure` if it does not in time.
+fn wait_until(condition: impl Fn() -> bool, failure: impl Fn() -> String) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < STEP_TIMEOUT, "{}", failure());
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Runs a scenario.
+/// Runs a scenario; panics at the first step that fails.
 pub fn run_scenario(script: &str) {
-    let mut stage = Stage::default();
+    let mut runner = ScenarioRunner::default();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        stage.step(line);
+        runner.step(line);
     }
 }
 
-impl Stage {
+impl ScenarioRunner {
     fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         let rest = |n: usize| line.splitn(n + 1, ' ').nth(n).unwrap_or_default();
         match words[..] {
             ["wait", ms] => thread::sleep(Duration::from_millis(ms.parse().unwrap())),
-            ["clock"] => self.clock = Some(Instant::now()),
+            ["clock"] => self.stopwatch = Some(Instant::now()),
             ["within", ms] => {
-                let passed = self.clock.expect("a clock").elapsed().as_millis();
+                let passed = self.stopwatch.expect("a clock").elapsed().as_millis();
                 assert!(passed <= ms.parse().unwrap(), "{line}: {passed} ms");
             }
-            ["member", name, "primary"] => self.member(name, true, 0),
-            ["member", name, "replica", lag] => self.member(name, false, lag.parse().unwrap()),
+            ["member", name, "primary"] => self.start_member(name, true, 0),
+            ["member", name, "replica", lag] => self.start_member(name, false, lag.parse().unwrap()),
             ["start", ref with @ ..] => self.start(with),
             ["descriptors", "noted"] => self.descriptors = self.proxy().descriptors().unwrap(),
             ["descriptors", "more", by] => {
@@ -166,7 +178,7 @@
             ["descriptors", "back", more] => {
                 let noted = self.descriptors + more.parse::<usize>().unwrap();
                 let held = || self.proxy().descriptors().unwrap();
-                until(|| held() <= noted, || format!("{line}: {} of {noted}", held()));
+                wait_until(|| held() <= noted, || format!("{line}: {} of {noted}", held()));
             }
             ["list", "does", "move"] => {
                 let whole = self.registry.list();
@@ -178,15 +190,15 @@
             }
             ["config", "adds", name, effect, need] => {
                 let class = proxy::class(name, effect, (8_000_000, 15_000_000));
-                self.classes().0.push(class);
-                self.classes().1.push(need.into());
-                self.classes().2.push(0.into());
+                self.class_settings().0.push(class);
+                self.class_settings().1.push(need.into());
+                self.class_settings().2.push(0.into());
             }
             ["config", "drops", name] => {
-                let at = self.classes().0.iter().position(|c| c["name"] == *name).expect(line);
-                self.classes().0.remove(at);
-                self.classes().1.remove(at);
-                self.classes().2.remove(at);
+                let at = self.class_settings().0.iter().position(|c| c["name"] == *name).expect(line);
+                self.class_settings().0.remove(at);
+                self.class_settings().1.remove(at);
+                self.class_settings().2.remove(at);
             }
             ["config", "sets", path, ..] => {
                 let value = serde_json::from_str(rest(3)).expect(line);
@@ -205,32 +217,32 @@
                 let part = if how == "half" { &text[..text.len() / 2] } else { &text };
                 std::fs::write(self.proxy().dir().join("config.json"), part).unwrap();
             }
-            ["list", "does", ill] => self.registry.set_behaviour(ill.parse().expect(line)),
+            ["list", "does", behaviour] => self.registry.set_behaviour(behaviour.parse().expect(line)),
             ["list", "expect", "heard"] => {
                 let heard = || self.registry.calls().newest_version == self.registry.version();
-                until(heard, || format!("{line}: {:?}", self.registry.calls()));
+                wait_until(heard, || format!("{line}: {:?}", self.registry.calls()));
             }
-            ["list", "expect", least, kind] => self.calls(line, least.parse().unwrap(), kind),
+            ["list", "expect", least, kind] => self.expect_calls(line, least.parse().unwrap(), kind),
             ["list", "does", "moves", who, to] => {
                 let index = self.members.iter().position(|(n, _)| n == who).expect("a member");
-                self.registry.set_address(index, self.standin(to).address());
+                self.registry.set_address(index, self.member_named(to).address());
             }
             ["list", "does", lifecycle, who] => {
                 let index = self.members.iter().position(|(n, _)| n == who).expect("a member");
                 self.registry.set_lifecycle(index, lifecycle);
             }
-            ["dns", "does", ref what @ ..] => self.name(what),
-            ["counts", name, least] => self.counts(name, least.parse().unwrap()),
+            ["dns", "does", ref what @ ..] => self.set_dns(what),
+            ["counts", name, least] => self.expect_counter(name, least.parse().unwrap()),
             ["sum", count, what, key] => {
                 let what = format!("{what} {key}");
                 let given: usize = self.members.iter().map(|(_, member)| member.statement_count(&what)).sum();
                 assert_eq!(given, count.parse::<usize>().unwrap(), "{line}");
             }
-            ["console", code, ..] => self.called(self.proxy(), code, rest(2), line),
+            ["console", code, ..] => self.expect_console(self.proxy(), code, rest(2), line),
             ["silent", n] => {
                 let address = self.proxy().console.expect("start console");
                 let connect = |_| TcpStream::connect(address).unwrap();
-                self.silent.extend((0..n.parse().unwrap()).map(connect));
+                self.silent_callers.extend((0..n.parse().unwrap()).map(connect));
             }
             ["upgrade"] => {
                 let next = Proxy::start(&self.setup).expect("the next one starts");
@@ -262,7 +274,7 @@
                     for (n, name) in who.iter().enumerate() {
                         let (proxy, call) = (if n % 2 == 0 { here } else { there }, format!("{call} {name}"));
                         let this = &*self;
-                        scope.spawn(move || this.called(proxy, "200", &call, line));
+                        scope.spawn(move || this.expect_console(proxy, "200", &call, line));
                     }
                 });
             }
@@ -271,7 +283,7 @@
             ["former", "stop"] => self.former.as_ref().unwrap().signal("TERM").unwrap(),
             ["former", "gone"] => assert!(self.former.take().unwrap().wait().unwrap().success(), "{line}"),
             ["former", "kill"] => drop(self.former.take()),
-            ["former", code, ..] => self.called(self.former.as_ref().unwrap(), code, rest(2), line),
+            ["former", code, ..] => self.expect_console(self.former.as_ref().unwrap(), code, rest(2), line),
             ["stop"] => self.proxy().signal("TERM").unwrap(),
             ["hup"] => self.proxy().signal("HUP").unwrap(),
             ["gone"] => assert!(self.proxy.as_mut().unwrap().wait().unwrap().success(), "{line}"),
@@ -279,32 +291,32 @@
                 let seen = self.proxy().counters().unwrap().get(name).copied().unwrap_or_default();
                 assert!(seen < most.parse().unwrap(), "{line}: {seen}");
             }
-            [who, "does", "replica", lag] => self.standin(who).set_role(false, lag.parse().unwrap()),
-            [who, "does", "primary"] => self.standin(who).set_role(true, 0),
-            [who, "does", ..] => self.standin(who).set_behaviour(rest(2).parse().expect(line)),
+            [who, "does", "replica", lag] => self.member_named(who).set_role(false, lag.parse().unwrap()),
+            [who, "does", "primary"] => self.member_named(who).set_role(true, 0),
+            [who, "does", ..] => self.member_named(who).set_behaviour(rest(2).parse().expect(line)),
             [who, "fin"] => self.clients[who].shutdown(std::net::Shutdown::Write).unwrap(),
             [who, "expect", count, "opened"] => {
-                let (count, opened) = (count.parse().unwrap(), || self.standin(who).totals().2);
-                until(|| opened() >= count, || format!("{line}: {}", opened()));
+                let (count, opened) = (count.parse().unwrap(), || self.member_named(who).totals().2);
+                wait_until(|| opened() >= count, || format!("{line}: {}", opened()));
             }
             [who, "close"] => reset(&self.clients.remove(who).expect("a client")),
             [who, "send", ref what @ ..] => self.send(who, what, rest(3)),
             [who, "race", ref what @ ..] => self.race(who, what),
             [who, "expect", "one", one, "and", other] => self.expect_both(who, [one, other], line),
             [who, "expect", "under", most, what, key] => {
-                let given = self.standin(who).statement_count(&format!("{what} {key}"));
+                let given = self.member_named(who).statement_count(&format!("{what} {key}"));
                 assert!(given < most.parse().unwrap(), "{line}: {given}");
             }
             [who, "expect", count, what, key] if self.members.iter().any(|(n, _)| n == who) => {
-                self.seen(who, count.parse().unwrap(), &format!("{what} {key}"), line)
+                self.expect_statements(who, count.parse().unwrap(), &format!("{what} {key}"), line)
             }
             [who, "expect", ref what @ ..] => self.expect(who, what, line),
             _ => panic!("no such step: {line}"),
         }
     }
 
-    /// Classes, their needs and their ages, in the configuration.
-    fn classes(&mut self) -> (&mut Vec<Value>, &mut Vec<Value>, &mut Vec<Value>) {
+    /// The classes in the configuration, with their consistency needs and maximum ages.
+    fn class_settings(&mut self) -> (&mut Vec<Value>, &mut Vec<Value>, &mut Vec<Value>) {
         let settings = self.config["settings"].as_object_mut().unwrap();
         let (mut services, mut family) = (None, None);
         for (name, value) in settings.iter_mut() {
@@ -329,8 +341,8 @@
         self.proxy.as_ref().expect("start comes first")
     }
 
-    /// The console's answer to a call begins so and comes within a second.
-    fn called(&self, proxy: &Proxy, code: &str, call: &str, line: &str) {
+    /// Calls the console and expects an answer with this status within a second.
+    fn expect_console(&self, proxy: &Proxy, code: &str, call: &str, line: &str) {
         let id = |word: &str| match self.members.iter().position(|(n, _)| n == word) {
             Some(index) => {
                 entry(index, self.members[index].1.address())["instanceId"].as_str().unwrap().to_string()
@@ -343,51 +355,51 @@
         assert!(took < Duration::from_secs(1), "{line}: {took:?}");
     }
 
-    fn member(&mut self, name: &str, primary: bool, lag: u64) {
+    fn start_member(&mut self, name: &str, primary: bool, lag: u64) {
         let member = Member::start(&self.group, primary, lag, Capacity::default());
         self.members.push((name.to_string(), member));
     }
 
-    fn standin(&self, who: &str) -> &Member {
+    fn member_named(&self, who: &str) -> &Member {
         &self.members.iter().find(|(n, _)| n == who).expect("a member").1
     }
 
-    /// Waits until there have been so many, and sees that there are no more.
-    fn seen(&self, who: &str, count: usize, what: &str, line: &str) {
-        let (member, began) = (self.standin(who), Instant::now());
-        while member.statement_count(what) < count && began.elapsed() < PATIENCE {
+    /// Waits until a member has received `count` such statements, and checks that it has not received more.
+    fn expect_statements(&self, who: &str, count: usize, what: &str, line: &str) {
+        let (member, started_at) = (self.member_named(who), Instant::now());
+        while member.statement_count(what) < count && started_at.elapsed() < STEP_TIMEOUT {
             thread::sleep(Duration::from_millis(2));
         }
         assert_eq!(member.statement_count(what), count, "{line}: saw {:?}", member.statements());
     }
 
-    fn name(&self, what: &[&str]) {
+    fn set_dns(&self, what: &[&str]) {
         match *what {
             ["garbage"] => self.dns.send_garbage(),
             ["drop", who] => self.dns.remove_instance(who),
             [how, who, ttl] => {
-                let port = self.standin(who).address().port();
+                let port = self.member_named(who).address().port();
                 self.dns.add_instance(who, port, ttl.parse().unwrap(), how == "list");
             }
-            _ => panic!("dns does what? {what:?}"),
+            _ => panic!("unknown step of dns: {what:?}"),
         }
     }
 
-    fn counts(&self, name: &str, least: u64) {
+    fn expect_counter(&self, name: &str, least: u64) {
         let counters = || self.proxy().counters().unwrap();
         let reached = || counters().get(name).is_some_and(|n| *n >= least);
-        until(reached, || format!("{name} stays under {least}: {:?}", counters()));
+        wait_until(reached, || format!("{name} stays under {least}: {:?}", counters()));
     }
 
-    fn calls(&self, line: &str, least: usize, kind: &str) {
-        let come = || match (self.registry.calls(), kind) {
+    fn expect_calls(&self, line: &str, least: usize, kind: &str) {
+        let received = || match (self.registry.calls(), kind) {
             (calls, "watches") => calls.watches,
             (calls, "whole") => calls.whole,
             (calls, "confirms") => calls.confirms,
             _ => panic!("{line}: watches, confirms or whole"),
         };
-        assert!(least > 0 || come() == 0, "{line}: {:?}", self.registry.calls());
-        until(|| come() >= least, || format!("{line}: {:?}", self.registry.calls()));
+        assert!(least > 0 || received() == 0, "{line}: {:?}", self.registry.calls());
+        wait_until(|| received() >= least, || format!("{line}: {:?}", self.registry.calls()));
     }
 
     fn start(&mut self, with: &[&str]) {
@@ -439,12 +451,12 @@
             echo_log: true,
             log: traced.then(|| "info,request=debug".to_string()),
             listener: handed.then(listener),
-            shared_folder: handed.then(shared),
+            shared_folder: handed.then(create_shared_folder),
             ..Setup::default()
         };
         self.proxy = Some(Proxy::start(&setup).expect("the proxy starts"));
         self.setup = setup;
-        // Repeatable Requests count in whole seconds: the process must be older than the second it began in.
+        // OData Repeatable Requests count in whole seconds, so wait until the second in which the process started is over.
         if odata {
             thread::sleep(Duration::from_millis(1_050 - now_ms() % 1_000));
         }
@@ -455,7 +467,7 @@
         let address = if odata { proxy.odata.expect("start odata") } else { proxy.pg };
         self.clients.entry(who.to_string()).or_insert_with(|| {
             let mut stream = TcpStream::connect(address).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
             if startup {
                 stream.write_all(&wire::startup()).unwrap();
                 while read_message(&mut stream, true).expect("a welcome").0 != b'Z' {}
@@ -483,18 +495,19 @@
                 return self.client(who, true, false).write_all(text.as_bytes()).unwrap();
             }
             ["sync"] => return self.client(who, false, true).write_all(&message(b'S', &[])).unwrap(),
-            // Connects, and says hello; a flood need not be taken in.
+            // The startup message is sent while connecting.
             ["hello" | "bytes"] => {
                 self.client(who, false, what[0] == "hello");
                 return;
             }
             ["flood", n] => {
+                // The proxy may close the connection before it has read everything.
                 let _ = self.client(who, false, true).write_all(&vec![b'x'; n.parse().unwrap()]);
                 return;
             }
             ["bytes", hex] => return self.client(who, false, false).write_all(&unhex(hex)).unwrap(),
             _ => {
-                let text = self.http(what);
+                let text = self.http_request(what);
                 return self.client(who, true, false).write_all(text.as_bytes()).unwrap();
             }
         };
@@ -503,11 +516,11 @@
 
     /// Sends one request on the connections of two clients at the same moment.
     fn race(&mut self, who: &str, what: &[&str]) {
-        let text = self.http(what);
-        let pair: Vec<&TcpStream> = who.split(',').map(|one| &self.clients[one]).collect();
-        let start = std::sync::Barrier::new(pair.len());
+        let text = self.http_request(what);
+        let streams: Vec<&TcpStream> = who.split(',').map(|one| &self.clients[one]).collect();
+        let start = std::sync::Barrier::new(streams.len());
         thread::scope(|scope| {
-            for mut stream in pair {
+            for mut stream in streams {
                 let (start, text) = (&start, &text);
                 scope.spawn(move || {
                     start.wait();
@@ -517,7 +530,7 @@
         });
     }
 
-    /// One of two clients gets the one status, the other the other.
+    /// Expects two statuses for two clients, in either order.
     fn expect_both(&mut self, who: &str, wanted: [&str; 2], line: &str) {
         let read = |one| {
             let response = read_http(self.clients.get_mut(one).expect("a client"), line);
@@ -528,8 +541,9 @@
         assert_eq!(got, wanted, "{line}");
     }
 
-    /// `id=` and `sent=` (seconds ago) stand for the Repeatable Requests fields; any other `name=value` is a field.
-    fn http(&self, what: &[&str]) -> String {
+    /// Builds an HTTP request. `id=` and `sent=` (seconds ago) set the Repeatable Requests fields; any other `name=value`
+    /// sets the field of that name, and an empty value leaves the field out.
+    fn http_request(&self, what: &[&str]) -> String {
         use base64::Engine;
         let (method, target, class, body, fields) = match *what {
             ["GET", key, class, ref more @ ..] => {
@@ -569,7 +583,7 @@
     fn expect(&mut self, who: &str, what: &[&str], line: &str) {
         let stream = self.clients.get_mut(who).expect("a client that has sent something");
         if what == ["no", "refusal"] {
-            return no_refusal(stream, line);
+            return expect_no_refusal(stream, line);
         }
         if let Ok(status) = what[0].parse::<u16>() {
             let response = read_http(stream, line);
@@ -577,10 +591,10 @@
             let text = what[1..].join(" ");
             return assert!(response.contains(&text), "{line}: {response}");
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut found = Vec::new();
         loop {
-            assert!(began.elapsed() < PATIENCE, "{line}: only {found:?}");
+            assert!(started_at.elapsed() < STEP_TIMEOUT, "{line}: only {found:?}");
             match read_message(stream, true) {
                 Some((b'Z', _)) if what[0] != "closed" => break,
                 Some((b'D', body)) if body.len() == 6 => found.push("row -".to_string()),
@@ -607,8 +621,8 @@
     }
 }
 
-/// Reads one answer, by either front.
-fn no_refusal(stream: &mut TcpStream, line: &str) {
+/// Reads one answer of either front and expects that it is no refusal.
+fn expect_no_refusal(stream: &mut TcpStream, line: &str) {
     let mut first = [0];
     stream.peek(&mut first).expect("an answer");
     if first == *b"H" {
