--- a/crates/standins/shim/faults.c
+++ b/crates/standins/shim/faults.c
@@ -1,5 +1,5 @@
 /*
- * Fault shim for tests. Loaded into one proxy with LD_PRELOAD, it makes system calls fail in ways that Linux documents.
+ * Fault shim for tests. Loaded into one proxy with LD_PRELOAD, it makes system calls fail in ways documented by Linux.
  *
  * LINENTRAIL_FAULTS lists the faults as `name=N`, separated by commas. A fault affects one call in N on average. The
  * calls are chosen by a pseudo-random generator seeded with `seed=S`, so the same sequence of calls gets the same
@@ -72,7 +72,7 @@
 static struct control *control;
 static char disk_folder[512];
 static int log_file = -1;
-/* Descriptors of connections that the process opened itself. Only these are broken, so that no client loses its own. */
+/* Descriptors of connections opened by the process itself. Only these are broken, so that no client loses its own. */
 enum { DESCRIPTORS = 65536 };
 static unsigned char outgoing[DESCRIPTORS];
 
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -102,8 +102,8 @@
         Ok(PgClient { stream: BufReader::with_capacity(16 * 1024, stream), body: Vec::new() })
     }
 
-    /// Sends the startup message and these queries in one write, as the protocol allows. Returns the answer to the first
-    /// query, or the fatal error that the proxy sends instead of ReadyForQuery.
+    /// Sends the startup message and these queries in one write, as the protocol allows. Returns the answer to the
+    /// first query, or the fatal error that the proxy sends instead of ReadyForQuery.
     ///
     /// # Errors
     /// As [`PgClient::answer`].
--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -1,4 +1,5 @@
-//! State shared by the members of a group: the log of writes, and how often each write ran, which must be once at most.
+//! State shared by the members of a group: the log of writes, and how often each write ran, which must be once at
+//! most.
 
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -23,8 +24,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs a write under a request's id at `now` (Unix ms). Returns its commit, which is never earlier than the previous
-    /// one.
+    /// Runs a write under a request's id at `now` (Unix ms). Returns its commit, which is never earlier than the
+    /// previous one.
     pub fn write(&self, id: &str, key: &str, value: Bytes, now: u64) -> u64 {
         self.write_with(id, key, value, now, || {})
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for everything that surrounds linentrail, on loopback addresses: members with a shared log and injectable
-//! faults, discovery, a DNS server, clients of both fronts, and the proxy itself as a child process.
+//! Stand-ins for everything that surrounds linentrail, on loopback addresses: members with a shared log and
+//! injectable faults, discovery, a DNS server, clients of both fronts, and the proxy itself as a child process.
 //!
-//! The tests' scenarios and the lab's measurements use the same implementation. Stand-ins run on a shared runtime with
-//! its own threads, so the code that uses them may block.
+//! The tests' scenarios and the lab's measurements use the same implementation. Stand-ins run on a shared runtime
+//! with its own threads, so the code that uses them may block.
 
 pub mod client;
 pub mod dns;
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -81,8 +81,9 @@
 impl FromStr for Behaviour {
     type Err = String;
 
-    /// Parses the word of a scenario: `answer`, `hold` and so on. `after` sends a copy 30 ms later, `behind US` one after
-    /// that many microseconds, `broken N` resets after N bytes, `marred PLACE CODE` puts an error into the answer.
+    /// Parses the word of a scenario: `answer`, `hold` and so on. `after` sends a copy 30 ms later, `behind US` one
+    /// after that many microseconds, `broken N` resets after N bytes, `marred PLACE CODE` puts an error into the
+    /// answer.
     fn from_str(text: &str) -> Result<Self, String> {
         let (word, number) = text.split_once(' ').unwrap_or((text, ""));
         let digits = |what| number.parse::<u64>().map_err(|_| format!("{text}: expected a number of {what}"));
@@ -553,8 +554,8 @@
         self.apply_fault(behaviour, reply).await
     }
 
-    /// Handles a read that requires a position `behind` ahead of the member. Returns the SQLSTATE of the refusal unless
-    /// the member answers anyway or catches up in time.
+    /// Handles a read that requires a position `behind` ahead of the member. Returns the SQLSTATE of the refusal
+    /// unless the member answers anyway or catches up in time.
     async fn refuse_if_behind(&self, behind: Duration, when_behind: WhenBehind) -> Option<&'static str> {
         let max_wait = match when_behind {
             WhenBehind::Answers => return None,
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -44,8 +44,8 @@
     pub environment: Vec<(String, String)>,
     /// Whether to start it as the deploy file does, from the repository's root: LINENTRAIL_FILE is not set.
     pub as_shipped: bool,
-    /// The event log that records which rules the proxy applies, and the number of the proxy there. Its log filter must
-    /// include the target `rules`.
+    /// The event log that records which rules the proxy applies, and the number of the proxy there. Its log filter
+    /// must include the target `rules`.
     pub rules: Option<(u32, Log)>,
     /// How long after SIGTERM it still accepts clients; none for 3 s, longer than any test takes to connect one.
     pub accept_after_term: Option<Duration>,
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -1,5 +1,5 @@
-//! A discovery service that speaks the platform's protocol: calls for the full member list, and watches that wait for a
-//! change.
+//! A discovery service that speaks the platform's protocol: calls for the full member list, and watches that wait
+//! for a change.
 
 use crate::rig::events::{Log, What};
 use crate::{listener, runtime};
@@ -94,14 +94,15 @@
 const MAX_UNCONFIRMED: usize = 64;
 
 impl ProxyListener {
-    /// Called before an answer is written. Logs the active members first, because the proxy may receive the answer and
-    /// send requests to them at once.
+    /// Called before an answer is written. Logs the active members first, because the proxy may receive the answer
+    /// and send requests to them at once.
     fn before_write(&self, entries: &Value) {
         let serves = entries.as_array().into_iter().flatten().filter(|e| e["lifecycle"] == "active");
         self.log_lifecycles(&serves.cloned().collect());
     }
 
-    /// Called after an answer was written. Logs its entries as received, or stores them if a relay may still hold them.
+    /// Called after an answer was written. Logs its entries as received, or stores them if a relay may still hold
+    /// them.
     fn after_write(&self, version: u64, entries: Value) {
         let Some(unconfirmed) = &self.unconfirmed else { return self.log_lifecycles(&entries) };
         let mut unconfirmed = unconfirmed.lock().unwrap_or_else(PoisonError::into_inner);
@@ -206,8 +207,8 @@
         self.open(None)
     }
 
-    /// Opens a listener for one proxy, which sees members under the addresses of `seen`. If `relayed`, an answer counts as
-    /// received only when the proxy's next call confirms it.
+    /// Opens a listener for one proxy, which sees members under the addresses of `seen`. If `relayed`, an answer
+    /// counts as received only when the proxy's next call confirms it.
     pub fn listen_for_proxy(
         &self,
         proxy: u32,
@@ -324,7 +325,8 @@
             let mut changes = self.changed.subscribe();
             let newer = changes.wait_for(|version| *version > after);
             let _ = tokio::time::timeout(Duration::from_millis(wait), newer).await;
-            // A process that was killed during its watch received nothing, and its successor must not be credited with it.
+            // A process that was killed during its watch received nothing, and its successor must not be credited
+            // with it.
             if has_disconnected(stream).await {
                 return None;
             }
--- a/crates/standins/src/shim.rs
+++ b/crates/standins/src/shim.rs
@@ -1,5 +1,5 @@
-//! Injects failing system calls into a proxy: the settings of the preloaded shim (`shim/faults.c`), and the control file
-//! through which a running proxy's call faults, wall clock and disk errors are changed.
+//! Injects failing system calls into a proxy: the settings of the preloaded shim (`shim/faults.c`), and the control
+//! file through which a running proxy's call faults, wall clock and disk errors are changed.
 
 use std::fs::File;
 use std::io::Result;
@@ -103,8 +103,9 @@
 }
 
 impl Shim {
-    /// Creates the control file in `folder`, where the log of faults is written too. Each fault of `calls` affects one
-    /// call in the given number, once [`Shim::set_call_faults`] has enabled them. Disk errors affect files below `disk`.
+    /// Creates the control file in `folder`, where the log of faults is written too. Each fault of `calls` affects
+    /// one call in the given number, once [`Shim::set_call_faults`] has enabled them. Disk errors affect files
+    /// below `disk`.
     ///
     /// # Errors
     /// When the control file cannot be created.
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages of PostgreSQL's protocol, version 3, encoded by hand. The stand-ins do not share the proxy's codec, because
-//! a fault in a shared codec would cancel itself out in tests.
+//! Messages of PostgreSQL's protocol, version 3, encoded by hand. The stand-ins do not share the proxy's codec,
+//! because a fault in a shared codec would cancel itself out in tests.
 
 use std::io::{Error, ErrorKind, Read, Result};
 use tokio::io::{AsyncRead, AsyncReadExt};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,8 +70,8 @@
 }
 
 impl RouterDriver {
-    /// Knows a primary (1) and two replicas (2, 3) from a list alone, received 4 s ago, so that first connections to them
-    /// are no longer spread over time.
+    /// Knows a primary (1) and two replicas (2, 3) from a list alone, received 4 s ago, so that first connections
+    /// to them are no longer spread over time.
     pub fn new(settings: Settings) -> Self {
         let mut driver = RouterDriver::without_members(settings);
         driver.list(ListKind::Disk, vec![member(1, true), member(2, false), member(3, false)]);
