--- a/crates/lab/src/cost/mod.rs
+++ b/crates/lab/src/cost/mod.rs
@@ -19,7 +19,7 @@
 use cases::{Case, Kind};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
-use linentrail_standins::client::Ask;
+use linentrail_standins::client::ClientRequest;
 use linentrail_standins::member::{Behaviour, Capacity};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -227,13 +227,19 @@
     for (n, member) in world.members.iter().enumerate() {
         match case.kind {
             Kind::Served => {}
-            Kind::Refused => member.does(Behaviour::Full),
-            Kind::Missed if n > 0 => member.does(Behaviour::Miss),
+            Kind::Refused => member.set_behaviour(Behaviour::Full),
+            Kind::Missed if n > 0 => member.set_behaviour(Behaviour::Miss),
             Kind::Missed => {}
         }
     }
     let value = (case.class == "place-order").then(|| vec![0x5a; case.size]);
-    let ask = Ask { class: case.class, key: key.to_string(), value, wait_ms: case.wait_ms(), after: None };
+    let ask = ClientRequest {
+        class: case.class,
+        key: key.to_string(),
+        value,
+        wait_ms: case.wait_ms(),
+        after: None,
+    };
     let asks: drive::Asks = Arc::new(move |_| ask.clone());
     let to = world.address(case.front);
     let long = (case.length / short).max(case.clients as u64 * 2);
--- a/crates/standins/src/rig/clients.rs
+++ b/crates/standins/src/rig/clients.rs
@@ -4,7 +4,7 @@
 
 use super::events::{Effect, EventKind, Micros, ReadGuarantee, RequestEnd};
 use super::world::World;
-use crate::client::{request_id, Ask, Pg, Told};
+use crate::client::{request_id, ClientAnswer, ClientRequest, PgClient};
 use crate::proxy::CLASSES;
 use crate::wire;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -50,7 +50,7 @@
     world: World,
     rng: fastrand::Rng,
     home: u32,
-    conn: Option<Pg>,
+    conn: Option<PgClient>,
     writes: u64,
 }
 
@@ -115,10 +115,10 @@
 
 /// Sends one request on its own connection. If the connect fails, no request is recorded.
 async fn surge_client(world: World, proxy: u32, n: u32, delay: Duration) {
-    let Ok(mut conn) = Pg::connect_silently(world.front(proxy)).await else { return };
+    let Ok(mut conn) = PgClient::connect_without_startup(world.front(proxy)).await else { return };
     let (name, aim, wait_ms) = CLASSES[SURGE_CLASS];
     let key = format!("surge{n}");
-    let ask = Ask { class: name, key: key.clone(), value: None, wait_ms, after: None };
+    let ask = ClientRequest { class: name, key: key.clone(), value: None, wait_ms, after: None };
     let (id, log) = (request_id(), world.log().clone());
     let number = u64::from_str_radix(&id, 16).unwrap_or(0);
     let group = n % world.script().member_setup.groups + 1;
@@ -136,21 +136,21 @@
         wait,
     });
     log.record(EventKind::Sent { id: number, first: true });
-    let query = wire::query(&ask.sql_for(&id, group, false));
-    let result = conn.ask_with_startup(&query);
+    let query = wire::query(&ask.sql_for_group(&id, group, false));
+    let result = conn.request_with_startup(&query);
     let timeout = Duration::from_micros(wait + world.script().bounds.late) + LATE_ANSWER_WAIT;
     let (how, value) = outcome(tokio::time::timeout(timeout, result).await);
     log.record(EventKind::Ended { id: number, how, value });
 }
 
 /// How a request ended, and the number of the value in its answer.
-fn outcome(result: Result<std::io::Result<Told>, tokio::time::error::Elapsed>) -> (RequestEnd, u64) {
+fn outcome(result: Result<std::io::Result<ClientAnswer>, tokio::time::error::Elapsed>) -> (RequestEnd, u64) {
     match result {
-        Ok(Ok(Told::Served(bytes))) => {
+        Ok(Ok(ClientAnswer::Served(bytes))) => {
             (RequestEnd::Served, bytes.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)))
         }
-        Ok(Ok(Told::Refused(_))) => (RequestEnd::Refused, 0),
-        Ok(Ok(Told::Failed(_))) => (RequestEnd::Failed, 0),
+        Ok(Ok(ClientAnswer::Refused(_))) => (RequestEnd::Refused, 0),
+        Ok(Ok(ClientAnswer::Failed(_))) => (RequestEnd::Failed, 0),
         Ok(Err(_)) => (RequestEnd::Broken, 0),
         Err(_) => (RequestEnd::Silent, 0),
     }
@@ -160,7 +160,7 @@
     while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(rng.u64(0..BAD_CLIENT_PAUSE_MS))).await;
         let proxy = rng.u32(1..=world.script().proxies);
-        let Ok(mut conn) = Pg::connect(world.front(proxy)).await else { continue };
+        let Ok(mut conn) = PgClient::connect(world.front(proxy)).await else { continue };
         // Some clients send one empty query before they stay idle.
         if rng.bool() && conn.send(&wire::query("")).await.is_err() {
             continue;
@@ -244,7 +244,7 @@
         let value = write.then_some(u64::from(self.n + 1) << 32 | self.writes);
         for retry in 0..=RETRIES_MAX {
             match self.ask(class, value, retry > 0).await {
-                Some(Told::Refused(Some(ms))) if !stop.load(Ordering::Relaxed) => {
+                Some(ClientAnswer::Refused(Some(ms))) if !stop.load(Ordering::Relaxed) => {
                     tokio::time::sleep(Duration::from_millis(ms.min(RETRY_DELAY_MAX_MS))).await;
                 }
                 Some(_) => return,
@@ -261,14 +261,14 @@
     }
 
     /// Sends a request once, under a new id; `None`: there was no answer.
-    async fn ask(&mut self, class: usize, value: Option<u64>, retry: bool) -> Option<Told> {
+    async fn ask(&mut self, class: usize, value: Option<u64>, retry: bool) -> Option<ClientAnswer> {
         let (name, aim, wait_ms) = CLASSES[class];
         let group = self.n % self.world.script().member_setup.groups + 1;
         let key = format!("c{}", self.n);
         let carried = self.world.script().sessions_carried;
         let after = if class == 1 && carried { self.world.group(group).committed(&key) } else { None };
         let bytes = value.map(|v| v.to_be_bytes().to_vec());
-        let ask = Ask { class: name, key: key.clone(), value: bytes, wait_ms, after };
+        let ask = ClientRequest { class: name, key: key.clone(), value: bytes, wait_ms, after };
         let shows = match class {
             0 => ReadGuarantee::Within(BOUNDED_READ_AGE),
             1 if carried => ReadGuarantee::Session,
@@ -294,13 +294,15 @@
             let first = self.conn.is_none();
             let conn = match &mut self.conn {
                 Some(conn) => conn,
-                None if early_query => self.conn.insert(Pg::connect_silently(self.world.front(proxy)).await?),
-                None => self.conn.insert(Pg::connect(self.world.front(proxy)).await?),
+                None if early_query => {
+                    self.conn.insert(PgClient::connect_without_startup(self.world.front(proxy)).await?)
+                }
+                None => self.conn.insert(PgClient::connect(self.world.front(proxy)).await?),
             };
-            let query = wire::query(&ask.sql_for(&id, group, retry));
+            let query = wire::query(&ask.sql_for_group(&id, group, retry));
             if first && early_query {
                 log.record(EventKind::Sent { id: number, first });
-                return conn.ask_with_startup(&query).await.map(Some);
+                return conn.request_with_startup(&query).await.map(Some);
             }
             conn.send(&query).await?;
             log.record(EventKind::Sent { id: number, first });
@@ -320,7 +322,7 @@
                 self.conn = None;
                 log.record(EventKind::Left { id: number });
                 // The outcome no longer concerns this client; it goes on with its next request.
-                return Some(Told::Failed(String::new()));
+                return Some(ClientAnswer::Failed(String::new()));
             }
             Ok(Ok(Some(result))) => Ok(Ok(result)),
             Ok(Err(e)) => Ok(Err(e)),
--- a/crates/standins/src/rig/script.rs
+++ b/crates/standins/src/rig/script.rs
@@ -4,10 +4,10 @@
 use super::checker::Bounds;
 use super::events::{Effect, KeyScope};
 use super::relay::Fault;
-use crate::member::{Behaviour, Positions, Tells, WhenBehind};
+use crate::member::{AnswerStatus, Behaviour, PositionPolicy, WhenBehind};
 use crate::proxy::CLASSES;
-use crate::registry::Ill;
-use crate::shim::{Call, DiskError};
+use crate::registry::DiscoveryBehaviour;
+use crate::shim::{CallFault, DiskError};
 use std::fmt::{self, Display};
 use std::time::Duration;
 
@@ -104,7 +104,7 @@
     /// Members come up again, newly started and cold.
     MemberUp(Who),
     /// Sets how discovery misbehaves.
-    Ill(Ill),
+    Ill(DiscoveryBehaviour),
     /// Discovery reports a new state of a member.
     Lists(u32, String),
     /// Switches the failures of system calls, which the scenario's `calls` lines configure, on or off.
@@ -146,7 +146,7 @@
     /// Replication lag of the replicas.
     pub lag: Duration,
     /// How members treat positions.
-    pub positions: Positions,
+    pub positions: PositionPolicy,
 }
 
 /// A scenario.
@@ -169,7 +169,7 @@
     /// Number of voters among the proxies; 0: the proxies do not agree on their rules.
     pub voters: u32,
     /// System calls of the proxies that fail, each on average once in this many calls.
-    pub calls: Vec<(Call, u32)>,
+    pub calls: Vec<(CallFault, u32)>,
     /// The effect of a repeat, by class.
     pub effects: [Effect; CLASSES.len()],
     /// Session reads carry the last commit of their session; otherwise the proxies remember it.
@@ -212,7 +212,7 @@
                 max_connections: 0,
                 cold: None,
                 lag: ms(5),
-                positions: Positions::default(),
+                positions: PositionPolicy::default(),
             },
             list_capacity: (0.0, 64),
             list_configured: true,
@@ -485,11 +485,11 @@
                 rest
             }
             ["mute", rest @ ..] => {
-                self.positions.tells = Tells::Nothing;
+                self.positions.answer_status = AnswerStatus::Nothing;
                 rest
             }
             ["tells", "role", rest @ ..] => {
-                self.positions.tells = Tells::Role;
+                self.positions.answer_status = AnswerStatus::RoleAndCommit;
                 rest
             }
             ["behind", "off", rest @ ..] => {
@@ -583,8 +583,8 @@
     })
 }
 
-fn call(name: &str) -> Result<Call, String> {
-    Call::ALL
+fn call(name: &str) -> Result<CallFault, String> {
+    CallFault::ALL
         .into_iter()
         .find(|call| call.name() == name)
         .ok_or_else(|| format!("unknown system call '{name}'"))
@@ -672,10 +672,16 @@
             class yard-board keyed cell 400";
         let script = Script::read(text).expect("a valid scenario");
         let waits = WhenBehind::Waits(Duration::from_millis(30));
-        assert_eq!(script.member_setup.positions, Positions { when_behind: waits, tells: Tells::Nothing });
+        assert_eq!(
+            script.member_setup.positions,
+            PositionPolicy { when_behind: waits, answer_status: AnswerStatus::Nothing }
+        );
         let tells_role =
             Script::read("members 4 tells role behind off").expect("a valid scenario").member_setup.positions;
-        assert_eq!(tells_role, Positions { when_behind: WhenBehind::Answers, tells: Tells::Role });
+        assert_eq!(
+            tells_role,
+            PositionPolicy { when_behind: WhenBehind::Answers, answer_status: AnswerStatus::RoleAndCommit }
+        );
         let keyed = Effect::Keyed { scope: KeyScope::Cell, window: 400_000 };
         assert_eq!(script.effects, [keyed, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
         assert!(!script.sessions_carried);
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -5,9 +5,9 @@
 use super::relay::{Fault, Relay};
 use super::script::{Script, Step, StoreDamage, Who};
 use crate::group::Group;
-use crate::member::{Capacity, Member, Tells, WhenBehind};
+use crate::member::{AnswerStatus, Capacity, Member, WhenBehind};
 use crate::proxy::{self, signal_all, Proxy, Setup};
-use crate::registry::{entry, show, Registry};
+use crate::registry::{entry, rewrite_address, Registry};
 use crate::shim::Shim;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -125,7 +125,7 @@
     };
     family["when_behind"] = when_behind.into();
     family["catch_up_wait_us"] = (wait.as_micros() as u64).into();
-    family["tells_position"] = (positions.tells == Tells::All).into();
+    family["tells_position"] = (positions.answer_status == AnswerStatus::All).into();
     family["session_marks"] = if script.sessions_carried { "carried" } else { "remembered" }.into();
     if let Some((share, warm)) = script.member_setup.cold {
         settings["rules"]["cold_share"] = share.into();
@@ -171,10 +171,10 @@
         let capacity = Capacity {
             slots: member_setup.slots,
             queue: QUEUE,
-            service: member_setup.work,
+            service_time: member_setup.work,
             cold: member_setup.cold,
             handshake: member_setup.handshake,
-            most: member_setup.max_connections,
+            max_connections: member_setup.max_connections,
         };
         let lag = member_setup.lag.as_millis() as u64;
         let member = |n: u32| {
@@ -187,14 +187,14 @@
                 capacity,
                 Some((n + 1, log.clone())),
             );
-            started.treats_positions(member_setup.positions);
+            started.set_position_policy(member_setup.positions);
             started
         };
         let members: Vec<Member> = (0..member_setup.members).map(member).collect();
         let list: Vec<Value> =
             members.iter().enumerate().map(|(n, m)| list_entry(n, m, member_setup.groups)).collect();
-        let registry = Registry::bounded(script.list_capacity.0, script.list_capacity.1);
-        registry.lists(list.clone().into());
+        let registry = Registry::with_rate(script.list_capacity.0, script.list_capacity.1);
+        registry.set_list(list.clone().into());
         let folder = std::env::temp_dir().join(format!("linentrail-rig-{}-{world}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let mut links = HashMap::new();
@@ -229,9 +229,9 @@
                 (1..=member_setup.members).collect::<Vec<_>>().iter().filter_map(relayed).collect();
             let mut configured_list = list.clone();
             for entry in &mut configured_list {
-                show(entry, &relayed);
+                rewrite_address(entry, &relayed);
             }
-            let mut list_address = registry.door(n, log.clone(), relayed, list_relayed.contains(&n));
+            let mut list_address = registry.listen_for_proxy(n, log.clone(), relayed, list_relayed.contains(&n));
             if list_relayed.contains(&n) {
                 let relay = Relay::tcp(list_address, script.seed ^ u64::from(n));
                 list_address = relay.address();
@@ -259,8 +259,8 @@
             if !script.list_configured {
                 config["known"] = Value::Null;
             }
-            let still_coming = Some(Duration::from_millis(550));
-            let mut setup = Setup { program: program.into(), config, still_coming, ..Setup::default() };
+            let accept_after_term = Some(Duration::from_millis(550));
+            let mut setup = Setup { program: program.into(), config, accept_after_term, ..Setup::default() };
             if let Some(every) = script.store {
                 setup.operators = store(&folder, every);
             }
@@ -276,7 +276,7 @@
             fronts.push(front);
             handles.push(Mutex::new(ProxyHandle { setup, running: None, shim }));
         }
-        members.iter().for_each(Member::starts);
+        members.iter().for_each(Member::log_cold_start);
         let proposed = Mutex::new(settings(script));
         let script = script.clone();
         let inner = Inner {
@@ -332,7 +332,7 @@
                 let spawned = || {
                     let _ = self.0.log.record(EventKind::Exec { proxy: n });
                 };
-                handle.running = Some(Proxy::start_noting(&handle.setup, spawned)?);
+                handle.running = Some(Proxy::start_with_hook(&handle.setup, spawned)?);
                 self.0.log.record(EventKind::Serves { proxy: n });
             }
             Ok(())
@@ -558,23 +558,25 @@
                 }
             }
             Step::Does(who, behaviour) => {
-                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].does(*behaviour));
+                self.members(who)
+                    .into_iter()
+                    .for_each(|m| self.0.members[m as usize - 1].set_behaviour(*behaviour));
             }
             Step::Primary(m) => self.primary(*m),
             Step::MemberDown(who) => {
-                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].is_up(false));
+                self.members(who).into_iter().for_each(|m| self.0.members[m as usize - 1].set_up(false));
             }
             Step::MemberUp(who) => {
                 for m in self.members(who) {
-                    self.0.members[m as usize - 1].is_up(true);
-                    self.0.registry.started(m as usize - 1);
+                    self.0.members[m as usize - 1].set_up(true);
+                    self.0.registry.set_started_now(m as usize - 1);
                 }
             }
-            Step::CallsFail(who, on) => self.shims(who, |shim| shim.calls_fail(*on))?,
-            Step::ClockStep(who, us) => self.shims(who, |shim| shim.clock_step(*us))?,
-            Step::Disk(who, error) => self.shims(who, |shim| shim.disk_fails(*error))?,
-            Step::Ill(ill) => self.0.registry.does(*ill),
-            Step::Lists(m, state) => self.0.registry.change(*m as usize - 1, state),
+            Step::CallsFail(who, on) => self.shims(who, |shim| shim.set_call_faults(*on))?,
+            Step::ClockStep(who, us) => self.shims(who, |shim| shim.set_clock_step(*us))?,
+            Step::Disk(who, error) => self.shims(who, |shim| shim.set_disk_error(*error))?,
+            Step::Ill(ill) => self.0.registry.set_behaviour(*ill),
+            Step::Lists(m, state) => self.0.registry.set_lifecycle(*m as usize - 1, state),
         }
         Ok(())
     }
@@ -600,10 +602,10 @@
         for (n, member) in self.0.members.iter().enumerate() {
             let same = n as u32 % member_setup.groups == (new - 1) % member_setup.groups;
             if same && n as u32 + 1 != new {
-                member.becomes(false, lag);
+                member.set_role(false, lag);
             }
         }
-        self.0.members[new as usize - 1].becomes(true, 0);
+        self.0.members[new as usize - 1].set_role(true, 0);
     }
 
     fn console(&self, who: &Who, call: &str) {
@@ -626,7 +628,7 @@
                 self.0.log.record(EventKind::Hand { proxy: n, member, out: false });
             }
             let answer = call_with_retries(retry_answers, IN_TURN_TIMEOUT, || {
-                proxy.call(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
+                proxy.call_console(&line).map_or_else(|e| e.to_string(), |answer| answer.0)
             });
             match member.filter(|_| answer.starts_with("200") && out) {
                 Some(member) => self.0.log.record(EventKind::Hand { proxy: n, member, out }),
@@ -643,7 +645,7 @@
     /// process.
     fn call(&self, n: u32, call: &str) -> Option<String> {
         let handle = self.handle(n);
-        let answer = handle.running.as_ref()?.call(&format!("{call}\n"));
+        let answer = handle.running.as_ref()?.call_console(&format!("{call}\n"));
         Some(answer.map_or_else(|e| e.to_string(), |answer| answer.0))
     }
 
--- a/tests/crossed_ends.rs
+++ b/tests/crossed_ends.rs
@@ -5,7 +5,7 @@
 //! an answer.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Odata, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, ODataClient, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
@@ -44,30 +44,30 @@
             program: env!("CARGO_BIN_EXE_linentrail").into(),
             config: proxy::config("127.0.0.1:9", &list, proxy::settings(), sockets, 192),
             odata: true,
-            still_coming: Some(SHUTDOWN_GRACE),
+            accept_after_term: Some(SHUTDOWN_GRACE),
             ..Setup::default()
         };
         Rig { primary, setup }
     }
 }
 
-fn ask(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.into(), value: None, wait_ms: 14_000, after: None }
+fn ask(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.into(), value: None, wait_ms: 14_000, after: None }
 }
 
 /// A client of either protocol.
 enum Client {
-    Pg { conn: Pg, started: bool },
-    Odata(Odata),
+    Pg { conn: PgClient, started: bool },
+    Odata(ODataClient),
 }
 
 impl Client {
     /// Connects without sending anything.
     async fn new(proxy: &Proxy, odata: bool) -> Self {
         if odata {
-            return Client::Odata(Odata::connect(proxy.odata.unwrap()).await.unwrap());
+            return Client::Odata(ODataClient::connect(proxy.odata.unwrap()).await.unwrap());
         }
-        Client::Pg { conn: Pg::connect_silently(proxy.pg).await.unwrap(), started: false }
+        Client::Pg { conn: PgClient::connect_without_startup(proxy.pg).await.unwrap(), started: false }
     }
 
     /// Connects and has one request answered.
@@ -78,7 +78,7 @@
     }
 
     /// Sends a request on a connection whose session has begun, without waiting for the answer.
-    async fn send(&mut self, ask: &Ask) {
+    async fn send(&mut self, ask: &ClientRequest) {
         match self {
             Client::Pg { conn, .. } => conn.send(&wire::query(&ask.sql(&request_id()))).await.unwrap(),
             Client::Odata(conn) => conn.send(ask).await,
@@ -86,22 +86,22 @@
     }
 
     /// Reads the next answer.
-    async fn answer(&mut self) -> Result<Told> {
+    async fn answer(&mut self) -> Result<ClientAnswer> {
         match self {
             Client::Pg { conn, .. } => conn.answer().await,
             Client::Odata(conn) => conn.answer().await,
         }
     }
 
-    async fn ask(&mut self, key: &str) -> Result<Told> {
+    async fn ask(&mut self, key: &str) -> Result<ClientAnswer> {
         let answer = async {
             match self {
-                Client::Pg { conn, started: true } => conn.ask(&ask(key)).await,
+                Client::Pg { conn, started: true } => conn.request(&ask(key)).await,
                 Client::Pg { conn, started } => {
                     *started = true;
-                    conn.ask_with_startup(&wire::query(&ask(key).sql(&request_id()))).await
+                    conn.request_with_startup(&wire::query(&ask(key).sql(&request_id()))).await
                 }
-                Client::Odata(conn) => conn.ask(&ask(key)).await,
+                Client::Odata(conn) => conn.request(&ask(key)).await,
             }
         };
         tokio::time::timeout(TEST_TIMEOUT, answer).await.expect("an answer or an end")
@@ -123,7 +123,10 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     proxy.signal("CONT").unwrap();
     for (_client, answer) in asking.join_all().await {
-        assert!(matches!(answer, Ok(Told::Served(_) | Told::Refused(_))), "{what}: {answer:?}");
+        assert!(
+            matches!(answer, Ok(ClientAnswer::Served(_) | ClientAnswer::Refused(_))),
+            "{what}: {answer:?}"
+        );
     }
 }
 
@@ -292,13 +295,13 @@
         for odata in [false, true] {
             let proxy = Proxy::start(&rig.setup).unwrap();
             let mut client = Client::served(&proxy, odata).await;
-            rig.primary.does(Behaviour::Hold);
+            rig.primary.set_behaviour(Behaviour::Hold);
             proxy.signal("TERM").unwrap();
             let asked_to_stop = Instant::now();
             // The open request keeps the connection open during shutdown; the late one is sent before its answer
             // has arrived.
             let late = ask("late");
-            client.send(&Ask { wait_ms: 2_000, ..ask("early") }).await;
+            client.send(&ClientRequest { wait_ms: 2_000, ..ask("early") }).await;
             tokio::time::sleep(SHUTDOWN_GRACE + STOP_BEFORE_LIMIT).await;
             client.send(&late).await;
             for what in ["early", "late"] {
@@ -310,7 +313,7 @@
                 "OData {odata}: {:?}",
                 asked_to_stop.elapsed()
             );
-            rig.primary.does(Behaviour::Answer);
+            rig.primary.set_behaviour(Behaviour::Answer);
         }
     });
 }
@@ -324,22 +327,22 @@
     rig.setup.listener = Some(Arc::new(listener));
     let shared = std::env::temp_dir().join(format!("linentrail-crossed-{}", std::process::id()));
     std::fs::create_dir_all(&shared).unwrap();
-    rig.setup.shared = Some(shared.clone());
+    rig.setup.shared_folder = Some(shared.clone());
     runtime().block_on(async {
         let mut former = Proxy::start(&rig.setup).unwrap();
         former.signal("STOP").unwrap();
         let mut asking = tokio::task::JoinSet::new();
         for n in 0..60 {
-            let mut conn = Pg::connect_silently(to).await.unwrap();
+            let mut conn = PgClient::connect_without_startup(to).await.unwrap();
             let query = wire::query(&ask(&format!("k{n}")).sql(&request_id()));
-            asking.spawn(async move { conn.ask_with_startup(&query).await });
+            asking.spawn(async move { conn.request_with_startup(&query).await });
         }
         former.signal("TERM").unwrap();
         former.signal("CONT").unwrap();
         let next = Proxy::start(&rig.setup).unwrap();
         let answers = tokio::time::timeout(TEST_TIMEOUT, asking.join_all()).await.expect("answers");
         for answer in answers {
-            assert!(matches!(answer, Ok(Told::Served(_) | Told::Refused(_))), "{answer:?}");
+            assert!(matches!(answer, Ok(ClientAnswer::Served(_) | ClientAnswer::Refused(_))), "{answer:?}");
         }
         assert!(former.wait().unwrap().success());
         drop(next);
@@ -354,15 +357,15 @@
     rig.setup.config["limits"]["memory_mb"] = 16.into();
     runtime().block_on(async {
         let proxy = Proxy::start(&rig.setup).unwrap();
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         // Each reserves 120,000 of the 2 MiB available and sends nothing more.
         let mut holding = Vec::new();
         for _ in 0..20 {
-            let mut holds = Pg::connect(proxy.pg).await.unwrap();
+            let mut holds = PgClient::connect(proxy.pg).await.unwrap();
             holds.send(&[b'Q', 0, 1, 0xd4, 0xc0]).await.unwrap();
             holding.push(holds);
         }
-        let long = Ask { value: Some(vec![7; 60_000]), class: "place-order", ..ask("long") };
+        let long = ClientRequest { value: Some(vec![7; 60_000]), class: "place-order", ..ask("long") };
         let queries: Vec<u8> =
             [&long, &ask("k")].iter().flat_map(|a| wire::query(&a.sql(&request_id()))).collect();
         client.send(&queries).await.unwrap();
@@ -371,7 +374,7 @@
                 .await
                 .expect("an answer")
                 .expect("no end");
-            assert_eq!(matches!(answer, Told::Refused(_)), refused, "{what}: {answer:?}");
+            assert_eq!(matches!(answer, ClientAnswer::Refused(_)), refused, "{what}: {answer:?}");
         }
         drop(holding);
     });
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -3,11 +3,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn a_write_waiting_for_its_connection_is_not_sent_to_a_member_that_starts_leaving() {
-    play(
+    run_scenario(
         "member p primary
          start watching patient
          p does shut
@@ -25,7 +25,7 @@
 #[test]
 fn a_write_waiting_for_its_connection_is_never_sent_after_its_client_has_left() {
     for leaves in ["close", "fin"] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start patient
              p does shut
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_client_that_closes_after_its_terminate_message_has_left() {
-    play(
+    run_scenario(
         "member p primary
          start patient
          p does shut
@@ -65,7 +65,7 @@
     // Sixteen requests are read ahead, and the client's close is behind the others. Requests already sent may run;
     // nothing more is sent for this client.
     let asked: String = (1..=20).map(|n| format!("a send read k{n} monthly-report\n")).collect();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          start patient
@@ -87,7 +87,7 @@
 
 #[test]
 fn an_open_request_keeps_its_deadline_at_shutdown_after_deadlines_were_shortened() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -117,7 +117,7 @@
 fn a_connection_to_a_members_former_address_carries_no_further_request() {
     // The answer that arrives after the move goes to the client, but its connection leads to whoever has the former
     // address now.
-    play(
+    run_scenario(
         "member p primary
          start watching
          member q primary
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_write_waiting_for_its_connection_when_its_member_moves_goes_to_the_new_address() {
-    play(
+    run_scenario(
         "member p primary
          start watching patient
          member q primary
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_booking_without_waiting_clients_is_dropped_before_it_is_sent_and_completes_after() {
-    play(
+    run_scenario(
         "member p primary
          start odata patient
          p does shut
@@ -188,7 +188,7 @@
     // The process may open 60 descriptors. Clients hold more connections than that while every call to discovery
     // fails.
     let each = |what: &str| (0..60).map(|n| what.replace('#', &n.to_string()) + "\n").collect::<String>();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          list does reset
@@ -211,7 +211,7 @@
 #[test]
 fn the_agent_that_pushes_lists_is_called_from_the_start_and_after_every_failure() {
     // What the agent holds counts as known to the proxy, whether or not this process has called.
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start pushed
@@ -244,7 +244,7 @@
 #[test]
 fn the_list_held_at_startup_is_confirmed_at_once_if_nothing_has_changed() {
     // A watch would wait for a change first, and once that list is too old no request may be sent.
-    play(
+    run_scenario(
         "member p primary
          start watching
          list expect 1 confirms
@@ -262,7 +262,7 @@
 fn a_move_of_discovery_counts_once_even_if_the_calls_after_it_fail() {
     // Each failed call is followed by the module's delay. If it counted as a move, the whole list would be
     // requested at once.
-    play(
+    run_scenario(
         "member p primary
          start watching
          list expect 1 confirms
--- a/tests/flows.rs
+++ b/tests/flows.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use bytes::Bytes;
-use linentrail_standins::client::{request_id, Ask};
+use linentrail_standins::client::{request_id, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -45,15 +45,20 @@
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: config("127.0.0.1:9", &known, settings, 1024, memory_mb),
         odata: true,
-        loud: true,
+        echo_log: true,
         ..Setup::default()
     };
     World { member, proxy: Proxy::start(&setup).expect("the proxy starts") }
 }
 
 fn query(key: &str) -> Vec<u8> {
-    let request =
-        Ask { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None };
+    let request = ClientRequest {
+        class: "monthly-report",
+        key: key.to_string(),
+        value: None,
+        wait_ms: 12_000,
+        after: None,
+    };
     wire::query(&request.sql(&request_id()))
 }
 
@@ -91,13 +96,13 @@
 #[test]
 fn the_first_bytes_are_passed_on_before_the_last_have_arrived() {
     let world = world(4 * MIB, 64);
-    world.member.does(Behaviour::Paused(MIB));
+    world.member.set_behaviour(Behaviour::Paused(MIB));
     let mut client = connect(world.proxy.pg);
     client.write_all(&query("big")).expect("the request is written");
     // The member holds back the rest until this much has arrived here.
     let mut first = vec![0; MIB / 2];
     client.read_exact(&mut first).expect("the first half MiB");
-    world.member.does(Behaviour::Answer);
+    world.member.set_behaviour(Behaviour::Answer);
     let mut rest = Vec::new();
     let value_bytes = value(4 * MIB);
     let at = first.windows(64).position(|w| w == &value_bytes[..64]).expect("the beginning of the value");
@@ -122,12 +127,12 @@
 #[test]
 fn a_value_that_is_cut_off_is_not_completed_and_not_read_again() {
     let world = world(2 * MIB, 64);
-    world.member.does(Behaviour::Broken(MIB));
+    world.member.set_behaviour(Behaviour::Broken(MIB));
     let mut client = connect(world.proxy.pg);
     client.write_all(&query("big")).expect("the request is written");
     assert_eq!(answer(&mut client), None);
     assert_eq!(counted(&world, "flows_broken"), 1);
-    assert_eq!(world.member.given("read big"), 1);
+    assert_eq!(world.member.statement_count("read big"), 1);
     // OData reads the value to its end before it answers, so the whole request fails.
     assert_eq!(status_by_odata(&world), "502");
 }
@@ -151,7 +156,7 @@
         client.write_all(&query("big")).expect("the request is written");
         assert!(answer(&mut client) == Some(value(2 * MIB)), "{effect}");
         assert_eq!(status_by_odata(&world), "200", "{effect}");
-        assert_eq!(world.member.given("read big"), 2, "{effect}");
+        assert_eq!(world.member.statement_count("read big"), 2, "{effect}");
     }
 }
 
@@ -160,14 +165,14 @@
     for (effect, status) in [("read_like", "503"), ("non_idempotent", "502"), ("idempotency_key", "502")] {
         let world = world_of(4 * MIB, 16, effect);
         assert_eq!(status_by_odata(&world), status, "{effect}");
-        assert_eq!(world.member.given("read big"), 1, "{effect}");
+        assert_eq!(world.member.statement_count("read big"), 1, "{effect}");
     }
 }
 
 #[test]
 fn a_client_that_disconnects_ends_only_its_own_stream() {
     let world = world(4 * MIB, 64);
-    world.member.does(Behaviour::Paused(MIB));
+    world.member.set_behaviour(Behaviour::Paused(MIB));
     let mut leaves = connect(world.proxy.pg);
     let mut stays = connect(world.proxy.pg);
     for client in [&mut leaves, &mut stays] {
@@ -175,7 +180,7 @@
         client.read_exact(&mut [0; 4096]).expect("the first bytes");
     }
     drop(leaves);
-    world.member.does(Behaviour::Answer);
+    world.member.set_behaviour(Behaviour::Answer);
     assert_eq!(counted(&world, "flows_broken"), 1);
     let mut rest = vec![0; 4 * MIB - 4096];
     stays.read_exact(&mut rest).expect("the rest");
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -2,11 +2,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn replies_come_in_the_order_of_their_queries() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw ;
@@ -28,7 +28,7 @@
 
 #[test]
 fn queries_sent_before_terminate_are_answered() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -43,7 +43,7 @@
 
 #[test]
 fn invalid_statements_and_messages_get_their_sqlstate() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw SELECT 1
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_booking_that_may_have_run_is_neither_sent_again_nor_refused() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does reset
@@ -81,7 +81,7 @@
 fn a_partially_received_value_is_never_passed_on() {
     // A read would be retried, and served from another member's complete answer. A booking may have run, so it fails with
     // an error.
-    play(
+    run_scenario(
         "member p primary
          start
          p does half
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_refusal_carries_a_retry_delay() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          p does full
@@ -108,7 +108,7 @@
 
 #[test]
 fn clients_can_connect_after_sigterm_and_accepted_requests_are_answered() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -128,7 +128,7 @@
 #[test]
 fn when_all_client_permits_are_taken_the_longest_idle_client_is_closed() {
     // 40 descriptors leave four permits for clients.
-    play(
+    run_scenario(
         "member p primary
          start small
          a send read k1 yard-board
@@ -151,7 +151,7 @@
 
 #[test]
 fn odata_serves_its_metadata_and_rejects_unsupported_requests() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send http GET /
@@ -191,7 +191,7 @@
 
 #[test]
 fn refusals_failures_and_missed_deadlines_have_distinct_status_codes() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          p does error
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_booking_with_a_charge_needs_a_valid_repeat_id() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send POST k1 01
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_booking_is_charged_once_even_if_clients_and_members_reset_connections() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start odata
@@ -262,7 +262,7 @@
 fn a_session_reads_its_last_write_through_either_front() {
     // The replicas lag by a minute and the reads carry no position of their own: only the proxy's record of the
     // session's writes keeps the reads away from the replicas.
-    play(
+    run_scenario(
         "member p primary
          member r replica 60000
          member s replica 60000
@@ -299,7 +299,7 @@
 
 #[test]
 fn members_found_by_dns_sd_leave_when_their_record_is_removed() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          member q replica 1
@@ -325,7 +325,7 @@
 
 #[test]
 fn members_whose_dns_records_are_not_renewed_expire() {
-    play(
+    run_scenario(
         "member p primary
          dns does list p 4
          start dnssd
@@ -358,7 +358,7 @@
 
 #[test]
 fn a_leaving_member_gets_no_new_requests() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start watching
@@ -391,7 +391,7 @@
     // A whole list costs discovery many times as much as a watch, so a failed watch is restarted from the known version.
     // The proxy must still learn that a member is leaving.
     for ill in ["overbooked", "reset"] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              member r replica 1
              list does {ill}
@@ -415,7 +415,7 @@
 fn an_unusable_list_is_dropped_and_known_members_keep_serving() {
     for ill in ["cut", "noise", "older", "many"] {
         let counter = if ill == "cut" { "list_failures" } else { "list_dropped" };
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              member r replica 1
              list does {ill}
@@ -435,7 +435,7 @@
 
 #[test]
 fn known_members_serve_while_discovery_does_not_answer() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          list does silent
@@ -451,7 +451,7 @@
 
 #[test]
 fn watches_that_return_nothing_at_once_are_rate_limited() {
-    play(
+    run_scenario(
         "member p primary
          list does hasty
          start watching
@@ -469,7 +469,7 @@
     // Six of seven members leave at almost the same time, each with a read in progress. Their state is dropped with the
     // first list after 5 s; an idle connection to the remaining member may stay.
     let each = |line: &str| (0..6).map(|n| line.replace('#', &n.to_string()) + "\n").collect::<String>();
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          {}start watching
          list expect 1 watches
@@ -508,7 +508,7 @@
 #[test]
 fn a_connection_near_its_idle_limit_is_closed_rather_than_written_to() {
     // At the limit the member's machine would answer with a reset, and a booking lost in this way may not be retried.
-    play(
+    run_scenario(
         "member p primary
          start brief
          a send write k1 01
@@ -525,7 +525,7 @@
 fn the_reported_lag_of_a_replica_is_not_trusted_for_a_read_of_a_new_write() {
     // According to its last report the replica is 1 ms behind. The read carries no position, so the replica would
     // answer it with the data it has.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start odata
@@ -548,7 +548,7 @@
 fn an_unnoticed_loss_of_the_primary_role_causes_no_stale_session_read() {
     // The read goes to the member last known as primary, whose answer shows that it is behind. The deadline leaves time
     // for a probe of the replica first, should one be sent.
-    play(
+    run_scenario(
         "member p primary
          member r replica 60000
          start odata
@@ -567,7 +567,7 @@
 
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send wire POST /records HTTP/1.1\\nSkip-Class: place-order\\nSkip-Tenant: acme\\nSkip-Group: 1\\nContent-Length: 2\\nExpect: 100-continue\\n\\n
@@ -579,7 +579,7 @@
 
 #[test]
 fn malformed_http_gets_an_odata_error() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          o send wire GET /\\n\\n
@@ -598,7 +598,7 @@
 #[test]
 fn sighup_reloads_the_discovery_address_and_ends_the_open_watch() {
     // The environment variable still names the old address, where a watch would never be answered.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start watching
@@ -640,7 +640,7 @@
 #[test]
 fn a_request_with_a_long_deadline_outlasts_a_planned_restart() {
     // The deadline of its class is 15 s; new clients are accepted for 3 s after SIGTERM.
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -659,7 +659,7 @@
 fn a_silent_or_unfinished_client_is_closed_within_three_seconds() {
     // a sends nothing, b nothing after its startup; c sends part of its startup, d part of its first message, and e part
     // of a message after it has been served.
-    play(
+    run_scenario(
         "member p primary
          start
          e send read k1 yard-board
@@ -691,7 +691,7 @@
 fn invalid_messages_get_an_error_and_then_a_close() {
     // An unknown message, one with bytes after its text, a negative length, and an extended-protocol message. The last
     // two clients keep sending.
-    play(
+    run_scenario(
         "member p primary
          start
          a send hello
@@ -720,7 +720,7 @@
 
 #[test]
 fn queries_before_an_invalid_message_are_answered_first() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -740,7 +740,7 @@
 
 #[test]
 fn statements_with_invalid_fields_never_reach_a_member() {
-    play(
+    run_scenario(
         "member p primary
          start
          a send raw SELECT v FROM records WHERE k = 'k1' /* id=01,c=yard-board,t=acme,d=-5,cluster=1 */
@@ -763,7 +763,7 @@
 
 #[test]
 fn the_id_of_an_open_request_is_not_served_twice() {
-    play(
+    run_scenario(
         "member p primary
          start
          p does hold
@@ -782,7 +782,7 @@
 #[test]
 fn silent_clients_are_closed_to_free_permits_before_served_ones() {
     // 40 descriptors leave four permits for clients. A client is silent if it has sent nothing for 200 ms.
-    play(
+    run_scenario(
         "member p primary
          start small
          a send read k1 yard-board
@@ -814,13 +814,13 @@
     script
         .push_str("counts pg_no_room 3\nc19 expect error 53300\nc19 expect error 08P01\nc19 expect closed\n");
     script.push_str("c0 expect error 08P01\nc0 expect closed\na send read k1 yard-board\na expect row -");
-    play(&script);
+    run_scenario(&script);
 }
 
 #[test]
 fn bytes_after_an_answer_are_not_taken_for_the_next_answer() {
     // The value itself is valid. In the second part the copy arrives while the connection is idle.
-    play(
+    run_scenario(
         "member p primary
          start
          p does twice
@@ -844,7 +844,7 @@
 #[test]
 fn a_corrupt_refusal_does_not_prove_that_nothing_ran() {
     // If it were trusted, it would be passed on as a refusal and the booking be retried, though it may have run.
-    play(
+    run_scenario(
         "member p primary
          start
          p does noisy
@@ -869,7 +869,7 @@
 #[test]
 fn an_answer_that_stalls_fails_before_the_deadline() {
     // The booking's own deadline is 12 s.
-    play(
+    run_scenario(
         "member p primary
          start
          p does stall
@@ -885,7 +885,7 @@
 #[test]
 fn an_impossible_report_is_ignored() {
     // The replica's report claims the primary role, at a position beyond all others.
-    play(
+    run_scenario(
         "member p primary
          member r replica 1
          start
@@ -934,7 +934,7 @@
         "a send hello\na send bytes 510001d4c0\no19 expect 503 Retry-After\na expect error 53300\n",
     );
     script.push_str("o0 expect 408 Unfinished\nb send read k1 yard-board\nb expect row -");
-    play(&script);
+    run_scenario(&script);
 }
 
 #[test]
@@ -947,5 +947,5 @@
     script.push_str(
         "c0 expect closed\ncounts closed_to_make_room 2\nc11 send read k1 yard-board\nc11 expect row -",
     );
-    play(&script);
+    run_scenario(&script);
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn reads_go_to_the_least_loaded_replica_then_to_the_primary_and_then_wait() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut per = [0usize; 4];
     let mut ids = Vec::new();
     for _ in 0..40 {
@@ -33,16 +33,16 @@
 
 #[test]
 fn a_read_that_waits_for_capacity_is_refused_early_but_one_that_waits_for_a_position_is_not() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let last = (0..40).map(|_| d.request(ANY, None).0).last().unwrap();
-    let actions = d.after(100 * MS);
+    let actions = d.advance(100 * MS);
     assert!(refused(&actions, last), "no member has capacity: give up well before the aim");
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
     let probed = probes(&actions)[0];
-    assert!(!refused(&d.after(100 * MS), id));
+    assert!(!refused(&d.advance(100 * MS), id));
     let report = Report { position: Some(d.now), primary: Some(false), busy: None };
     let actions = d.step(&[Event::Probed { member: MemberId(probed), ok: true, report: Some(report) }]);
     assert_eq!(sent(&actions), vec![(id, probed)]);
@@ -51,9 +51,9 @@
 #[test]
 fn the_freshness_check_is_exact_for_bounded_reads() {
     for (age, qualifies) in [(500 * MS, true), (500 * MS + 1, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        d.hear(2, d.now - age, Role::Replica);
+        d.probe_answer(2, d.now - age, Role::Replica);
         let (_, actions) = d.request(BOUNDED, None);
         assert_eq!(!sent(&actions).is_empty(), qualifies, "age {age}");
     }
@@ -62,9 +62,9 @@
 #[test]
 fn the_freshness_check_is_exact_for_session_reads() {
     for (lead, qualifies) in [(0, true), (1, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        d.hear(2, d.now - 50 * MS - lead, Role::Replica);
+        d.probe_answer(2, d.now - 50 * MS - lead, Role::Replica);
         let (_, actions) = d.request(SESSION, Some(50 * MS));
         assert_eq!(!sent(&actions).is_empty(), qualifies, "lead {lead}");
     }
@@ -72,24 +72,24 @@
 
 #[test]
 fn a_remembered_write_binds_its_session_even_if_the_read_carries_an_age_of_zero() {
-    let mut d = Driver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
+    let mut d = RouterDriver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
     let (write, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(write, 1)]);
-    d.hear(2, d.now - 100 * MS, Role::Replica);
-    d.hear(3, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(2, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(3, d.now - 100 * MS, Role::Replica);
     d.ended(write, 0, Outcome::Completed, note(d.now, Role::Primary));
     let (read, actions) = d.request(SESSION, Some(0));
     assert!(sent(&actions).is_empty(), "no replica is known to have the write");
     assert_eq!(probes(&actions).len(), 1, "a replica is probed first");
-    assert_eq!(sent(&d.after(50 * MS)), vec![(read, 1)]);
-    d.hear(3, d.now, Role::Replica);
+    assert_eq!(sent(&d.advance(50 * MS)), vec![(read, 1)]);
+    d.probe_answer(3, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(0));
     assert_eq!(sent(&actions), vec![(read, 3)]);
 }
 
 #[test]
 fn members_that_check_positions_are_tried_on_an_estimate_but_not_after_a_miss() {
-    let mut d = Driver::new(Settings { when_behind: WhenBehind::Refuses, ..settings() });
+    let mut d = RouterDriver::new(Settings { when_behind: WhenBehind::Refuses, ..settings() });
     d.list(ListKind::Full, vec![member(2, false), member(3, false)]);
     for _ in 0..2 {
         let (id, actions) = d.request(ANY, None);
@@ -106,7 +106,7 @@
 #[test]
 fn only_members_that_check_positions_are_tried_on_old_or_missing_positions() {
     for (when_behind, tried) in [(WhenBehind::Refuses, true), (WhenBehind::Answers, false)] {
-        let mut d = Driver::new(Settings { when_behind, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { when_behind, instances: 100, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         // No position is known: a healthy replica has the session's write after 100 ms, but not at once.
         let (id, actions) = d.request(SESSION, Some(100 * MS));
@@ -117,7 +117,7 @@
             let (_, actions) = d.request(SESSION, Some(30 * MS));
             assert_eq!(sent(&actions).len(), 1, "position known from 8 s ago, 20 ms behind");
         }
-        let mut d = Driver::new(Settings { when_behind, ..settings() });
+        let mut d = RouterDriver::new(Settings { when_behind, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         assert!(
             sent(&d.request(SESSION, Some(20 * MS)).1).is_empty(),
@@ -129,7 +129,7 @@
 #[test]
 fn an_unsafe_write_that_may_have_run_is_never_sent_again_nor_refused() {
     for outcome in [Outcome::Errored, Outcome::Overdue, Outcome::Reset, Outcome::Cancelled] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         let (id, _) = d.request(UNSAFE, None);
         let actions = d.ended(id, 0, outcome, None);
         assert!(sent(&actions).is_empty() && !refused(&actions, id) && failed(&actions, id), "{outcome:?}");
@@ -138,7 +138,7 @@
 
 #[test]
 fn an_unsafe_write_that_cannot_have_run_looks_for_the_new_primary() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     let actions = d.ended(id, 0, Outcome::Miss, note(d.now, Role::Replica));
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_keyed_write_is_repeated_within_its_window_and_fails_at_once_after_it() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     d.now += 1_999 * MS;
     let actions = d.ended(id, 0, Outcome::Errored, None);
@@ -179,7 +179,7 @@
 }
 
 /// The members that get the request's next attempt from these actions on; none if the request fails first.
-fn next_attempts(d: &mut Driver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
+fn next_attempts(d: &mut RouterDriver, id: RequestId, mut actions: Vec<Action>) -> Vec<u32> {
     let mut members = Vec::new();
     let deadline = d.now + settings().classes[KEYED].deadline;
     loop {
@@ -189,7 +189,7 @@
             return members;
         }
         assert!(d.now < deadline, "the request was not answered");
-        actions = d.after(10 * MS);
+        actions = d.advance(10 * MS);
     }
 }
 
@@ -198,7 +198,7 @@
     for consistency in
         [Consistency::Any, Consistency::Bounded(500 * MS), Consistency::Session, Consistency::Fresh]
     {
-        let mut d = Driver::new(zone_deduplicated(consistency));
+        let mut d = RouterDriver::new(zone_deduplicated(consistency));
         let primary_is_near = consistency == Consistency::Fresh;
         d.list(
             ListKind::Full,
@@ -208,14 +208,14 @@
                 in_other_zone(3, false),
             ],
         );
-        d.hear(2, d.now, Role::Replica);
-        d.hear(3, d.now, Role::Replica);
+        d.probe_answer(2, d.now, Role::Replica);
+        d.probe_answer(3, d.now, Role::Replica);
         let (id, actions) = d.request(KEYED, None);
         let first = if primary_is_near { 1 } else { 2 };
         assert_eq!(sent(&actions), vec![(id, first)], "{consistency:?}");
         if primary_is_near {
             // The role moves to another zone before the first attempt ends.
-            d.hear(3, d.now + MS, Role::Primary);
+            d.probe_answer(3, d.now + MS, Role::Primary);
         }
         let actions = d.ended(id, 0, Outcome::Reset, None);
         assert!(next_attempts(&mut d, id, actions).is_empty(), "{consistency:?}");
@@ -224,15 +224,15 @@
 
 #[test]
 fn a_keyed_write_is_not_cancelled_for_a_new_primary_that_does_not_deduplicate_it() {
-    let mut d = Driver::new(zone_deduplicated(Consistency::Write));
+    let mut d = RouterDriver::new(zone_deduplicated(Consistency::Write));
     d.list(ListKind::Full, vec![member(1, true), member(2, false), in_other_zone(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.now += 500 * MS;
-    let actions = d.hear(3, d.now, Role::Primary);
+    let actions = d.probe_answer(3, d.now, Role::Primary);
     assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "no other member may take it");
     // The role returns to a member of its zone.
-    let actions = d.hear(2, d.now + 10 * MS, Role::Primary);
+    let actions = d.probe_answer(2, d.now + 10 * MS, Role::Primary);
     assert!(!actions.contains(&Action::Cancel { id, attempt: 0 }), "member 3 lost the role, not member 1");
     assert!(d.ended(id, 0, Outcome::Completed, None).iter().all(|a| !matches!(a, Action::Fail { .. })));
 }
@@ -240,23 +240,23 @@
 #[test]
 fn a_keyed_read_at_a_silent_member_is_cancelled_only_if_another_member_deduplicates_it() {
     for (zone, cancelled) in [(0, true), (1, false)] {
-        let mut d = Driver::new(zone_deduplicated(Consistency::Any));
+        let mut d = RouterDriver::new(zone_deduplicated(Consistency::Any));
         let other = Member { zone, ..member(3, false) };
         d.list(ListKind::Full, vec![in_other_zone(1, true), member(2, false), other]);
         let (id, actions) = d.request(KEYED, None);
         assert_eq!(sent(&actions).len(), 1);
-        let actions: Vec<Action> = (0..150).flat_map(|_| d.after(10 * MS)).collect();
+        let actions: Vec<Action> = (0..150).flat_map(|_| d.advance(10 * MS)).collect();
         assert_eq!(actions.contains(&Action::Cancel { id, attempt: 0 }), cancelled, "zone {zone}");
     }
 }
 
 #[test]
 fn a_keyed_write_is_not_tried_in_a_zone_that_does_not_deduplicate_it() {
-    let mut d = Driver::new(zone_deduplicated(Consistency::Write));
+    let mut d = RouterDriver::new(zone_deduplicated(Consistency::Write));
     d.list(ListKind::Full, vec![member(1, true), in_other_zone(2, false), in_other_zone(3, false)]);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
-    d.hear(1, d.now + MS, Role::Replica);
+    d.probe_answer(1, d.now + MS, Role::Replica);
     let actions = d.ended(id, 0, Outcome::Reset, None);
     let again = next_attempts(&mut d, id, actions);
     assert!(again.iter().all(|member| *member == 1), "{again:?}");
@@ -264,7 +264,7 @@
 
 #[test]
 fn a_keyed_write_at_a_replaced_primary_is_cancelled_and_sent_to_the_new_one() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     d.now += 500 * MS;
     let report = Report { position: Some(d.now), primary: Some(true), busy: None };
@@ -276,24 +276,24 @@
 
 #[test]
 fn an_old_primary_that_returns_does_not_take_the_role_back() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.now += 5_000 * MS;
-    d.hear(3, d.now, Role::Primary);
-    d.hear(1, d.now - 4_000 * MS, Role::Primary);
+    d.probe_answer(3, d.now, Role::Primary);
+    d.probe_answer(1, d.now - 4_000 * MS, Role::Primary);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 3)]);
 }
 
 #[test]
 fn every_held_request_is_answered_before_its_deadline_even_without_members() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, Vec::new());
     for class in [ANY, BOUNDED, SESSION, KEYED, UNSAFE] {
         let (id, mut actions) = d.request(class, Some(MS));
         let deadline = d.now + settings().classes[class].deadline;
         while d.now < deadline && !refused(&actions, id) {
-            actions = d.after(10 * MS);
+            actions = d.advance(10 * MS);
         }
         assert!(refused(&actions, id) && d.now < deadline, "class {class}");
     }
@@ -301,7 +301,7 @@
 
 #[test]
 fn a_draining_or_missing_member_gets_nothing_new() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let draining = Member { service_state: ServiceState::Draining, ..member(2, false) };
     d.list(ListKind::Changes, vec![draining]);
     for _ in 0..20 {
@@ -317,7 +317,7 @@
 fn a_removed_member_stays_in_use_where_removal_is_not_binding_unless_it_drained_before() {
     for (not_binding, drained) in [(true, false), (true, true), (false, false)] {
         let rules = Rules { removal_not_binding: not_binding, ..settings().rules };
-        let mut d = Driver::new(Settings { rules, ..settings() });
+        let mut d = RouterDriver::new(Settings { rules, ..settings() });
         let as_listed = |service_state| Member { service_state, ..member(2, false) };
         if drained {
             d.list(ListKind::Changes, vec![as_listed(ServiceState::Draining)]);
@@ -331,7 +331,7 @@
 
 #[test]
 fn a_cold_member_gets_few_requests_and_failed_ones_count() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let cold = Member { up_since: Some(d.now - MS), ..member(2, false) };
     d.list(ListKind::Full, vec![cold]);
     let mut count = 0;
@@ -347,17 +347,17 @@
 
 #[test]
 fn a_saturated_primary_is_not_tried_again_in_every_step() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(KEYED, None);
     assert!(sent(&d.ended(id, 0, Outcome::Saturated, note(d.now, Role::Primary))).is_empty());
-    assert!(sent(&d.after(5 * MS)).is_empty());
-    assert_eq!(sent(&d.after(50 * MS)), vec![(id, 1)]);
+    assert!(sent(&d.advance(5 * MS)).is_empty());
+    assert_eq!(sent(&d.advance(50 * MS)), vec![(id, 1)]);
 }
 
 #[test]
 fn slow_answers_lower_a_members_limit_and_quick_ones_restore_it() {
     let sent_until_full = |slow: usize, quick: usize| {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
         for n in 0..slow + quick {
             let (id, actions) = d.request(ANY, None);
@@ -376,7 +376,7 @@
 fn in_a_large_fleet_one_unanswered_attempt_weighs_much_and_few_answers_restore_a_member() {
     let admitted_after = |bad: Outcome, quick: usize| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             d.list(ListKind::Full, vec![member(2, false)]);
             let (id, _) = d.request(ANY, None);
             d.now += 150 * MS;
@@ -399,12 +399,12 @@
 fn a_silent_member_gets_nothing_new_despite_an_answered_probe_and_a_failed_probe_moves_its_reads() {
     for ok in [true, false] {
         let classes = vec![Class { aim: 700 * MS, deadline: 2_000 * MS, ..settings().classes[ANY].clone() }];
-        let mut d = Driver::new(Settings { classes, ..settings() });
+        let mut d = RouterDriver::new(Settings { classes, ..settings() });
         let (read, actions) = d.request(ANY, None);
         let at = sent(&actions)[0].1;
         let mut probed = Vec::new();
         while probed.is_empty() {
-            let actions = d.after(10 * MS);
+            let actions = d.advance(10 * MS);
             assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "before any probe");
             probed = probes(&actions);
         }
@@ -422,23 +422,23 @@
 
 #[test]
 fn a_member_once_silent_is_tried_with_one_request_at_a_time() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(1, true)]);
     let (id, _) = d.request(UNSAFE, None);
     for _ in 0..150 {
-        d.after(10 * MS);
+        d.advance(10 * MS);
         d.step(&[Event::Probed { member: MemberId(1), ok: true, report: None }]);
     }
     d.ended(id, 0, Outcome::Overdue, None);
     d.step(&[Event::Probed { member: MemberId(1), ok: true, report: None }]);
-    let tried = |d: &mut Driver| (0..5).map(|_| sent(&d.request(UNSAFE, None).1).len()).sum::<usize>();
+    let tried = |d: &mut RouterDriver| (0..5).map(|_| sent(&d.request(UNSAFE, None).1).len()).sum::<usize>();
     assert_eq!(tried(&mut d), 1, "a hung primary must not hold up its full limit of writes again");
 }
 
 #[test]
 fn a_zone_whose_members_go_silent_together_is_suspected_before_each_member_costs_a_request() {
     let lose_zone = |heard_between: bool| {
-        let mut d = Driver::new(Settings { instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
         let far = |id| Member { zone: 1, ..member(id, false) };
         d.list(ListKind::Full, (2..10).map(far).collect());
         let mut failures = 0;
@@ -467,7 +467,7 @@
     // the zone may be tried.
     d.now += 1_000 * MS;
     let probed = probes(&d.request(ANY, None).1)[0];
-    let mut actions = d.hear(probed, d.now, Role::Replica);
+    let mut actions = d.probe_answer(probed, d.now, Role::Replica);
     (0..8).for_each(|_| actions.extend(d.request(ANY, None).1));
     let tried: std::collections::BTreeSet<u32> = sent(&actions).into_iter().map(|(_, to)| to).collect();
     assert!((5..=6).contains(&tried.len()), "the five inferred ones, and the one that answered: {tried:?}");
@@ -481,7 +481,7 @@
     // router.
     let (mut trials, mut requests) = (0, 0);
     for seed in 0..100 {
-        let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
         d.list(ListKind::Full, (2..8).map(|id| Member { zone: 1, ..member(id, false) }).collect());
         let (id, mut actions) = d.request(ANY, None);
         for attempt in 0..3 {
@@ -491,7 +491,7 @@
         d.step(&[Event::Disconnected { id }]);
         d.now += 3_000 * MS;
         let probed = probes(&d.request(ANY, None).1)[0];
-        trials += sent(&d.hear(probed, d.now, Role::Replica)).len();
+        trials += sent(&d.probe_answer(probed, d.now, Role::Replica)).len();
         for _ in 0..5 {
             requests += 1;
             trials += sent(&d.request(ANY, None).1).len();
@@ -505,7 +505,7 @@
 
 #[test]
 fn a_member_that_fails_quickly_loses_its_reads_to_the_others() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut late = 0;
     for n in 0..60 {
         let (id, mut actions) = d.request(ANY, None);
@@ -522,7 +522,7 @@
 
 #[test]
 fn quick_errors_at_all_members_alike_exclude_none_of_them() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut sends = [0usize; 4];
     for n in 0..200 {
         let (id, mut actions) = d.request(ANY, None);
@@ -541,7 +541,7 @@
 
 #[test]
 fn a_reset_while_others_are_in_flight_does_not_exclude_the_member() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(2, false)]);
     let (first, _) = d.request(ANY, None);
     let (second, _) = d.request(ANY, None);
@@ -557,7 +557,7 @@
 #[test]
 fn equal_counts_are_broken_by_the_seed_and_a_cold_members_share_adds_up_over_many_drivers() {
     let first = |seed, cold: bool| {
-        let mut d = Driver::new(Settings { seed, instances: 300, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 300, ..settings() });
         let up_since = cold.then_some(d.now - MS);
         d.list(ListKind::Full, vec![Member { up_since, ..member(2, false) }, member(3, false)]);
         let (_, actions) = d.request(ANY, None);
@@ -578,7 +578,7 @@
         let (per_router, listed) = (20, 3 + cold);
         let mut got = vec![0; cold as usize];
         for seed in 0..routers {
-            let mut d = Driver::new(Settings { seed, instances: routers as u32, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: routers as u32, ..settings() });
             let mut list = vec![member(1, true), member(2, false), member(3, false)];
             let back = |id| Member { up_since: Some(d.now - MS), ..member(id, false) };
             list.extend((4..4 + cold).map(back));
@@ -620,11 +620,11 @@
     const SPAN: Time = 1_500 * MS;
     for (routers, fresh) in [(20u64, 0), (30, 0), (24, 12)] {
         let fleet = |seed| Settings { seed, instances: routers as u32, ..settings() };
-        let mut all: Vec<Driver> = (0..routers).map(|seed| Driver::new(fleet(seed))).collect();
+        let mut all: Vec<RouterDriver> = (0..routers).map(|seed| RouterDriver::new(fleet(seed))).collect();
         let start = all[0].now;
         for (n, d) in all.iter_mut().enumerate() {
             if (n as u64) < fresh {
-                *d = Driver::blank(fleet(n as u64));
+                *d = RouterDriver::without_members(fleet(n as u64));
                 d.now = start;
             }
             let warm = (1..5).map(|id| Member { up_since: Some(1), ..member(id, id == 1) });
@@ -671,7 +671,7 @@
 fn in_a_half_warm_group_nearly_all_reads_and_retries_find_a_member() {
     let found = |age: Time, repeat: bool| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             let new = |id| Member { up_since: Some(d.now - age), ..member(id, id == 1) };
             d.list(ListKind::Full, (1..8).map(new).collect());
             let (group, class, deadline) = (9, ANY, d.now + 800 * MS);
@@ -703,7 +703,7 @@
 fn a_cold_primary_gets_writes_up_to_twice_its_capacity_and_no_reads() {
     let count = |class| {
         let one = |seed| {
-            let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
             d.list(ListKind::Full, vec![Member { up_since: Some(d.now), ..member(1, true) }]);
             sent(&d.request(class, None).1).len()
         };
@@ -718,9 +718,9 @@
 fn idle_connections_are_closed_only_where_they_lose_requests() {
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle { .. }));
     for (idle_lost, used_lost, expected) in [(2, 0, true), (2, 4, false), (1, 0, false)] {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         d.list(ListKind::Full, vec![member(2, false)]);
-        let attempt = |d: &mut Driver, pause: Time, outcome| {
+        let attempt = |d: &mut RouterDriver, pause: Time, outcome| {
             d.now += pause;
             let (id, actions) = d.request(ANY, None);
             assert_eq!(sent(&actions).len(), 1);
@@ -742,7 +742,7 @@
 
 #[test]
 fn a_replica_of_unknown_position_is_probed_before_the_primary_takes_a_read() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, actions) = d.request(BOUNDED, None);
     assert!(sent(&actions).is_empty());
     assert_eq!(probes(&actions).len(), 1, "one probe, as hundreds of drivers must not probe all replicas");
@@ -753,7 +753,7 @@
 }
 
 /// How many of `count` consecutive reads are sent at once, each answered after `spent`.
-fn admitted(d: &mut Driver, spent: Time, count: usize) -> usize {
+fn admitted(d: &mut RouterDriver, spent: Time, count: usize) -> usize {
     let mut sent_now = 0;
     for _ in 0..count {
         let (id, actions) = d.request(ANY, None);
@@ -767,7 +767,7 @@
 
 #[test]
 fn slow_answers_of_many_members_reduce_the_requests_to_all_of_them() {
-    let mut d = Driver::new(Settings { instances: 300, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 300, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
     assert_eq!(admitted(&mut d, 10 * MS, 40), 40);
     admitted(&mut d, 250 * MS, 40);
@@ -781,7 +781,7 @@
 
 #[test]
 fn in_a_large_fleet_slow_answers_within_the_aim_refuse_no_read_while_other_members_are_idle() {
-    let mut d = Driver::new(Settings { instances: 100, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
     d.list(ListKind::Full, (2..40).map(|id| member(id, false)).collect());
     // Half of the members answer slowly; the other half has nothing in flight and was never slow.
     assert_eq!(admitted(&mut d, 150 * MS, 19), 19);
@@ -790,7 +790,7 @@
 
 #[test]
 fn repeated_empty_and_foreign_list_entries_change_nothing() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Changes, vec![member(2, false), member(2, false)]);
     d.list(ListKind::Changes, Vec::new());
     d.list(ListKind::Changes, vec![Member { group: 77, zone: 9, ..member(50, false) }]);
@@ -802,7 +802,7 @@
 
 #[test]
 fn a_member_listed_under_another_group_gets_nothing_for_its_old_one() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Changes, vec![Member { group: 77, ..member(2, false) }]);
     for _ in 0..20 {
         assert!(sent(&d.request(ANY, None).1).iter().all(|(_, m)| *m != 2));
@@ -811,12 +811,12 @@
 
 #[test]
 fn a_failed_list_call_is_repeated_after_a_pause() {
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     let subscribes = |a: &[Action]| a.contains(&Action::Subscribe);
     assert!(!subscribes(&d.list(ListKind::Failed, Vec::new())), "the call is not repeated at once");
     let mut called = false;
     for _ in 0..15 {
-        called |= subscribes(&d.after(100 * MS));
+        called |= subscribes(&d.advance(100 * MS));
     }
     assert!(called);
 }
@@ -829,7 +829,7 @@
     let spread = |instances: u32, took: Time| {
         let (mut firsts, mut calls) = (Vec::new(), Vec::new());
         for seed in 0..u64::from(instances) {
-            let mut d = Driver::new(Settings { seed, instances, subscribe: true, ..settings() });
+            let mut d = RouterDriver::new(Settings { seed, instances, subscribe: true, ..settings() });
             let (start, mut own) = (d.now, Vec::new());
             let mut asks = d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe);
             while d.now < start + 30_000 * MS {
@@ -838,7 +838,7 @@
                     d.now += took;
                     d.list(ListKind::Failed, vec![]);
                 }
-                asks = d.after(10 * MS).contains(&Action::Subscribe);
+                asks = d.advance(10 * MS).contains(&Action::Subscribe);
             }
             // A change from before the start counts as known soon after the start, and the answer may take 2
             // s.
@@ -867,7 +867,7 @@
         }
         spread(6, took);
     }
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     assert!(
         d.list(ListKind::Disk, vec![member(1, true)]).contains(&Action::Subscribe),
         "a small fleet calls at once"
@@ -876,7 +876,7 @@
 
 #[test]
 fn events_for_unknown_or_finished_requests_and_members_are_ignored() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let (id, _) = d.request(ANY, None);
     d.ended(id, 0, Outcome::Completed, None);
     let unknown = RequestId(77);
@@ -885,7 +885,7 @@
         assert!(sent(&d.step(&[Event::Disconnected { id }, Event::Started { id, attempt: 3 }])).is_empty());
     }
     d.step(&[Event::Probed { member: MemberId(99), ok: false, report: None }]);
-    assert!(sent(&d.after(0)).is_empty());
+    assert!(sent(&d.advance(0)).is_empty());
 }
 
 #[test]
@@ -903,7 +903,7 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         let mut all = Vec::new();
         for n in 0..200 {
             d.now += 3 * MS;
@@ -921,7 +921,7 @@
 #[test]
 fn each_router_takes_its_even_share_of_a_members_limit() {
     let sent_until_full = |instances, class| {
-        let mut d = Driver::new(Settings { instances, ..settings() });
+        let mut d = RouterDriver::new(Settings { instances, ..settings() });
         d.list(ListKind::Full, vec![if class == UNSAFE { member(1, true) } else { member(2, false) }]);
         (0..60).filter(|_| !sent(&d.request(class, None).1).is_empty()).count()
     };
@@ -934,7 +934,7 @@
 #[test]
 fn an_attempt_is_stopped_early_only_if_a_repeat_is_allowed_and_still_in_time() {
     let stop = |class, after: Time| {
-        let mut d = Driver::new(settings());
+        let mut d = RouterDriver::new(settings());
         for _ in 0..200 {
             let (id, _) = d.request(class, None);
             d.ended(id, 0, Outcome::Completed, note(d.now, Role::Primary));
@@ -959,7 +959,7 @@
     // Requests take 20 ms until the members become congested; then those that find a member busy take 150 ms,
     // still within the aim. If the mean followed answers alone, it would be that of the few quick requests,
     // and all others would be cut off within 16 ms although they run to their end.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut early = 0;
     for n in 0..600u64 {
         let takes = match n {
@@ -995,7 +995,7 @@
 fn a_read_with_too_little_time_for_an_answer_is_refused_at_once_except_for_a_few() {
     // Requests take 40 ms: members would work in vain for clients that wait 30 ms, but not for those that
     // wait 400 ms.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let mut ask = |left: Time| {
         let id = RequestId(1_000_000 + d.now);
         let event = Event::Request {
@@ -1037,29 +1037,29 @@
 #[test]
 fn a_write_that_reached_no_member_is_given_up_before_half_of_its_time() {
     // A late refusal of a write that was never tried costs more than the chance of a new primary is worth.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![]);
     let (id, actions) = d.request(UNSAFE, None);
     assert!(sent(&actions).is_empty());
-    assert!(!refused(&d.after(1_900 * MS), id), "a primary may still be found in time");
-    let actions = d.after(90 * MS);
+    assert!(!refused(&d.advance(1_900 * MS), id), "a primary may still be found in time");
+    let actions = d.advance(90 * MS);
     let away = Some(500 * MS);
     assert!(actions.contains(&Action::Refuse { id, retry_after: away }), "{actions:?}");
     // A write that a member refused was tried, and may wait until its client's deadline.
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     d.list(ListKind::Full, vec![member(1, true)]);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), vec![(id, 1)]);
     d.ended(id, 0, Outcome::Miss, note(d.now, Role::Replica));
     d.list(ListKind::Full, vec![]);
-    assert!(!refused(&d.after(2_500 * MS), id));
-    assert!(refused(&d.after(1_495 * MS), id));
+    assert!(!refused(&d.advance(2_500 * MS), id));
+    assert!(refused(&d.advance(1_495 * MS), id));
 }
 
 #[test]
 fn removed_members_are_forgotten_and_prove_their_position_again_when_they_return() {
-    let mut d = Driver::new(settings());
-    d.hear(2, d.now, Role::Replica);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(2, d.now, Role::Replica);
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert_eq!(sent(&actions), vec![(read, 2)]);
     let gone = |id| Member { service_state: ServiceState::Removed, ..member(id, false) };
@@ -1071,12 +1071,12 @@
     let (read, actions) = d.request(SESSION, Some(50 * MS));
     assert!(sent(&actions).is_empty(), "its proven position is forgotten");
     assert_eq!(probes(&actions), vec![2]);
-    assert_eq!(sent(&d.hear(2, d.now, Role::Replica)), vec![(read, 2)]);
+    assert_eq!(sent(&d.probe_answer(2, d.now, Role::Replica)), vec![(read, 2)]);
 }
 
 #[test]
 fn replacing_most_members_within_seconds_leaves_no_state_behind() {
-    let mut d = Driver::new(Settings { instances: 100, ..settings() });
+    let mut d = RouterDriver::new(Settings { instances: 100, ..settings() });
     let of = |id: u32| Member { group: u64::from(id % 10), ..member(id, id < 10) };
     d.list(ListKind::Full, (0..60).map(of).collect());
     let before = d.router.entry_count();
@@ -1101,7 +1101,7 @@
     // 100 routers find the member unreachable at the same time and each has a read for its group every 10 ms.
     let mut probed = Vec::new();
     for seed in 0..100 {
-        let mut d = Driver::new(Settings { seed, instances: 100, ..settings() });
+        let mut d = RouterDriver::new(Settings { seed, instances: 100, ..settings() });
         d.list(ListKind::Full, vec![member(2, false)]);
         let (start, (id, _)) = (d.now, d.request(ANY, None));
         d.ended(id, 0, Outcome::Refused, None);
@@ -1126,7 +1126,7 @@
 
 #[test]
 fn short_lived_members_and_unknown_groups_leave_no_state_behind() {
-    let mut d = Driver::new(settings());
+    let mut d = RouterDriver::new(settings());
     let before = d.router.entry_count();
     for i in 100..200 {
         d.list(ListKind::Changes, vec![member(i, false)]);
@@ -1145,15 +1145,15 @@
             proven_position: None,
             repeat: false,
         }]);
-        assert!(refused(&d.after(100 * MS), id));
+        assert!(refused(&d.advance(100 * MS), id));
     }
     assert_eq!(d.router.entry_count(), before);
 }
 
 #[test]
 fn new_settings_keep_the_router_state_and_the_rules_of_open_requests() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     // Fewer attempts than before, and one more class index, under which the former class is safe.
@@ -1167,14 +1167,14 @@
         "it arrived as an unsafe request: {actions:?}"
     );
     // For a new request the primary is still known, and two attempts are allowed from now on.
-    d.hear(1, d.now, Role::Primary);
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     let again = d.ended(id, 0, Outcome::Saturated, None);
-    let again = [again, d.after(100 * MS), d.after(100 * MS)].concat();
+    let again = [again, d.advance(100 * MS), d.advance(100 * MS)].concat();
     assert_eq!(sent(&again), [(id, 1)]);
     let last = d.ended(id, 1, Outcome::Saturated, None);
-    let last = [last, d.after(100 * MS), d.after(100 * MS)].concat();
+    let last = [last, d.advance(100 * MS), d.advance(100 * MS)].concat();
     assert!(sent(&last).is_empty() && refused(&last, id), "{last:?}");
 }
 
@@ -1182,8 +1182,8 @@
 fn a_request_keeps_the_attempt_limit_that_it_arrived_with() {
     let mut few = settings();
     few.max_attempts = 1;
-    let mut d = Driver::new(few);
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(few);
+    d.probe_answer(1, d.now, Role::Primary);
     let (id, actions) = d.request(KEYED, None);
     assert_eq!(sent(&actions), [(id, 1)]);
     d.step(&[Event::Settings(Box::new(settings()))]);
@@ -1193,25 +1193,25 @@
 
 #[test]
 fn an_operators_change_of_a_member_leaves_a_call_to_discovery_due() {
-    let mut d = Driver::new(Settings { subscribe: true, ..settings() });
+    let mut d = RouterDriver::new(Settings { subscribe: true, ..settings() });
     let out = Member { service_state: ServiceState::Draining, ..member(2, false) };
     let first = d.list(ListKind::Operator, vec![out]);
-    let later = [first, d.after(10 * MS), d.after(10_000 * MS)].concat();
+    let later = [first, d.advance(10 * MS), d.advance(10_000 * MS)].concat();
     assert!(later.contains(&Action::Subscribe), "{later:?}");
 }
 
 #[test]
 fn a_long_request_causes_few_probes_of_a_silent_member_and_none_where_work_takes_long() {
     // Nothing is answered while it runs, as at a member that hangs.
-    let probe_count = |d: &mut Driver, span: Time| {
+    let probe_count = |d: &mut RouterDriver, span: Time| {
         let mut probe_count = 0;
         for _ in 0..span / (50 * MS) {
-            probe_count += probes(&d.after(50 * MS)).len();
+            probe_count += probes(&d.advance(50 * MS)).len();
         }
         probe_count
     };
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
     assert!(probe_count(&mut d, 450 * MS) <= 1);
     let more = probe_count(&mut d, 1_000 * MS);
@@ -1219,8 +1219,8 @@
     // The same where a write usually takes 700 ms.
     let mut long = settings();
     long.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (2_800 * MS, 9_000 * MS));
-    let mut d = Driver::new(long);
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(long);
+    d.probe_answer(1, d.now, Role::Primary);
     d.request(UNSAFE, None);
     assert_eq!(probe_count(&mut d, 1_500 * MS), 0);
 }
@@ -1231,7 +1231,7 @@
     let order = |importance: f64| {
         let mut set = Settings { instances: 96, ..settings() };
         set.classes[BOUNDED] = Class { importance, ..set.classes[ANY].clone() };
-        let mut driver = Driver::new(set);
+        let mut driver = RouterDriver::new(set);
         let mut out = Vec::new();
         // Until no member has capacity.
         let less_important = loop {
@@ -1260,15 +1260,15 @@
     let set = Settings { subscribe: true, instances: 300, ..settings() };
     // A router whose first call is late: its slot comes after the list may be out of date.
     let late = |seed: &u64| {
-        let mut d = Driver::blank(Settings { seed: *seed, ..set.clone() });
+        let mut d = RouterDriver::without_members(Settings { seed: *seed, ..set.clone() });
         let began = d.now;
         d.list(ListKind::Disk, vec![member(1, true), member(2, false)]);
-        while !d.after(10 * MS).contains(&Action::Subscribe) {}
+        while !d.advance(10 * MS).contains(&Action::Subscribe) {}
         d.now >= began + 1_800 * MS
     };
     let seed = (0..100).find(late).expect("calls are spread over 2 s");
     let start = || {
-        let mut d = Driver::blank(Settings { seed, ..set.clone() });
+        let mut d = RouterDriver::without_members(Settings { seed, ..set.clone() });
         d.list(ListKind::Disk, vec![member(1, true), member(2, false)]);
         d
     };
@@ -1292,14 +1292,14 @@
     let gone = Member { service_state: ServiceState::Removed, ..member(2, false) };
     let actions = d.list(ListKind::Changes, vec![gone]);
     let mut to = sent(&actions);
-    to.extend(sent(&d.after(600 * MS)));
+    to.extend(sent(&d.advance(600 * MS)));
     assert!(to.contains(&(write, 1)) && !to.iter().any(|(_, member)| *member == 2), "{read:?} {to:?}");
 
     // A request that waits too long is refused in time for its client to retry.
     let mut d = start();
     d.now += 2_100 * MS;
     let (read, _) = d.request(ANY, None);
-    let waited: Vec<Action> = (0..20).flat_map(|_| d.after(10 * MS)).collect();
+    let waited: Vec<Action> = (0..20).flat_map(|_| d.advance(10 * MS)).collect();
     assert!(refused(&waited, read) && sent(&waited).is_empty(), "{waited:?}");
 
     // If discovery is down, no other router has learned of a change either.
@@ -1311,9 +1311,9 @@
 
 #[test]
 fn a_remembered_session_read_requires_a_proven_position_for_a_write_that_it_carries() {
-    let mut d = Driver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
+    let mut d = RouterDriver::new(Settings { session_marks: SessionTokenSource::Remembered, ..settings() });
     d.list(ListKind::Full, vec![member(2, false)]);
-    d.hear(2, d.now - 100 * MS, Role::Replica);
+    d.probe_answer(2, d.now - 100 * MS, Role::Replica);
     let read = Event::Request {
         id: RequestId(900),
         class: SESSION,
@@ -1329,17 +1329,17 @@
 
 #[test]
 fn a_report_from_before_a_member_lost_its_role_does_not_give_the_role_back() {
-    let mut d = Driver::new(settings());
-    d.hear(1, d.now, Role::Primary);
+    let mut d = RouterDriver::new(settings());
+    d.probe_answer(1, d.now, Role::Primary);
     d.now += 1_000 * MS;
     let (write, actions) = d.request(UNSAFE, None);
     assert_eq!(sent(&actions), [(write, 1)]);
     d.ended(write, 0, Outcome::Miss, note(d.now, Role::Replica));
     // Reports are refreshed a few times a second; this one is from before the election.
     d.now += 100 * MS;
-    d.hear(1, d.now - 300 * MS, Role::Primary);
+    d.probe_answer(1, d.now - 300 * MS, Role::Primary);
     let (read, actions) = d.request(SESSION, Some(10 * MS));
-    let actions = [actions, d.after(100 * MS)].concat();
+    let actions = [actions, d.advance(100 * MS)].concat();
     assert!(!sent(&actions).contains(&(read, 1)), "it has shown that it is a replica, and is behind");
 }
 
@@ -1350,7 +1350,7 @@
             let rules = Rules { warm_after, ..settings().rules };
             Settings { rules, ..settings() }
         };
-        let mut d = Driver::new(with(before));
+        let mut d = RouterDriver::new(with(before));
         let fresh = Member { up_since: Some(d.now - 2_000 * MS), ..member(2, false) };
         d.list(ListKind::Full, vec![fresh]);
         d.step(&[Event::Settings(Box::new(with(after)))]);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,11 +2,11 @@
 #![allow(missing_docs)]
 
 mod scenario;
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn the_console_answers_each_line_once_and_no_call_it_does_not_know() {
-    play(
+    run_scenario(
         "member p primary
          start console
          console 200 STATUS
@@ -30,7 +30,7 @@
 #[test]
 fn status_says_no_while_no_request_could_be_served() {
     // Its only member is out by hand.
-    play(
+    run_scenario(
         "member p primary
          start console
          console 200 STATUS
@@ -43,7 +43,7 @@
 
 #[test]
 fn callers_that_say_nothing_do_not_keep_out_one_that_does() {
-    play(
+    run_scenario(
         "member p primary
          start console
          silent 60
@@ -58,7 +58,7 @@
 #[test]
 fn the_console_is_there_where_clients_hold_all_the_descriptors_they_may() {
     // A small proxy has seats for four clients; the others wait at the door.
-    play(
+    run_scenario(
         "member p primary
          start console small
          a send hello
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_member_out_by_hand_gets_nothing_new_and_finishes_what_it_has() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console
@@ -102,7 +102,7 @@
 
 #[test]
 fn what_discovery_says_meanwhile_does_not_put_a_member_back() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console watching
@@ -130,7 +130,7 @@
 
 #[test]
 fn the_one_that_leaves_neither_shuts_the_listener_nor_leaves_a_request_unread() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          a send read k1 monthly-report
@@ -160,7 +160,7 @@
 
 #[test]
 fn what_the_operators_say_at_either_process_binds_both_and_the_next() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console handed
@@ -199,7 +199,7 @@
 #[test]
 fn calls_at_both_processes_at_once_are_all_recorded() {
     // Each call reads, changes and writes the same file.
-    play(
+    run_scenario(
         "member p primary
          member a replica 0
          member b replica 0
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_file_of_the_handover_that_cannot_be_used_is_passed_over() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start console handed
@@ -248,7 +248,7 @@
 
 #[test]
 fn one_process_goes_on_where_the_other_is_killed() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          upgrade
@@ -268,7 +268,7 @@
 
 /// Clients that never stop, and what has become of their requests.
 mod load {
-    use linentrail_standins::client::{request_id, Ask, Pg, Told};
+    use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
     use linentrail_standins::{runtime, wire};
     use std::net::SocketAddr;
     use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -298,11 +298,11 @@
     /// One client: a booking on a key of its own, then a read of it that carries the commit, as the platform's do.
     pub fn client(to: SocketAddr, number: usize, seen: Arc<Seen>) -> tokio::task::JoinHandle<u64> {
         runtime().spawn(async move {
-            let (mut conn, mut n, mut written) = (None::<Pg>, 0u64, 0);
+            let (mut conn, mut n, mut written) = (None::<PgClient>, 0u64, 0);
             while !seen.over.load(Ordering::Relaxed) {
                 let mut pg = match conn.take() {
                     Some(pg) => pg,
-                    None => match Pg::connect(to).await {
+                    None => match PgClient::connect(to).await {
                         Ok(pg) => pg,
                         Err(_) => {
                             add(&seen.broken);
@@ -312,7 +312,7 @@
                 };
                 let write = n.is_multiple_of(2);
                 let value = (n / 2).to_be_bytes().to_vec();
-                let ask = Ask {
+                let ask = ClientRequest {
                     class: if write { "place-order" } else { "my-booking" },
                     key: format!("load{number}"),
                     value: write.then(|| value.clone()),
@@ -324,17 +324,17 @@
                     continue;
                 }
                 match pg.answer().await {
-                    Ok(Told::Served(got)) if write || got == value => {
+                    Ok(ClientAnswer::Served(got)) if write || got == value => {
                         add(&seen.served);
                         written += u64::from(write);
                         n += 1;
                     }
-                    Ok(Told::Served(_)) => {
+                    Ok(ClientAnswer::Served(_)) => {
                         add(&seen.stale);
                         n += 1;
                     }
-                    Ok(Told::Refused(_)) => add(&seen.refused),
-                    Ok(Told::Failed(_)) => add(&seen.wrong),
+                    Ok(ClientAnswer::Refused(_)) => add(&seen.refused),
+                    Ok(ClientAnswer::Failed(_)) => add(&seen.wrong),
                     Err(_) => {
                         add(&seen.broken);
                         continue;
@@ -370,9 +370,9 @@
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: told,
-        loud: true,
+        echo_log: true,
         listener: Some(listener),
-        shared: Some(shared.clone()),
+        shared_folder: Some(shared.clone()),
         ..Setup::default()
     };
     let mut proxy = Proxy::start(&setup).expect("the proxy starts");
@@ -401,7 +401,7 @@
 
 #[test]
 fn new_settings_hold_for_both_fronts_and_a_dropped_class_is_like_an_unknown_one() {
-    play(
+    run_scenario(
         "member p primary
          start odata
          a send read k1 haste
@@ -438,7 +438,7 @@
         "config lacks services/3/aim_us",
         "config sets family_info/needs_by_class [\"any\"]",
     ] {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start watching
              list expect 1 watches
@@ -465,7 +465,7 @@
     for (before, after, told) in
         [("non_idempotent", "read_like", "error XX000"), ("read_like", "non_idempotent", "row 01")]
     {
-        play(&format!(
+        run_scenario(&format!(
             "member p primary
              start
              config drops place-order
@@ -493,7 +493,7 @@
 fn a_session_reads_by_the_next_process_what_it_has_just_written_by_the_former() {
     // The replica is far behind, and the read carries no position by which it could know. The write's answer leaves the
     // former process when that no longer takes clients, so that the read can only come by the next.
-    play(
+    run_scenario(
         "member p primary
          member r replica 600000
          start console handed
@@ -518,7 +518,7 @@
 #[test]
 fn a_session_reads_what_it_has_written_where_the_processes_cannot_see_each_other() {
     // A folder where a lock should be; the replica is far behind.
-    play(
+    run_scenario(
         "member p primary
          member r replica 600000
          start odata console handed
@@ -537,7 +537,7 @@
 
 #[test]
 fn both_told_to_end_answer_what_they_have_taken() {
-    play(
+    run_scenario(
         "member p primary
          start console handed
          p does hold
@@ -562,7 +562,7 @@
 
 #[test]
 fn the_console_answers_in_time_while_the_core_has_all_it_can_do() {
-    use linentrail_standins::client::{request_id, Ask, Pg};
+    use linentrail_standins::client::{request_id, ClientRequest, PgClient};
     use linentrail_standins::group::Group;
     use linentrail_standins::member::{Capacity, Member};
     use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -574,18 +574,24 @@
     let mut told = config("127.0.0.1:9", &[entry(0, member.address())], settings(), 1024, 64);
     told["console"] = "127.0.0.1:0".into();
     let program = env!("CARGO_BIN_EXE_linentrail").into();
-    let proxy = Proxy::start(&Setup { program, config: told, loud: true, ..Setup::default() });
+    let proxy = Proxy::start(&Setup { program, config: told, echo_log: true, ..Setup::default() });
     let proxy = proxy.expect("the proxy starts");
     let to = proxy.pg;
     let flood = |n: usize| {
         runtime().spawn(async move {
-            let mut pg = Pg::connect(to).await.expect("it listens");
+            let mut pg = PgClient::connect(to).await.expect("it listens");
             let mut answered = 0u64;
             loop {
                 let mut queries = Vec::new();
                 for _ in 0..16 {
                     let key = format!("k{n}");
-                    let ask = Ask { class: "monthly-report", key, value: None, wait_ms: 8_000, after: None };
+                    let ask = ClientRequest {
+                        class: "monthly-report",
+                        key,
+                        value: None,
+                        wait_ms: 8_000,
+                        after: None,
+                    };
                     queries.extend(wire::query(&ask.sql(&request_id())));
                 }
                 if pg.send(&queries).await.is_err() {
@@ -604,7 +610,7 @@
     std::thread::sleep(Duration::from_millis(300));
     for n in 0..40 {
         let line = ["STATUS\n", "SUSPEND s-00000000\n", "RESTORE s-00000000\n"][n % 3];
-        let (answer, took) = proxy.call(line).expect("an answer");
+        let (answer, took) = proxy.call_console(line).expect("an answer");
         assert!(answer.starts_with("200 ") && took < Duration::from_secs(1), "{line}: {answer} {took:?}");
     }
     let served = proxy.counters().expect("counters")["pg_requests"];
@@ -615,7 +621,7 @@
 
 #[test]
 fn a_booking_tried_at_both_processes_runs_once() {
-    play(
+    run_scenario(
         "member p primary
          start odata console handed
          o send GET k0 monthly-report
@@ -632,7 +638,7 @@
 
 #[test]
 fn a_booking_that_ran_by_one_process_runs_again_by_the_other() {
-    play(
+    run_scenario(
         "member p primary
          start console handed odata
          b send GET k0 monthly-report
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -4,19 +4,19 @@
 
 mod scenario;
 
-use linentrail_standins::client::{request_id, Ask, Pg, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
 use linentrail_standins::proxy::{config, settings, Proxy, Setup};
 use linentrail_standins::registry::entry;
 use linentrail_standins::{runtime, wire};
-use scenario::play;
+use scenario::run_scenario;
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_second_copy_soon_behind_an_answer_is_never_the_next_answer() {
     // The copy comes after the answer was passed on and before the connection has rested.
-    play(
+    run_scenario(
         "member p primary
          start
          a send write k1 01
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_second_copy_behind_a_miss_does_not_answer_the_next_read() {
-    play(
+    run_scenario(
         "member p primary
          member r replica 0
          start
@@ -64,7 +64,7 @@
 #[test]
 fn a_large_value_that_breaks_off_is_served_whole_by_another_member() {
     let value = "5a".repeat(64 * 1024);
-    play(&format!(
+    run_scenario(&format!(
         "member p primary
          member r replica 0
          start
@@ -96,28 +96,28 @@
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
         config: config("127.0.0.1:9", &known, settings(), 1024, 192),
-        loud: true,
+        echo_log: true,
         ..Setup::default()
     };
     World { member, group, proxy: Proxy::start(&setup).expect("the proxy starts") }
 }
 
-fn read(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None }
+fn read(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None }
 }
 
 /// What was asked for, or a refusal: members that answer at once make the proxy take an answer for lost that a busy
 /// machine holds up for some ms, and then it may have no other to ask.
-fn whole(told: &Told, value: &[u8]) -> bool {
-    matches!(told, Told::Refused(_)) || matches!(told, Told::Served(v) if v == value)
+fn whole(told: &ClientAnswer, value: &[u8]) -> bool {
+    matches!(told, ClientAnswer::Refused(_)) || matches!(told, ClientAnswer::Served(v) if v == value)
 }
 
 /// Asks until it is served.
-async fn served(client: &mut Pg, key: &str, value: &[u8]) {
+async fn served(client: &mut PgClient, key: &str, value: &[u8]) {
     loop {
-        let told = client.ask(&read(key)).await.expect("an answer");
+        let told = client.request(&read(key)).await.expect("an answer");
         assert!(whole(&told, value), "another value, or a failure");
-        if matches!(told, Told::Served(_)) {
+        if matches!(told, ClientAnswer::Served(_)) {
             return;
         }
     }
@@ -134,16 +134,16 @@
     world.group.preset("small", vec![8; 8].into());
     runtime().block_on(async {
         // 4 MiB of answers, far more than the sockets hold; none of them is read until all others are done.
-        let mut slow = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut slow = PgClient::connect(world.proxy.pg).await.expect("it connects");
         slow.send(&queries(&["big"; 64])).await.expect("its queries are taken");
-        while world.member.given("read big") == 0 {
+        while world.member.statement_count("read big") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut others = tokio::task::JoinSet::new();
         for _ in 0..64 {
             let at = world.proxy.pg;
             others.spawn(async move {
-                let mut client = Pg::connect(at).await.expect("it connects");
+                let mut client = PgClient::connect(at).await.expect("it connects");
                 for _ in 0..20 {
                     served(&mut client, "small", &[8; 8]).await;
                 }
@@ -169,7 +169,7 @@
         world.group.preset(key, vec![n as u8; size].into());
     }
     runtime().block_on(async {
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
         let asked: Vec<&str> = keys.iter().map(|k| &k[..]).collect();
         let mut served = [0; 16];
         while served.iter().any(|n| *n < 20) {
@@ -178,10 +178,10 @@
                 let size = if n % 3 == 0 { 64 * 1024 } else { 8 };
                 let told = client.answer().await.expect("an answer");
                 assert!(whole(&told, &vec![n as u8; size]), "answer {n} is another's");
-                *served += u32::from(matches!(told, Told::Served(_)));
+                *served += u32::from(matches!(told, ClientAnswer::Served(_)));
             }
         }
-        assert_eq!(client.strays(), 0);
+        assert_eq!(client.unread_bytes(), 0);
     });
 }
 
@@ -191,12 +191,12 @@
     world.group.preset("big", vec![7; 64 * 1024].into());
     runtime().block_on(async {
         for _ in 0..40 {
-            let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+            let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
             client.send(&queries(&["big"; 8])).await.expect("it is taken");
             // A part of the first answer has come when it goes.
-            client.some().await.expect("the first bytes");
+            client.wait_for_data().await.expect("the first bytes");
         }
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut client = PgClient::connect(world.proxy.pg).await.expect("it connects");
         for _ in 0..20 {
             served(&mut client, "big", &[7; 64 * 1024]).await;
         }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -2,10 +2,10 @@
 //! answer, however long the rest of the start takes.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Told};
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest};
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Capacity, Member};
-use linentrail_standins::proxy::{self, Launched, Setup};
+use linentrail_standins::proxy::{self, ProxyProcess, Setup};
 use linentrail_standins::registry::entry;
 use linentrail_standins::wire;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -62,7 +62,7 @@
 }
 
 /// Connects again and again until somebody listens there.
-fn connect(to: SocketAddr, launched: &mut Launched) -> TcpStream {
+fn connect(to: SocketAddr, launched: &mut ProxyProcess) -> TcpStream {
     let began = Instant::now();
     loop {
         match TcpStream::connect(to) {
@@ -78,8 +78,14 @@
     }
 }
 
-fn booking(key: &str) -> Ask {
-    Ask { class: "place-order", key: key.into(), value: Some(vec![7]), wait_ms: 15_000, after: None }
+fn booking(key: &str) -> ClientRequest {
+    ClientRequest {
+        class: "place-order",
+        key: key.into(),
+        value: Some(vec![7]),
+        wait_ms: 15_000,
+        after: None,
+    }
 }
 
 /// Sends the startup and a statement in one go, as clients may.
@@ -89,17 +95,17 @@
 }
 
 /// The final answer on a connection: a row, or an error with its SQLSTATE.
-fn answer(stream: &mut TcpStream) -> Told {
+fn answer(stream: &mut TcpStream) -> ClientAnswer {
     loop {
         let (tag, body) = wire::read(stream, true).expect("a request that was read gets an answer");
         match tag {
-            b'D' => return Told::Served(body[6..].to_vec()),
+            b'D' => return ClientAnswer::Served(body[6..].to_vec()),
             b'E' => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 let code = text.split('\0').find_map(|field| field.strip_prefix('C')).unwrap_or_default();
                 return match code {
-                    "53300" | "57P03" => Told::Refused(None),
-                    other => Told::Failed(other.to_string()),
+                    "53300" | "57P03" => ClientAnswer::Refused(None),
+                    other => ClientAnswer::Failed(other.to_string()),
                 };
             }
             _ => {}
@@ -125,33 +131,33 @@
     let mut world = World::new();
     let operators = pipe("files");
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), operators.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     ask(&mut client, "early");
     write_to(&operators);
     let told = answer(&mut client);
-    assert!(matches!(told, Told::Served(_) | Told::Refused(_)), "{told:?}");
-    let proxy = launched.serving(&world.setup).unwrap();
+    assert!(matches!(told, ClientAnswer::Served(_) | ClientAnswer::Refused(_)), "{told:?}");
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
 }
 
 #[test]
 fn a_client_is_refused_while_the_start_takes_long_and_served_after_it() {
     let mut world = World::new();
     let held = world.hold_console();
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
     ask(&mut client, "early");
-    assert_eq!(answer(&mut client), Told::Refused(None));
+    assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
     // The connection ends behind its last word, in order and not by a reset.
     assert_eq!(client.read_to_end(&mut Vec::new()).unwrap(), 0);
     drop(held);
-    let proxy = launched.serving(&world.setup).unwrap();
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "later");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
 }
 
 /// A request's time runs from its last byte, wherever it stands: one whose client has given up reaches no member.
@@ -160,19 +166,19 @@
     let mut world = World::new();
     let operators = pipe("late");
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), operators.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(world.clients(), &mut launched);
-    let statement = Ask { wait_ms: 400, ..booking("late") }.sql(&request_id());
+    let statement = ClientRequest { wait_ms: 400, ..booking("late") }.sql(&request_id());
     client.write_all(&[wire::startup(), wire::query(&statement)].concat()).unwrap();
     thread::sleep(Duration::from_millis(1_000));
     write_to(&operators);
-    assert_eq!(answer(&mut client), Told::Refused(None));
-    assert_eq!(world.primary.given("write late"), 0, "{:?}", world.primary.seen());
-    let proxy = launched.serving(&world.setup).unwrap();
+    assert_eq!(answer(&mut client), ClientAnswer::Refused(None));
+    assert_eq!(world.primary.statement_count("write late"), 0, "{:?}", world.primary.statements());
+    let proxy = launched.wait_until_serving(&world.setup).unwrap();
     let mut client = TcpStream::connect(proxy.pg).unwrap();
     ask(&mut client, "soon");
-    assert!(matches!(answer(&mut client), Told::Served(_)));
-    assert_eq!(world.primary.given("write soon"), 1, "{:?}", world.primary.seen());
+    assert!(matches!(answer(&mut client), ClientAnswer::Served(_)));
+    assert_eq!(world.primary.statement_count("write soon"), 1, "{:?}", world.primary.statements());
 }
 
 #[test]
@@ -183,7 +189,7 @@
     let file = std::env::temp_dir().join(format!("linentrail-start-odata-{}.hcl", std::process::id()));
     std::fs::write(&file, format!("odata {{\n enabled = true\n listen = \"{odata}\"\n}}\n")).unwrap();
     world.setup.environment = vec![("LINENTRAIL_FILE".into(), file.to_string_lossy().into())];
-    let mut launched = Launched::new(&world.setup).unwrap();
+    let mut launched = ProxyProcess::new(&world.setup).unwrap();
     let mut client = connect(odata, &mut launched);
     client.write_all(b"GET /records('k') HTTP/1.1\r\nHost: t\r\n\r\n").unwrap();
     let mut lines = BufReader::new(client).lines().map_while(Result::ok).take_while(|line| !line.is_empty());
@@ -191,7 +197,7 @@
     assert!(status.starts_with("HTTP/1.1 503"), "{status}");
     assert!(lines.any(|line| line.to_ascii_lowercase().starts_with("retry-after:")));
     drop(held);
-    drop(launched.serving(&world.setup).unwrap());
+    drop(launched.wait_until_serving(&world.setup).unwrap());
     std::fs::remove_file(file).unwrap();
 }
 
@@ -213,13 +219,13 @@
             true => Box::new(TcpListener::bind(address).unwrap()),
             false => Box::new(UdpSocket::bind(address).unwrap()),
         };
-        let mut launched = Launched::new(&world.setup).unwrap();
+        let mut launched = ProxyProcess::new(&world.setup).unwrap();
         let mut client = connect(world.clients(), &mut launched);
         ask(&mut client, "early");
         let told = answer(&mut client);
-        assert!(matches!(told, Told::Refused(_)), "TCP {tcp}: {told:?}");
+        assert!(matches!(told, ClientAnswer::Refused(_)), "TCP {tcp}: {told:?}");
         drop(held);
-        drop(launched.serving(&world.setup).unwrap());
+        drop(launched.wait_until_serving(&world.setup).unwrap());
         std::fs::remove_file(key).unwrap();
     }
 }
@@ -230,7 +236,7 @@
 fn a_crowd_that_connects_from_exec_on_gets_an_answer_each() {
     let world = World::new();
     for start in 0..5 {
-        let mut launched = Launched::new(&world.setup).unwrap();
+        let mut launched = ProxyProcess::new(&world.setup).unwrap();
         let first = connect(world.clients(), &mut launched);
         let to = world.clients();
         let clients: Vec<_> = (0..8)
@@ -241,13 +247,16 @@
                         stream.set_read_timeout(Some(PATIENCE)).unwrap();
                         ask(&mut stream, &format!("k{start}-{client}-{round}"));
                         let told = answer(&mut stream);
-                        assert!(matches!(told, Told::Served(_) | Told::Refused(_)), "{told:?}");
+                        assert!(
+                            matches!(told, ClientAnswer::Served(_) | ClientAnswer::Refused(_)),
+                            "{told:?}"
+                        );
                     }
                 })
             })
             .collect();
         clients.into_iter().for_each(|client| client.join().unwrap());
         drop(first);
-        drop(launched.serving(&world.setup).unwrap());
+        drop(launched.wait_until_serving(&world.setup).unwrap());
     }
 }
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -2,13 +2,13 @@
 //! writes, calls that fail for a moment, a wall clock that is stepped, a process that is held up.
 #![allow(missing_docs)]
 
-use linentrail_standins::client::{request_id, Ask, Pg, Told};
-use linentrail_standins::dns::Dns;
+use linentrail_standins::client::{request_id, ClientAnswer, ClientRequest, PgClient};
+use linentrail_standins::dns::DnsServer;
 use linentrail_standins::group::Group;
 use linentrail_standins::member::{Behaviour, Capacity, Member};
 use linentrail_standins::proxy::{self, Proxy, Setup};
 use linentrail_standins::registry::{entry, Registry};
-use linentrail_standins::shim::{Call, Shim};
+use linentrail_standins::shim::{CallFault, Shim};
 use linentrail_standins::{runtime, wire};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -50,7 +50,7 @@
 }
 
 impl World {
-    fn new(calls: &[(Call, u32)]) -> Self {
+    fn new(calls: &[(CallFault, u32)]) -> Self {
         let group = Group::default();
         let capacity = Capacity::default();
         let members: Vec<Member> =
@@ -79,18 +79,24 @@
     }
 }
 
-fn read(key: &str) -> Ask {
-    Ask { class: "monthly-report", key: key.into(), value: None, wait_ms: 15_000, after: None }
+fn read(key: &str) -> ClientRequest {
+    ClientRequest { class: "monthly-report", key: key.into(), value: None, wait_ms: 15_000, after: None }
 }
 
-fn write(key: &str) -> Ask {
-    Ask { class: "place-order", key: key.into(), value: Some(vec![1; 40]), wait_ms: 15_000, after: None }
+fn write(key: &str) -> ClientRequest {
+    ClientRequest {
+        class: "place-order",
+        key: key.into(),
+        value: Some(vec![1; 40]),
+        wait_ms: 15_000,
+        after: None,
+    }
 }
 
-async fn answer(client: &mut Pg, what: &str) {
+async fn answer(client: &mut PgClient, what: &str) {
     let told = tokio::time::timeout(PATIENCE, client.answer()).await;
     let told = told.unwrap_or_else(|_| panic!("{what}: no answer"));
-    assert!(matches!(told, Ok(Told::Served(_))), "{what}: {told:?}");
+    assert!(matches!(told, Ok(ClientAnswer::Served(_))), "{what}: {told:?}");
 }
 
 /// Clients that ask in turn, and such that send several queries at once; all must be served.
@@ -100,7 +106,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         for n in 0..6 {
             tasks.spawn(async move {
-                let mut client = Pg::connect(to).await.unwrap();
+                let mut client = PgClient::connect(to).await.unwrap();
                 for round in 0..25 {
                     let key = format!("k{n}-{round}");
                     let asks = [write(&key), read(&key), read("none"), read(&key)];
@@ -129,46 +135,46 @@
 
 #[test]
 fn short_reads_lose_no_request_and_no_answer() {
-    for calls in [&[(Call::RecvShort, 5)][..], &[(Call::RecvCut, 1)]] {
+    for calls in [&[(CallFault::RecvShort, 5)][..], &[(CallFault::RecvCut, 1)]] {
         let world = World::new(calls);
         let proxy = world.start();
-        world.shim.calls_fail(true).unwrap();
+        world.shim.set_call_faults(true).unwrap();
         all_are_served(&world, &proxy);
     }
 }
 
 #[test]
 fn short_writes_and_interrupted_waits_lose_nothing() {
-    let world = World::new(&[(Call::SendShort, 3), (Call::WaitInterrupted, 5)]);
+    let world = World::new(&[(CallFault::SendShort, 3), (CallFault::WaitInterrupted, 5)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn calls_that_a_signal_interrupts_lose_nothing() {
-    let world = World::new(&[(Call::CallInterrupted, 5)]);
+    let world = World::new(&[(CallFault::CallInterrupted, 5)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn calls_that_find_no_memory_for_a_moment_lose_nothing() {
-    let world = World::new(&[(Call::CallNoMemory, 10)]);
+    let world = World::new(&[(CallFault::CallNoMemory, 10)]);
     let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
+    world.shim.set_call_faults(true).unwrap();
     all_are_served(&world, &proxy);
 }
 
 #[test]
 fn a_start_outlasts_sockets_that_are_not_to_be_had_for_a_moment() {
-    let world = World::new(&[(Call::SocketFails, 2)]);
-    world.shim.calls_fail(true).unwrap();
+    let world = World::new(&[(CallFault::SocketFails, 2)]);
+    world.shim.set_call_faults(true).unwrap();
     let mut faults = 0;
     for seed in 0..6 {
-        let shim = Shim::new(&world.folder.0, &world.folder.0, seed, &[(Call::SocketFails, 2)]).unwrap();
-        shim.calls_fail(true).unwrap();
+        let shim = Shim::new(&world.folder.0, &world.folder.0, seed, &[(CallFault::SocketFails, 2)]).unwrap();
+        shim.set_call_faults(true).unwrap();
         let setup = Setup { environment: shim.environment(), ..world.setup.clone() };
         let started = Proxy::start(&setup);
         assert!(started.is_ok(), "seed {seed}: {:?}", started.err());
@@ -181,18 +187,20 @@
 #[test]
 fn browsing_for_members_outlasts_connects_that_fail_for_a_moment() {
     let mut world = World::new(&[]);
-    let names = Dns::default();
+    let names = DnsServer::default();
     for (n, member) in world.members.iter().enumerate() {
-        names.name(&format!("n{n}-0000000{n}"), member.address().port(), 4, true);
+        names.add_instance(&format!("n{n}-0000000{n}"), member.address().port(), 4, true);
     }
     world.setup.config["known"]["instances"] = Vec::<String>::new().into();
     world.setup.browse = Some(names.start());
-    let shim = Shim::new(&world.folder.0, &world.folder.0, 7, &[(Call::ConnectFails, 1)]).unwrap().at_most(3);
-    shim.calls_fail(true).unwrap();
+    let shim = Shim::new(&world.folder.0, &world.folder.0, 7, &[(CallFault::ConnectFails, 1)])
+        .unwrap()
+        .limit_faults(3);
+    shim.set_call_faults(true).unwrap();
     world.setup.environment = shim.environment();
     let proxy = world.start();
     runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
         answer(&mut client, "a read").await;
     });
@@ -203,8 +211,8 @@
 #[test]
 fn connections_accepted_by_the_machine_are_taken_at_the_end_though_accept_fails_for_a_moment() {
     const CLIENTS: usize = 16;
-    let mut world = World::new(&[(Call::AcceptFails, 2)]);
-    world.setup.still_coming = Some(Duration::from_millis(1));
+    let mut world = World::new(&[(CallFault::AcceptFails, 2)]);
+    world.setup.accept_after_term = Some(Duration::from_millis(1));
     let proxy = world.start();
     proxy.signal("STOP").unwrap();
     runtime().block_on(async {
@@ -217,7 +225,7 @@
             streams.push(stream);
         }
         proxy.signal("TERM").unwrap();
-        world.shim.calls_fail(true).unwrap();
+        world.shim.set_call_faults(true).unwrap();
         proxy.signal("CONT").unwrap();
         for (n, mut stream) in streams.into_iter().enumerate() {
             let mut all = Vec::new();
@@ -249,7 +257,7 @@
     let drain = std::thread::spawn(move || lines.for_each(drop));
     proxy::signal_all(&[child.id()], "USR1").unwrap();
     runtime().block_on(async {
-        let mut client = Pg::connect(address).await.expect("it takes clients");
+        let mut client = PgClient::connect(address).await.expect("it takes clients");
         for n in 0..20 {
             client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
             answer(&mut client, &format!("request {n}")).await;
@@ -274,18 +282,18 @@
         let client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
         // The welcome is on its way first on half of the rounds.
         if round % 2 == 0 {
-            primary.does(Behaviour::Answer);
+            primary.set_behaviour(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
         drop(client);
         std::thread::sleep(Duration::from_millis(30));
-        primary.does(Behaviour::Answer);
+        primary.set_behaviour(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(150));
         proxy.signal("CONT").unwrap();
         wait_for("the client's leave", || proxy.counters().unwrap().get("left").is_some_and(|n| *n > 0));
         std::thread::sleep(Duration::from_millis(50));
         assert_eq!(
-            primary.given(&format!("write {key}")),
+            primary.statement_count(&format!("write {key}")),
             0,
             "round {round}: sent for a client that has gone"
         );
@@ -293,10 +301,10 @@
 }
 
 /// A write waits for a connection that no member welcomes, and the process is stopped; the write's client.
-fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> Pg {
-    world.members.iter().for_each(|m| m.does(Behaviour::Shut));
+fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> PgClient {
+    world.members.iter().for_each(|m| m.set_behaviour(Behaviour::Shut));
     let client = runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&write(key).sql(&request_id()))).await.unwrap();
         client
     });
@@ -322,8 +330,8 @@
     world.setup.config["limits"]["sockets"] = 40.into();
     let proxy = world.start();
     runtime().block_on(async {
-        let mut client = Pg::connect(proxy.pg).await.unwrap();
-        client.ask(&write("k")).await.unwrap();
+        let mut client = PgClient::connect(proxy.pg).await.unwrap();
+        client.request(&write("k")).await.unwrap();
         let query = wire::query(&read("k").sql(&request_id()));
         let (first, rest) = query.split_at(query.len() / 2);
         client.send(first).await.unwrap();
@@ -343,18 +351,18 @@
     const HOUR: i64 = 3_600_000_000;
     for step in [0, HOUR, -HOUR] {
         let world = World::new(&[]);
-        world.shim.clock_step(step).unwrap();
+        world.shim.set_clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
-            let mut client = Pg::connect(proxy.pg).await.unwrap();
+            let mut client = PgClient::connect(proxy.pg).await.unwrap();
             for n in 0..60 {
-                client.ask(&write(&format!("w{n}"))).await.unwrap();
-                let ask = Ask { class: "yard-board", ..read(&format!("k{n}")) };
+                client.request(&write(&format!("w{n}"))).await.unwrap();
+                let ask = ClientRequest { class: "yard-board", ..read(&format!("k{n}")) };
                 client.send(&wire::query(&ask.sql(&request_id()))).await.unwrap();
                 answer(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
-        let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
+        let reads = |m: &Member| m.statements().iter().filter(|s| s.starts_with("read ")).count();
         let of_replicas: usize = world.members[1..].iter().map(reads).sum();
         assert!(of_replicas >= 40, "clock {step} us off: replicas got {of_replicas} reads of 60");
     }
@@ -373,19 +381,19 @@
         world.setup.config["discovery"] = discovery.to_string().into();
         // One of many: its share of each member is less than a request at a time.
         world.setup.config["settings"]["instances"] = 100.into();
-        world.shim.clock_step(step).unwrap();
+        world.shim.set_clock_step(step).unwrap();
         let proxy = world.start();
         runtime().block_on(async {
-            let mut client = Pg::connect(proxy.pg).await.unwrap();
+            let mut client = PgClient::connect(proxy.pg).await.unwrap();
             for n in 0..4 {
-                client.ask(&write(&format!("w{n}"))).await.unwrap();
+                client.request(&write(&format!("w{n}"))).await.unwrap();
             }
             for n in 0..60 {
                 client.send(&wire::query(&read(&format!("k{n}")).sql(&request_id()))).await.unwrap();
                 answer(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
-        let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
+        let reads = |m: &Member| m.statements().iter().filter(|s| s.starts_with("read ")).count();
         let cold = reads(&world.members[1]);
         assert!(cold < 20, "clock {step} us off: the cold member got {cold} reads of 60");
     }
@@ -397,7 +405,7 @@
 fn a_request_that_has_begun_when_the_end_comes_is_answered() {
     let mut world = World::new(&[]);
     world.setup.odata = true;
-    world.setup.still_coming = Some(Duration::from_millis(300));
+    world.setup.accept_after_term = Some(Duration::from_millis(300));
     for odata in [false, true] {
         let proxy = world.start();
         let (to, whole, answer) = if odata {
@@ -436,18 +444,18 @@
         let key = format!("k{round}");
         let _client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
         if round % 2 == 0 {
-            primary.does(Behaviour::Answer);
+            primary.set_behaviour(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
-        world.registry.change(0, "leaving");
+        world.registry.set_lifecycle(0, "leaving");
         std::thread::sleep(Duration::from_millis(100));
-        primary.does(Behaviour::Answer);
+        primary.set_behaviour(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(500));
         proxy.signal("CONT").unwrap();
         let withheld = |counters: &std::collections::BTreeMap<String, u64>| {
             ["withdrawn", "withheld_withdrawn"].iter().any(|name| counters.get(*name).is_some_and(|n| *n > 0))
         };
-        let given = || primary.given(&format!("write {key}"));
+        let given = || primary.statement_count(&format!("write {key}"));
         wait_for("what became of it", || given() > 0 || withheld(&proxy.counters().unwrap()));
         assert_eq!(given(), 0, "round {round}: sent to a member that leaves");
     }
