--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -1,5 +1,5 @@
-//! The hard cases of the ordinary path: what comes right behind an answer, large values that break off, clients that
-//! read slowly, leave, or ask many things at once.
+//! Difficult cases of normal operation, with the real program: bytes that a member sends after its answer, large
+//! values that are cut off, and clients that read slowly, disconnect or pipeline their queries.
 #![allow(missing_docs)]
 
 mod scenario;
@@ -14,8 +14,9 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_second_copy_soon_behind_an_answer_is_never_the_next_answer() {
-    // The copy comes after the answer was passed on and before the connection has rested.
+fn a_duplicate_sent_after_an_answer_is_never_taken_for_the_next_answer() {
+    // The duplicate arrives after the answer was forwarded, and before the connection has been idle long enough for
+    // its socket to be checked.
     play(
         "member p primary
          start
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_second_copy_behind_a_miss_does_not_answer_the_next_read() {
+fn a_duplicate_of_an_empty_result_does_not_answer_the_next_read() {
     play(
         "member p primary
          member r replica 0
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_large_value_that_breaks_off_is_served_whole_by_another_member() {
+fn a_large_value_that_is_cut_off_is_served_whole_by_another_member() {
     let value = "5a".repeat(64 * 1024);
     play(&format!(
         "member p primary
@@ -83,41 +84,41 @@
     ));
 }
 
-struct World {
+struct Fixture {
     member: Member,
     group: Group,
     proxy: Proxy,
 }
 
-fn world() -> World {
+fn fixture() -> Fixture {
     let group = Group::default();
     let member = Member::start(&group, true, 0, Capacity::default());
-    let known = [entry(0, member.address())];
+    let member_list = [entry(0, member.address())];
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
-        config: config("127.0.0.1:9", &known, settings(), 1024, 192),
+        config: config("127.0.0.1:9", &member_list, settings(), 1024, 192),
         loud: true,
         ..Setup::default()
     };
-    World { member, group, proxy: Proxy::start(&setup).expect("the proxy starts") }
+    Fixture { member, group, proxy: Proxy::start(&setup).expect("the proxy starts") }
 }
 
 fn read(key: &str) -> Ask {
     Ask { class: "monthly-report", key: key.to_string(), value: None, wait_ms: 12_000, after: None }
 }
 
-/// What was asked for, or a refusal: members that answer at once make the proxy take an answer for lost that a busy
-/// machine holds up for some ms, and then it may have no other to ask.
-fn whole(told: &Told, value: &[u8]) -> bool {
-    matches!(told, Told::Refused(_)) || matches!(told, Told::Served(v) if v == value)
+/// Accepts the expected value or a refusal. The members answer at once, so that the proxy soon takes an answer for
+/// lost that a busy machine delays by a few ms; it may then have no other member to ask, and refuses.
+fn served_or_refused(answer: &Told, value: &[u8]) -> bool {
+    matches!(answer, Told::Refused(_)) || matches!(answer, Told::Served(v) if v == value)
 }
 
-/// Asks until it is served.
-async fn served(client: &mut Pg, key: &str, value: &[u8]) {
+/// Repeats the read until it is served.
+async fn read_until_served(client: &mut Pg, key: &str, value: &[u8]) {
     loop {
-        let told = client.ask(&read(key)).await.expect("an answer");
-        assert!(whole(&told, value), "another value, or a failure");
-        if matches!(told, Told::Served(_)) {
+        let answer = client.ask(&read(key)).await.expect("an answer");
+        assert!(served_or_refused(&answer, value), "a wrong value, or a failure");
+        if matches!(answer, Told::Served(_)) {
             return;
         }
     }
@@ -128,24 +129,25 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_up_none_of_64_others() {
-    let world = world();
-    world.group.preset("big", vec![7; 64 * 1024].into());
-    world.group.preset("small", vec![8; 8].into());
+fn a_client_that_does_not_read_delays_none_of_64_others() {
+    let fixture = fixture();
+    fixture.group.preset("big", vec![7; 64 * 1024].into());
+    fixture.group.preset("small", vec![8; 8].into());
     runtime().block_on(async {
-        // 4 MiB of answers, far more than the sockets hold; none of them is read until all others are done.
-        let mut slow = Pg::connect(world.proxy.pg).await.expect("it connects");
+        // 4 MiB of answers, far more than the socket buffers hold. The client reads none of them until all other
+        // clients are done.
+        let mut slow = Pg::connect(fixture.proxy.pg).await.expect("it connects");
         slow.send(&queries(&["big"; 64])).await.expect("its queries are taken");
-        while world.member.given("read big") == 0 {
+        while fixture.member.given("read big") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut others = tokio::task::JoinSet::new();
         for _ in 0..64 {
-            let at = world.proxy.pg;
+            let at = fixture.proxy.pg;
             others.spawn(async move {
                 let mut client = Pg::connect(at).await.expect("it connects");
                 for _ in 0..20 {
-                    served(&mut client, "small", &[8; 8]).await;
+                    read_until_served(&mut client, "small", &[8; 8]).await;
                 }
             });
         }
@@ -153,32 +155,35 @@
             done.expect("all are served");
         }
         for _ in 0..64 {
-            let told = slow.answer().await.expect("an answer");
-            assert!(whole(&told, &[7; 64 * 1024]), "a value that is not whole");
+            let answer = slow.answer().await.expect("an answer");
+            assert!(served_or_refused(&answer, &[7; 64 * 1024]), "a value that is not whole");
         }
     });
 }
 
 #[test]
-fn a_pipeline_of_16_is_answered_in_its_order() {
-    let world = world();
+fn sixteen_pipelined_queries_are_answered_in_order() {
+    let fixture = fixture();
     let keys: Vec<String> = (0..16).map(|n| format!("k{n}")).collect();
     for (n, key) in keys.iter().enumerate() {
-        // Large and small ones in turn: the large ones take another way to the client.
+        // Every third value is large: large and small values take different code paths to the client.
         let size = if n % 3 == 0 { 64 * 1024 } else { 8 };
-        world.group.preset(key, vec![n as u8; size].into());
+        fixture.group.preset(key, vec![n as u8; size].into());
     }
     runtime().block_on(async {
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
-        let asked: Vec<&str> = keys.iter().map(|k| &k[..]).collect();
+        let mut client = Pg::connect(fixture.proxy.pg).await.expect("it connects");
+        let pipelined: Vec<&str> = keys.iter().map(|k| &k[..]).collect();
         let mut served = [0; 16];
         while served.iter().any(|n| *n < 20) {
-            client.send(&queries(&asked)).await.expect("it is taken");
+            client.send(&queries(&pipelined)).await.expect("it is taken");
             for (n, served) in served.iter_mut().enumerate() {
                 let size = if n % 3 == 0 { 64 * 1024 } else { 8 };
-                let told = client.answer().await.expect("an answer");
-                assert!(whole(&told, &vec![n as u8; size]), "answer {n} is another's");
-                *served += u32::from(matches!(told, Told::Served(_)));
+                let answer = client.answer().await.expect("an answer");
+                assert!(
+                    served_or_refused(&answer, &vec![n as u8; size]),
+                    "answer {n} belongs to another query"
+                );
+                *served += u32::from(matches!(answer, Told::Served(_)));
             }
         }
         assert_eq!(client.strays(), 0);
@@ -186,30 +191,30 @@
 }
 
 #[test]
-fn clients_that_leave_in_mid_value_cost_the_others_nothing() {
-    let world = world();
-    world.group.preset("big", vec![7; 64 * 1024].into());
+fn clients_that_disconnect_within_a_value_do_not_affect_others() {
+    let fixture = fixture();
+    fixture.group.preset("big", vec![7; 64 * 1024].into());
     runtime().block_on(async {
         for _ in 0..40 {
-            let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+            let mut client = Pg::connect(fixture.proxy.pg).await.expect("it connects");
             client.send(&queries(&["big"; 8])).await.expect("it is taken");
-            // A part of the first answer has come when it goes.
+            // The client disconnects when a part of the first answer has arrived.
             client.some().await.expect("the first bytes");
         }
-        let mut client = Pg::connect(world.proxy.pg).await.expect("it connects");
+        let mut client = Pg::connect(fixture.proxy.pg).await.expect("it connects");
         for _ in 0..20 {
-            served(&mut client, "big", &[7; 64 * 1024]).await;
+            read_until_served(&mut client, "big", &[7; 64 * 1024]).await;
         }
     });
-    // Nothing is left over of those that have gone: each request ends.
-    let began = Instant::now();
+    // The requests of the disconnected clients do not linger: every request ends.
+    let started = Instant::now();
     loop {
-        let counters = world.proxy.counters().expect("counters");
+        let counters = fixture.proxy.counters().expect("counters");
         let of = |name: &str| counters.get(name).copied().unwrap_or(0);
         if of("served") + of("refused") + of("left") == of("pg_requests") {
             return;
         }
-        assert!(began.elapsed() < Duration::from_secs(20), "{counters:?}");
+        assert!(started.elapsed() < Duration::from_secs(20), "{counters:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
