--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,11 +1,12 @@
-//! Daily operation, with the real program between stand-ins: the console, members out by hand, a listener handed on.
+//! Daily operation, with the real program between stand-ins: the console, members that the operators suspend, and
+//! upgrades in which a new process takes over the listener.
 #![allow(missing_docs)]
 
 mod scenario;
 use scenario::play;
 
 #[test]
-fn the_console_answers_each_line_once_and_no_call_it_does_not_know() {
+fn the_console_answers_each_line_once_and_refuses_unknown_calls() {
     play(
         "member p primary
          start console
@@ -28,8 +29,8 @@
 }
 
 #[test]
-fn status_says_no_while_no_request_could_be_served() {
-    // Its only member is out by hand.
+fn status_fails_while_no_request_could_be_served() {
+    // The only member is suspended.
     play(
         "member p primary
          start console
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_do_not_keep_out_one_that_does() {
+fn silent_console_connections_do_not_block_a_caller() {
     play(
         "member p primary
          start console
@@ -56,8 +57,8 @@
 }
 
 #[test]
-fn the_console_is_there_where_clients_hold_all_the_descriptors_they_may() {
-    // A small proxy has seats for four clients; the others wait at the door.
+fn the_console_is_reachable_while_clients_hold_all_their_descriptors() {
+    // A small proxy has descriptors for four clients; further connections wait to be accepted.
     play(
         "member p primary
          start console small
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_member_out_by_hand_gets_nothing_new_and_finishes_what_it_has() {
+fn a_suspended_member_gets_no_new_requests_and_finishes_open_ones() {
     play(
         "member p primary
          member r replica 0
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn what_discovery_says_meanwhile_does_not_put_a_member_back() {
+fn discovery_updates_do_not_restore_a_suspended_member() {
     play(
         "member p primary
          member r replica 0
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn the_one_that_leaves_neither_shuts_the_listener_nor_leaves_a_request_unread() {
+fn the_former_process_leaves_the_listener_open_and_no_request_unread() {
     play(
         "member p primary
          start console handed
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn what_the_operators_say_at_either_process_binds_both_and_the_next() {
+fn suspensions_made_at_either_process_apply_to_both_and_to_the_next() {
     play(
         "member p primary
          member r replica 0
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn calls_at_both_processes_at_once_are_all_recorded() {
+fn concurrent_calls_at_both_processes_are_all_recorded() {
     // Each call reads, changes and writes the same file.
     play(
         "member p primary
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn a_file_of_the_handover_that_cannot_be_used_is_passed_over() {
+fn an_unusable_handover_file_is_skipped() {
     play(
         "member p primary
          member r replica 0
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn one_process_goes_on_where_the_other_is_killed() {
+fn one_process_continues_after_the_other_is_killed() {
     play(
         "member p primary
          start console handed
@@ -266,7 +267,7 @@
     );
 }
 
-/// Clients that never stop, and what has become of their requests.
+/// Clients that send requests until they are stopped, and counts of the results.
 mod load {
     use linentrail_standins::client::{request_id, Ask, Pg, Told};
     use linentrail_standins::{runtime, wire};
@@ -275,19 +276,19 @@
     use std::sync::Arc;
 
     #[derive(Default)]
-    pub struct Seen {
+    pub struct Results {
         pub served: AtomicU64,
         pub refused: AtomicU64,
         pub stale: AtomicU64,
-        /// Connections that ended under a request, or that could not be had.
+        /// Connections that ended during a request, or that could not be opened.
         pub broken: AtomicU64,
         pub wrong: AtomicU64,
-        over: AtomicBool,
+        stopped: AtomicBool,
     }
 
-    impl Seen {
-        pub fn end(&self) {
-            self.over.store(true, Ordering::Relaxed);
+    impl Results {
+        pub fn stop(&self) {
+            self.stopped.store(true, Ordering::Relaxed);
         }
     }
 
@@ -295,17 +296,18 @@
         to.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One client: a booking on a key of its own, then a read of it that carries the commit, as the platform's do.
-    pub fn client(to: SocketAddr, number: usize, seen: Arc<Seen>) -> tokio::task::JoinHandle<u64> {
+    /// One client: alternates a booking on its own key and a read of that key which carries the commit, as the
+    /// platform's clients do. Returns the number of bookings that were served.
+    pub fn client(to: SocketAddr, number: usize, results: Arc<Results>) -> tokio::task::JoinHandle<u64> {
         runtime().spawn(async move {
             let (mut conn, mut n, mut written) = (None::<Pg>, 0u64, 0);
-            while !seen.over.load(Ordering::Relaxed) {
+            while !results.stopped.load(Ordering::Relaxed) {
                 let mut pg = match conn.take() {
                     Some(pg) => pg,
                     None => match Pg::connect(to).await {
                         Ok(pg) => pg,
                         Err(_) => {
-                            add(&seen.broken);
+                            add(&results.broken);
                             continue;
                         }
                     },
@@ -320,27 +322,27 @@
                     after: (!write).then(linentrail_standins::now_ms),
                 };
                 if pg.send(&wire::query(&ask.sql(&request_id()))).await.is_err() {
-                    add(&seen.broken);
+                    add(&results.broken);
                     continue;
                 }
                 match pg.answer().await {
                     Ok(Told::Served(got)) if write || got == value => {
-                        add(&seen.served);
+                        add(&results.served);
                         written += u64::from(write);
                         n += 1;
                     }
                     Ok(Told::Served(_)) => {
-                        add(&seen.stale);
+                        add(&results.stale);
                         n += 1;
                     }
-                    Ok(Told::Refused(_)) => add(&seen.refused),
-                    Ok(Told::Failed(_)) => add(&seen.wrong),
+                    Ok(Told::Refused(_)) => add(&results.refused),
+                    Ok(Told::Failed(_)) => add(&results.wrong),
                     Err(_) => {
-                        add(&seen.broken);
+                        add(&results.broken);
                         continue;
                     }
                 }
-                // A close that stands right behind the answer is seen before the next request.
+                // Gives a close that follows the answer directly the time to arrive before the next request.
                 tokio::time::sleep(std::time::Duration::from_millis(2)).await;
                 conn = (!pg.ended().await).then_some(pg);
             }
@@ -350,7 +352,7 @@
 }
 
 #[test]
-fn upgrades_in_a_row_under_load_lose_nothing_and_run_nothing_twice() {
+fn consecutive_upgrades_under_load_lose_nothing_and_run_nothing_twice() {
     use linentrail_standins::group::Group;
     use linentrail_standins::member::{Capacity, Member};
     use linentrail_standins::proxy::{config, settings, Proxy, Setup};
@@ -360,24 +362,24 @@
     let group = Group::default();
     let members: Vec<Member> =
         [true, false, false].map(|p| Member::start(&group, p, 0, Capacity::default())).into();
-    let known: Vec<_> = members.iter().enumerate().map(|(i, m)| entry(i, m.address())).collect();
+    let member_list: Vec<_> = members.iter().enumerate().map(|(i, m)| entry(i, m.address())).collect();
     let listener = Arc::new(std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = listener.local_addr().expect("an address");
     let shared = std::env::temp_dir().join(format!("linentrail-load-{}", std::process::id()));
     std::fs::create_dir_all(&shared).expect("a folder");
-    let mut told = config("127.0.0.1:9", &known, settings(), 256, 64);
-    told["console"] = "127.0.0.1:0".into();
+    let mut config = config("127.0.0.1:9", &member_list, settings(), 256, 64);
+    config["console"] = "127.0.0.1:0".into();
     let setup = Setup {
         program: env!("CARGO_BIN_EXE_linentrail").into(),
-        config: told,
+        config,
         loud: true,
         listener: Some(listener),
         shared: Some(shared.clone()),
         ..Setup::default()
     };
     let mut proxy = Proxy::start(&setup).expect("the proxy starts");
-    let seen = Arc::new(load::Seen::default());
-    let clients: Vec<_> = (0..12).map(|n| load::client(address, n, seen.clone())).collect();
+    let results = Arc::new(load::Results::default());
+    let clients: Vec<_> = (0..12).map(|n| load::client(address, n, results.clone())).collect();
     for _ in 0..4 {
         std::thread::sleep(std::time::Duration::from_millis(500));
         let next = Proxy::start(&setup).expect("the next one starts");
@@ -386,11 +388,11 @@
         assert!(former.wait().expect("its end").success());
     }
     std::thread::sleep(std::time::Duration::from_millis(300));
-    seen.end();
+    results.stop();
     let written: u64 =
         clients.into_iter().map(|c| linentrail_standins::runtime().block_on(c).expect("a client")).sum();
-    let counts =
-        [&seen.served, &seen.refused, &seen.stale, &seen.broken, &seen.wrong].map(|c| c.load(Relaxed));
+    let counts = [&results.served, &results.refused, &results.stale, &results.broken, &results.wrong]
+        .map(|c| c.load(Relaxed));
     let [served, _, stale, broken, wrong] = counts;
     assert!(served > 100, "{counts:?}");
     assert_eq!((stale, broken, wrong), (0, 0, 0), "served, refused, stale, broken, wrong: {counts:?}");
@@ -400,7 +402,7 @@
 }
 
 #[test]
-fn new_settings_hold_for_both_fronts_and_a_dropped_class_is_like_an_unknown_one() {
+fn reloaded_settings_apply_to_both_fronts_and_a_removed_class_is_unknown() {
     play(
         "member p primary
          start odata
@@ -428,7 +430,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     for fault in [
         "config sets services/1/deadline_us 0",
         "config sets limits/max_attempts 0",
@@ -460,9 +462,9 @@
 }
 
 #[test]
-fn an_open_request_is_judged_by_the_class_that_it_came_with() {
-    // A booking came as one that must never run twice; now it may be repeated, and the other way round.
-    for (before, after, told) in
+fn an_open_request_keeps_the_class_settings_of_its_arrival() {
+    // A booking arrives while its class is unsafe, and the class then becomes safe to retry; and the other way round.
+    for (before, after, expected) in
         [("non_idempotent", "read_like", "error XX000"), ("read_like", "non_idempotent", "row 01")]
     {
         play(&format!(
@@ -484,15 +486,16 @@
              p does reset
              counts severed 1
              p does answer
-             a expect {told}"
+             a expect {expected}"
         ));
     }
 }
 
 #[test]
-fn a_session_reads_by_the_next_process_what_it_has_just_written_by_the_former() {
-    // The replica is far behind, and the read carries no position by which it could know. The write's answer leaves the
-    // former process when that no longer takes clients, so that the read can only come by the next.
+fn a_session_reads_through_the_next_process_what_it_wrote_through_the_former() {
+    // The replica lags by 600 s, and the read carries no position that would rule the replica out. The former process
+    // sends the write's answer when it no longer accepts clients, so that the read can only go through the next
+    // process.
     play(
         "member p primary
          member r replica 600000
@@ -516,8 +519,8 @@
 }
 
 #[test]
-fn a_session_reads_what_it_has_written_where_the_processes_cannot_see_each_other() {
-    // A folder where a lock should be; the replica is far behind.
+fn a_session_reads_its_writes_while_the_processes_cannot_share_state() {
+    // A folder in the place of a lock file keeps the processes from sharing state; the replica lags by 600 s.
     play(
         "member p primary
          member r replica 600000
@@ -536,7 +539,7 @@
 }
 
 #[test]
-fn both_told_to_end_answer_what_they_have_taken() {
+fn both_processes_answer_their_requests_when_both_shut_down() {
     play(
         "member p primary
          start console handed
@@ -561,7 +564,7 @@
 }
 
 #[test]
-fn the_console_answers_in_time_while_the_core_has_all_it_can_do() {
+fn the_console_answers_in_time_while_the_core_is_saturated() {
     use linentrail_standins::client::{request_id, Ask, Pg};
     use linentrail_standins::group::Group;
     use linentrail_standins::member::{Capacity, Member};
@@ -569,12 +572,12 @@
     use linentrail_standins::registry::entry;
     use linentrail_standins::{runtime, wire};
     use std::time::Duration;
-    // Queries without end, sixteen at a time on each connection, for a member that answers at once.
+    // Each connection pipelines sixteen queries at a time without a pause, and the member answers at once.
     let member = Member::start(&Group::default(), true, 0, Capacity::default());
-    let mut told = config("127.0.0.1:9", &[entry(0, member.address())], settings(), 1024, 64);
-    told["console"] = "127.0.0.1:0".into();
+    let mut config = config("127.0.0.1:9", &[entry(0, member.address())], settings(), 1024, 64);
+    config["console"] = "127.0.0.1:0".into();
     let program = env!("CARGO_BIN_EXE_linentrail").into();
-    let proxy = Proxy::start(&Setup { program, config: told, loud: true, ..Setup::default() });
+    let proxy = Proxy::start(&Setup { program, config, loud: true, ..Setup::default() });
     let proxy = proxy.expect("the proxy starts");
     let to = proxy.pg;
     let flood = |n: usize| {
@@ -614,7 +617,7 @@
 }
 
 #[test]
-fn a_booking_tried_at_both_processes_runs_once() {
+fn a_booking_sent_to_both_processes_runs_once() {
     play(
         "member p primary
          start odata console handed
@@ -631,7 +634,7 @@
 }
 
 #[test]
-fn a_booking_that_ran_by_one_process_runs_again_by_the_other() {
+fn a_booking_that_ran_through_one_process_does_not_run_again_through_the_other() {
     play(
         "member p primary
          start console handed odata
