--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -1,19 +1,20 @@
-//! A request that the machine has accepted ends without an answer.
+//! Guards against requests that end without an answer although the kernel has accepted their connection (rule `lost`,
+//! 'got no final answer in its time'; a driver sees its connection close instead of an answer).
 //!
-//! Symptom: rule `lost`, 'got no final answer in its time'; a driver sees its connection end in place of an answer.
+//! A client connects while others hold all permits, and sends its startup message and its first query at once, as the
+//! protocol allows. The proxy accepts the connection, and closes it with the query unread, or read and discarded.
 //!
-//! Sequence: a client connects while others hold all permits, and writes its startup and its first query at once, as the
-//! protocol allows. Its connection is accepted, and closed with the query unread, or read and thrown away.
+//! Causes:
+//! - A connection without a permit displaced the one that had waited longest without a valid query, even if a query
+//!   was already in that connection's socket or buffer (`pg::front`, `odata::front`).
+//! - A client without a permit was dropped after 200 ms and blocked the clients queued after it (`net::listen`).
+//! - Idle connections were judged by what the runtime had read, not by what was in the socket, and bytes that arrived
+//!   after the decision to close were read and discarded (`net::frames`).
 //!
-//! Cause: whoever lacked a permit made the connection give way that had waited longest without a sound query, though a query
-//! stood in its socket or in its buffer already (`pg::front`, `odata::front`). A client without a permit was dropped after
-//! 200 ms, and kept those behind it waiting (`net::listen`). Connections that had rested were judged by what the runtime had
-//! read, not by what stood in the socket, and what came behind their end was read and thrown away (`net::frames`).
-//!
-//! Deciding figures, before the repair (release build): of 30 queries by each protocol whose clients stood in front of 300 idle
-//! ones, 60 of 60 had no answer; of 120 by OData at 64 descriptors 31 and 43; of 40 clients that came while 120 requests were
-//! out, 14 were closed unread one after the other in 3 s, and the others still waited. The log had `accepted`, then `closed`,
-//! and no reason.
+//! Measured with these faults (release build): of 30 queries by each protocol from clients that had connected before
+//! 300 idle ones, 60 of 60 got no answer; of 120 by OData at 64 descriptors, 31 and 43 got none; of 40 clients that
+//! arrived while 120 requests were open, 14 were closed unread one by one within 3 s, and the others were still
+//! waiting.
 #![allow(missing_docs)]
 
 use linentrail_standins::client::{request_id, Ask, Odata, Pg, Told};
@@ -28,21 +29,21 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Longer than anything here takes on a slow machine: only a failure waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any step here takes on a slow machine: only a failure waits this long.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// How long a client of a crowd waits for its answer, in ms.
+/// How long each of many concurrent clients waits for its answer, in ms.
 const WAIT_MS: u64 = 264;
 /// Longer than any part of a test.
 const LONG_WAIT_MS: u64 = 14_000;
 
-/// A primary and three replicas before which proxies with so many descriptors are started.
-struct World {
+/// A primary and three replicas, and the setup of a proxy with `sockets` descriptors.
+struct Fixture {
     members: Vec<Member>,
     setup: Setup,
 }
 
-impl World {
+impl Fixture {
     fn new(sockets: u64) -> Self {
         let group = Group::default();
         let capacity = Capacity { service: (SERVICE_TIME, SERVICE_TIME), ..Capacity::default() };
@@ -56,7 +57,7 @@
             still_coming: Some(Duration::from_millis(500)),
             ..Setup::default()
         };
-        World { members, setup }
+        Fixture { members, setup }
     }
 
     fn start(&self) -> Proxy {
@@ -67,8 +68,8 @@
         self.members.iter().for_each(|member| member.does(behaviour));
     }
 
-    /// Statements that the members have got.
-    fn given(&self, keys: &str) -> usize {
+    /// Number of statements with `keys` in them that the members have received.
+    fn received(&self, keys: &str) -> usize {
         self.members.iter().map(|m| m.seen().iter().filter(|s| s.contains(keys)).count()).sum()
     }
 }
@@ -77,31 +78,31 @@
     Ask { class: "monthly-report", key: key.into(), value: None, wait_ms, after: None }
 }
 
-/// A session of one query, written with the startup so long after the connection is there.
-async fn session(to: SocketAddr, writes_after: Duration, ask: Ask) -> Result<Told> {
+/// A session of one query, sent together with the startup message `delay` after the connection is open.
+async fn session(to: SocketAddr, delay: Duration, ask: Ask) -> Result<Told> {
     let mut client = Pg::connect_silently(to).await?;
-    tokio::time::sleep(writes_after).await;
+    tokio::time::sleep(delay).await;
     client.ask_with_startup(&wire::query(&ask.sql(&request_id()))).await
 }
 
-async fn odata_session(to: SocketAddr, writes_after: Duration, ask: Ask) -> Result<Told> {
+async fn odata_session(to: SocketAddr, delay: Duration, ask: Ask) -> Result<Told> {
     let mut client = Odata::connect(to).await?;
-    tokio::time::sleep(writes_after).await;
+    tokio::time::sleep(delay).await;
     client.ask(&ask).await
 }
 
-/// The way from a client to the proxy takes so long, or longer: its first bytes come behind its connection.
-fn way(client: usize) -> Duration {
+/// Time between the connection of a client and its first bytes, as network latency causes it.
+fn first_bytes_delay(client: usize) -> Duration {
     Duration::from_millis(client as u64 % 16)
 }
 
-/// What came of a crowd of sessions.
+/// Results of concurrent sessions.
 #[derive(Debug, Default)]
 struct Outcomes {
     served: usize,
     refused: usize,
     failed: usize,
-    /// Why there was no answer.
+    /// The errors of sessions that got no answer.
     unanswered: Vec<String>,
 }
 
@@ -116,7 +117,7 @@
     }
 }
 
-/// Waits for all of them.
+/// Waits for all sessions to end.
 async fn outcomes(mut sessions: JoinSet<Result<Told>>) -> Outcomes {
     let mut outcomes = Outcomes::default();
     let all = async {
@@ -124,106 +125,111 @@
             outcomes.add(outcome.unwrap());
         }
     };
-    tokio::time::timeout(PATIENCE, all).await.expect("every session ends");
+    tokio::time::timeout(STEP_TIMEOUT, all).await.expect("every session ends");
     outcomes
 }
 
 fn sessions(to: SocketAddr, count: usize, keys: &str, wait_ms: u64) -> JoinSet<Result<Told>> {
     let mut sessions = JoinSet::new();
     for n in 0..count {
-        sessions.spawn_on(session(to, way(n), read(&format!("{keys}{n}"), wait_ms)), runtime());
+        sessions.spawn_on(session(to, first_bytes_delay(n), read(&format!("{keys}{n}"), wait_ms)), runtime());
     }
     sessions
 }
 
-async fn until(what: &str, true_now: impl Fn() -> bool) {
+async fn wait_for(what: &str, condition: impl Fn() -> bool) {
     let waits = async {
-        while !true_now() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waits).await.unwrap_or_else(|_| panic!("{what}"));
+    tokio::time::timeout(STEP_TIMEOUT, waits).await.unwrap_or_else(|_| panic!("{what}"));
 }
 
-/// Each crowd comes at once to a proxy that has permits for some of it.
+/// In each case all clients connect at once, to a proxy that has permits for only some of them.
 #[test]
-fn a_crowd_that_asks_with_its_first_bytes_gets_an_answer_each() {
+fn each_of_many_clients_that_query_with_their_first_bytes_gets_an_answer() {
     for (clients, sockets) in [(120, 64), (200, 256), (400, 608), (800, 1_024)] {
-        let world = World::new(sockets);
-        let proxy = world.start();
+        let fixture = Fixture::new(sockets);
+        let proxy = fixture.start();
         let (odata, to) = (proxy.odata.unwrap(), proxy.pg);
         runtime().block_on(async {
-            let told = outcomes(sessions(to, clients, "k", WAIT_MS)).await;
-            assert!(told.unanswered.is_empty(), "{clients} clients, {sockets} descriptors: {told:?}");
+            let result = outcomes(sessions(to, clients, "k", WAIT_MS)).await;
+            assert!(result.unanswered.is_empty(), "{clients} clients, {sockets} descriptors: {result:?}");
             assert!(
-                told.served + told.refused == clients,
-                "{clients} clients, {sockets} descriptors: {told:?}"
+                result.served + result.refused == clients,
+                "{clients} clients, {sockets} descriptors: {result:?}"
             );
-            let mut crowd = JoinSet::new();
+            let mut odata_sessions = JoinSet::new();
             for n in 0..clients {
-                crowd.spawn_on(odata_session(odata, way(n), read(&format!("o{n}"), WAIT_MS)), runtime());
+                odata_sessions.spawn_on(
+                    odata_session(odata, first_bytes_delay(n), read(&format!("o{n}"), WAIT_MS)),
+                    runtime(),
+                );
             }
-            let told = outcomes(crowd).await;
-            assert!(told.unanswered.is_empty(), "{clients} by OData, {sockets} descriptors: {told:?}");
+            let result = outcomes(odata_sessions).await;
+            assert!(result.unanswered.is_empty(), "{clients} by OData, {sockets} descriptors: {result:?}");
         });
     }
 }
 
 #[test]
-fn requests_are_answered_though_idle_clients_want_their_connections() {
-    let world = World::new(256);
-    let proxy = world.start();
+fn requests_are_answered_while_idle_clients_compete_for_permits() {
+    let fixture = Fixture::new(256);
+    let proxy = fixture.start();
     let (odata, to) = (proxy.odata.unwrap(), proxy.pg);
     runtime().block_on(async {
-        let mut asking = Vec::new();
+        let mut active = Vec::new();
         for _ in 0..30 {
-            asking.push((Pg::connect_silently(to).await.unwrap(), Odata::connect(odata).await.unwrap()));
+            active.push((Pg::connect_silently(to).await.unwrap(), Odata::connect(odata).await.unwrap()));
         }
         let mut idle = Vec::new();
         for _ in 0..300 {
             idle.push(TcpStream::connect(to).await.unwrap());
         }
-        let mut asked = JoinSet::new();
-        for (n, (mut pg, mut odata)) in asking.into_iter().enumerate() {
+        let mut requests = JoinSet::new();
+        for (n, (mut pg, mut odata)) in active.into_iter().enumerate() {
             let ask = read(&format!("k{n}"), LONG_WAIT_MS);
             let query = wire::query(&ask.sql(&request_id()));
-            asked.spawn_on(async move { pg.ask_with_startup(&query).await }, runtime());
-            asked.spawn_on(async move { odata.ask(&ask).await }, runtime());
+            requests.spawn_on(async move { pg.ask_with_startup(&query).await }, runtime());
+            requests.spawn_on(async move { odata.ask(&ask).await }, runtime());
         }
-        let told = outcomes(asked).await;
-        assert!(told.unanswered.is_empty(), "{told:?}");
+        let result = outcomes(requests).await;
+        assert!(result.unanswered.is_empty(), "{result:?}");
         drop(idle);
     });
 }
 
-/// Those without a permit are refused while the requests that hold all permits are still out: nobody waits for them.
+/// Clients without a permit are refused while the requests that hold all permits are still open: they do not wait for
+/// those requests to end.
 #[test]
-fn who_comes_while_all_permits_are_held_is_refused_at_once() {
-    for at_the_end in [false, true] {
-        let world = World::new(256);
-        let proxy = world.start();
+fn clients_that_arrive_while_all_permits_are_held_are_refused_at_once() {
+    for shutting_down in [false, true] {
+        let fixture = Fixture::new(256);
+        let proxy = fixture.start();
         let to = proxy.pg;
         runtime().block_on(async {
-            world.does(Behaviour::Hold);
+            fixture.does(Behaviour::Hold);
             let held = sessions(to, 120, "held", LONG_WAIT_MS);
-            until("the members get requests", || world.given("held") >= 60).await;
+            wait_for("the members get requests", || fixture.received("held") >= 60).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
-            if at_the_end {
+            if shutting_down {
                 proxy.signal("TERM").unwrap();
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
             let mut late = sessions(to, 40, "late", LONG_WAIT_MS);
-            let mut soon = Outcomes::default();
-            // The few that got a permit may be out at a member, too.
-            while soon.refused + soon.unanswered.len() < 30 {
-                let next = tokio::time::timeout(PATIENCE / 4, late.join_next()).await;
-                let next = next.unwrap_or_else(|_| panic!("end {at_the_end}: others wait, {soon:?}"));
-                soon.add(next.expect("more than thirty").unwrap());
+            let mut early = Outcomes::default();
+            // The few late clients that got a permit may also wait for a member's answer.
+            while early.refused + early.unanswered.len() < 30 {
+                let next = tokio::time::timeout(STEP_TIMEOUT / 4, late.join_next()).await;
+                let next =
+                    next.unwrap_or_else(|_| panic!("shutdown {shutting_down}: others wait, {early:?}"));
+                early.add(next.expect("more than thirty").unwrap());
             }
-            world.does(Behaviour::Answer);
+            fixture.does(Behaviour::Answer);
             let (held, late) = (outcomes(held).await, outcomes(late).await);
-            let unanswered = [&held, &soon, &late].map(|told| told.unanswered.len());
-            assert_eq!(unanswered, [0, 0, 0], "end {at_the_end}: {held:?} {soon:?} {late:?}");
+            let unanswered = [&held, &early, &late].map(|result| result.unanswered.len());
+            assert_eq!(unanswered, [0, 0, 0], "shutdown {shutting_down}: {held:?} {early:?} {late:?}");
         });
     }
 }
