--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,5 +1,5 @@
-//! What outlasts the process: several processes of the program, killed, with their stores kept, wiped, rolled back or
-//! damaged meanwhile; and that nothing of it is there without the operators' file.
+//! State that survives a restart: processes of the program are killed, and their stores kept, wiped, rolled back or
+//! damaged before the restart. Also checks that without the operators' file the program has no store at all.
 #![allow(missing_docs)]
 
 use linentrail_standins::member::{Capacity, Member};
@@ -14,73 +14,73 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One world at a time: each of them needs the machine.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held by each simulation, so that only one runs at a time: each needs the whole machine.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linentrail");
-const PATIENCE: Duration = Duration::from_secs(20);
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The store's block; a snapshot comes every 100 ms unless `more` says otherwise.
-fn block(folder: &Path, more: &str) -> String {
-    let every = if more.contains("every_ms") { "" } else { " every_ms = 100\n" };
-    format!("store {{\n enabled = true\n folder = \"{}\"\n{every}{more}}}\n", folder.display())
+/// The store's block of the operators' file, with a snapshot every 100 ms unless `more` sets `every_ms`.
+fn store_block(folder: &Path, more: &str) -> String {
+    let interval = if more.contains("every_ms") { "" } else { " every_ms = 100\n" };
+    format!("store {{\n enabled = true\n folder = \"{}\"\n{interval}{more}}}\n", folder.display())
 }
 
 fn play(text: &str, store: Option<&str>) -> Outcome {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::read(&format!("bound late 20000\n{text}")).expect("a sound scenario");
     let more = |setup: &mut Setup, _: u32, folder: &Path| {
         if let Some(more) = store {
-            setup.operators = block(folder, more);
+            setup.operators = store_block(folder, more);
         }
     };
     run(&script, Path::new(PROGRAM), more, |_| {}, &AtomicBool::new(false)).expect("it runs to its end")
 }
 
-/// The same, of a run that keeps all rules and serves again at its end.
-fn sound(text: &str, store: Option<&str>) -> Outcome {
+/// Like `play`, and checks that the run kept all rules and served requests after its last restart.
+fn play_sound(text: &str, store: Option<&str>) -> Outcome {
     let outcome = play(text, store);
     assert!(outcome.verdict.kept(), "{:#?}", outcome.verdict.breaches);
     assert!(served_after(&outcome) > 10);
     outcome
 }
 
-/// What the operators were told, of calls that change nothing.
-fn answers(outcome: &Outcome) -> Vec<String> {
-    let said = |what: &What| match what {
+/// The console's answers to calls, in the order of the log.
+fn console_answers(outcome: &Outcome) -> Vec<String> {
+    let answer = |what: &What| match what {
         What::Fault(text) => text.split_once(" answers ").map(|(_, answer)| answer.to_string()),
         _ => None,
     };
-    outcome.events.iter().filter_map(|e| said(&e.what)).collect()
+    outcome.events.iter().filter_map(|e| answer(&e.what)).collect()
 }
 
-/// Requests served after the last process had come back.
+/// Number of requests served after the last process had restarted.
 fn served_after(outcome: &Outcome) -> usize {
-    let back =
+    let restarted =
         outcome.events.iter().rposition(|e| matches!(e.what, What::Serves { .. })).expect("they serve");
     let served = |what: &What| matches!(what, What::Ended { how: End::Served, .. });
-    outcome.events[back..].iter().filter(|e| served(&e.what)).count()
+    outcome.events[restarted..].iter().filter(|e| served(&e.what)).count()
 }
 
-const WORLD: &str = "proxies 4\nmembers 4 slots 8 work 4 12\nload 80 clients 32\nend 4000\n";
+const BASE_SCRIPT: &str = "proxies 4\nmembers 4 slots 8 work 4 12\nload 80 clients 32\nend 4000\n";
 
 #[test]
-fn a_member_out_by_hand_stays_out_over_the_kill_of_all_and_without_a_store_it_does_not() {
+fn a_suspension_survives_the_kill_of_all_proxies_only_with_a_store() {
     let script = format!(
-        "{WORLD}hands kept
+        "{BASE_SCRIPT}hands kept
          at 600 proxies console SUSPEND m3
          at 1500 proxies does kill
          at 1700 proxies does start"
     );
-    sound(&script, Some(""));
-    // What the check is good for: today's start without a store forgets the word.
-    let lost = play(&script, None);
-    assert!(lost.verdict.counts.contains_key(&Rule::Hand), "{:?}", lost.verdict.counts);
+    play_sound(&script, Some(""));
+    // Shows that the check can fail: without a store the restarted proxies forget the suspension.
+    let without_store = play(&script, None);
+    assert!(without_store.verdict.counts.contains_key(&Rule::Hand), "{:?}", without_store.verdict.counts);
 }
 
 #[test]
-fn where_the_word_may_be_lost_a_start_says_no_until_it_is_confirmed() {
+fn after_a_possible_loss_of_suspensions_status_fails_until_confirmed() {
     let script = format!(
-        "{WORLD}at 1200 proxies does kill
+        "{BASE_SCRIPT}at 1200 proxies does kill
          at 1300 p1,p2 store wiped
          at 1500 proxies does start
          at 2500 p1 console STATUS
@@ -91,7 +91,7 @@
     );
     let outcome = play(&script, Some(" confirm_s = 600\n"));
     assert!(outcome.verdict.kept(), "{:#?}", outcome.verdict.breaches);
-    let answers = answers(&outcome);
+    let answers = console_answers(&outcome);
     let begins = [
         "400 what was said by hand may be lost",
         "200 serving",
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn each_harm_to_a_store_is_found_for_what_it_is_and_none_keeps_a_start_from_serving() {
+fn each_kind_of_store_damage_is_recognised_and_none_prevents_serving() {
     let script = format!(
-        "{WORLD}at 900 proxies does kill
+        "{BASE_SCRIPT}at 900 proxies does kill
          at 1000 p3 store kept
          at 1100 proxies does start
          at 2000 proxies does kill
@@ -118,7 +118,7 @@
          at 2300 p3 store back
          at 2400 proxies does start"
     );
-    let outcome = sound(&script, Some(""));
+    let outcome = play_sound(&script, Some(""));
     let count = |name: &str| outcome.counters.get(name).copied().unwrap_or(0);
     assert_eq!(
         (count("store_torn"), count("store_rolled_back"), count("store_lost")),
@@ -129,165 +129,166 @@
 }
 
 #[test]
-fn with_the_list_lost_and_discovery_silent_the_stored_list_serves() {
+fn the_stored_member_list_is_used_when_settings_and_discovery_have_none() {
     let script = format!(
-        "{WORLD}known lost
+        "{BASE_SCRIPT}known lost
          at 1200 list does silent
          at 1300 proxies does kill
          at 1500 proxies does start"
     );
-    let outcome = sound(&script, Some(""));
+    let outcome = play_sound(&script, Some(""));
     assert_eq!(outcome.counters.get("store_list_taken"), Some(&4), "{:?}", outcome.counters);
-    assert_eq!(served_after(&play(&script, None)), 0, "nobody else knows a member");
+    assert_eq!(served_after(&play(&script, None)), 0, "there is no other source of members");
 }
 
-/// A folder of a test's own, and a member behind a configuration.
-struct Alone {
+/// One member, the setup of a single proxy for it, and a temporary folder that is removed on drop.
+struct SingleProxy {
     folder: PathBuf,
     setup: Setup,
     _member: Member,
 }
 
-impl Alone {
+impl SingleProxy {
     fn new() -> Self {
-        static MADE: AtomicU32 = AtomicU32::new(0);
-        let made = MADE.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("linentrail-store-{}-{made}", std::process::id()));
+        static CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
+        let folder = std::env::temp_dir().join(format!("linentrail-store-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let member = Member::start(&Default::default(), true, 0, Capacity::default());
         let list = [entry(0, member.address())];
         let mut config = proxy::config("127.0.0.1:9", &list, proxy::settings(), 1024, 192);
         config["console"] = "127.0.0.1:0".into();
         let setup = Setup { program: PROGRAM.into(), config, ..Setup::default() };
-        Alone { folder, setup, _member: member }
+        SingleProxy { folder, setup, _member: member }
     }
 
-    fn storing(more: &str) -> Self {
-        let mut alone = Alone::new();
-        alone.setup.operators = block(&alone.folder, more);
-        alone
+    /// The same with a store; `more` is added to the store's block.
+    fn with_store(more: &str) -> Self {
+        let mut single = SingleProxy::new();
+        single.setup.operators = store_block(&single.folder, more);
+        single
     }
 }
 
-impl Drop for Alone {
+impl Drop for SingleProxy {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn counted(proxy: &Proxy, name: &str) -> u64 {
+fn counter(proxy: &Proxy, name: &str) -> u64 {
     proxy.counters().expect("it counts").get(name).copied().unwrap_or(0)
 }
 
-fn until(what: &str, true_now: impl Fn() -> bool) {
-    let began = Instant::now();
-    while !true_now() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+fn wait_for(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < STEP_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_start_whose_configuration_is_broken_takes_the_last_that_held_and_says_so() {
-    let mut alone = Alone::storing("");
-    let first = Proxy::start(&alone.setup).expect("it starts");
-    until("it writes", || counted(&first, "store_snapshots") > 0);
+fn with_a_broken_configuration_startup_uses_the_last_valid_one_and_reports_it() {
+    let mut single = SingleProxy::with_store("");
+    let first = Proxy::start(&single.setup).expect("it starts");
+    wait_for("it writes", || counter(&first, "store_snapshots") > 0);
     drop(first);
-    alone.setup.instead = Some("{\"name\": \"t\", \"listen\"".to_string());
-    let mut next = Proxy::start(&alone.setup).expect("it takes the last that held");
+    single.setup.instead = Some("{\"name\": \"t\", \"listen\"".to_string());
+    let mut next = Proxy::start(&single.setup).expect("it uses the last valid configuration");
     let status = |proxy: &Proxy| proxy.call("STATUS\n").expect("an answer").0;
     assert_eq!(status(&next), "200 serving, by the last configuration that held\n");
-    assert_eq!(counted(&next, "store_settings_taken"), 1);
-    // A configuration that can be read takes its place.
-    std::fs::write(next.dir().join("config.json"), alone.setup.config.to_string()).expect("written");
+    assert_eq!(counter(&next, "store_settings_taken"), 1);
+    // A reload replaces the stored configuration as soon as the file is valid again.
+    std::fs::write(next.dir().join("config.json"), single.setup.config.to_string()).expect("written");
     next.signal("HUP").expect("it runs");
-    until("it is taken up", || status(&next) == "200 serving\n");
+    wait_for("the configuration is reloaded", || status(&next) == "200 serving\n");
     next.signal("TERM").expect("it runs");
     assert!(next.wait().expect("it ends").success());
-    // Unless the operators want to know first.
-    alone.setup.operators = block(&alone.folder, " broken = \"refuse\"\n");
-    let refused = Proxy::start(&alone.setup).err().expect("it does not start").to_string();
+    // With `broken = "refuse"` startup fails instead.
+    single.setup.operators = store_block(&single.folder, " broken = \"refuse\"\n");
+    let refused = Proxy::start(&single.setup).err().expect("it does not start").to_string();
     assert!(refused.contains("config.json"), "{refused}");
 }
 
 #[test]
-fn a_word_is_on_the_disk_before_its_yes_and_a_folder_that_cannot_be_written_gets_a_no() {
-    let mut alone = Alone::storing(" every_ms = 3600000\n");
-    let first = Proxy::start(&alone.setup).expect("it starts");
+fn a_call_is_on_disk_before_it_is_acknowledged_and_fails_when_it_cannot_be_written() {
+    let mut single = SingleProxy::with_store(" every_ms = 3600000\n");
+    let first = Proxy::start(&single.setup).expect("it starts");
     assert!(first.call("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
-    // Killed at once: no snapshot comes to its help.
+    // The process is killed at once, before any snapshot could contain the suspension.
     drop(first);
-    let next = Proxy::start(&alone.setup).expect("it starts");
+    let next = Proxy::start(&single.setup).expect("it starts");
     assert!(
         next.call("STATUS\n").expect("an answer").0.starts_with("400 no member"),
-        "its only member is out"
+        "its only member is suspended"
     );
     drop(next);
-    alone.setup.operators = block(&alone.folder, "");
-    let next = Proxy::start(&alone.setup).expect("it starts");
-    // Root may write anywhere: a file in the log's place cannot be written by anybody.
-    let place = alone.folder.join("linentrail-t");
-    until("it writes", || counted(&next, "store_snapshots") > 0);
+    single.setup.operators = store_block(&single.folder, "");
+    let next = Proxy::start(&single.setup).expect("it starts");
+    // Permissions would not stop a test that runs as root. A file in the place of the log's folder stops every user.
+    let place = single.folder.join("linentrail-t");
+    wait_for("it writes", || counter(&next, "store_snapshots") > 0);
     std::fs::remove_dir_all(&place).expect("it is there");
     std::fs::write(&place, "in the way").expect("written");
-    let told = next.call("RESTORE s-00000000\n").expect("an answer").0;
-    assert!(told.starts_with("400 done, but not written down"), "{told}");
-    until("it is counted", || counted(&next, "store_failures") > 0);
+    let answer = next.call("RESTORE s-00000000\n").expect("an answer").0;
+    assert!(answer.starts_with("400 done, but not written down"), "{answer}");
+    wait_for("it is counted", || counter(&next, "store_failures") > 0);
     std::fs::remove_file(&place).expect("it is there");
 }
 
 #[test]
-fn a_disk_that_is_full_in_the_middle_of_a_snapshot_takes_neither_the_word_nor_the_former_snapshot() {
+fn a_disk_that_fills_up_during_a_snapshot_loses_neither_suspensions_nor_the_former_snapshot() {
     use std::os::unix::fs::PermissionsExt;
-    let mut alone = Alone::storing("");
-    let first = Proxy::start(&alone.setup).expect("it starts");
+    let mut single = SingleProxy::with_store("");
+    let first = Proxy::start(&single.setup).expect("it starts");
     assert!(first.call("SUSPEND s-00000000\n").expect("an answer").0.starts_with("200"));
-    until("it writes", || counted(&first, "store_snapshots") > 1);
+    wait_for("it writes", || counter(&first, "store_snapshots") > 1);
     drop(first);
-    // From 512 bytes on no file can be written: each snapshot breaks off in its middle.
-    let limited = alone.folder.join("limited");
+    // No file can grow beyond 512 bytes, so that the writing of each snapshot fails midway.
+    let limited = single.folder.join("limited");
     let text = format!("#!/bin/sh\ntrap '' XFSZ\nulimit -f 1\nexec {PROGRAM} \"$@\"\n");
     std::fs::write(&limited, text).expect("written");
     std::fs::set_permissions(&limited, std::fs::Permissions::from_mode(0o755)).expect("a mode");
-    let snapshot = alone.folder.join("linentrail-t").join("snapshot");
+    let snapshot = single.folder.join("linentrail-t").join("snapshot");
     let before = std::fs::read(&snapshot).expect("a snapshot");
     assert!(before.len() > 512, "{}", before.len());
-    alone.setup.program = limited;
-    let next = Proxy::start(&alone.setup).expect("it starts");
-    until("it cannot write", || counted(&next, "store_failures") > 2);
-    let told = next.call("STATUS\n").expect("an answer").0;
-    assert!(told.starts_with("400 no member"), "its only member is out still: {told}");
-    assert_eq!(counted(&next, "store_snapshots"), 0);
-    assert_eq!(std::fs::read(&snapshot).expect("a snapshot"), before, "the former one stays whole");
-    // Words are short and find room; what they say outlasts this process, too.
+    single.setup.program = limited;
+    let next = Proxy::start(&single.setup).expect("it starts");
+    wait_for("it cannot write", || counter(&next, "store_failures") > 2);
+    let answer = next.call("STATUS\n").expect("an answer").0;
+    assert!(answer.starts_with("400 no member"), "its only member is still suspended: {answer}");
+    assert_eq!(counter(&next, "store_snapshots"), 0);
+    assert_eq!(std::fs::read(&snapshot).expect("a snapshot"), before, "the former snapshot is unchanged");
+    // Records of console calls are short enough to be written, and survive this process, too.
     assert!(next.call("RESTORE s-00000000\n").expect("an answer").0.starts_with("200"));
     drop(next);
-    alone.setup.program = PROGRAM.into();
-    let last = Proxy::start(&alone.setup).expect("it starts");
+    single.setup.program = PROGRAM.into();
+    let last = Proxy::start(&single.setup).expect("it starts");
     assert!(last.call("STATUS\n").expect("an answer").0.starts_with("200"));
-    assert_eq!(counted(&last, "store_torn"), 0);
+    assert_eq!(counter(&last, "store_torn"), 0);
 }
 
 #[test]
-fn two_processes_cannot_have_one_folder() {
-    let alone = Alone::storing("");
-    let first = Proxy::start(&alone.setup).expect("it starts");
-    let second = Proxy::start(&alone.setup).err().expect("the folder is taken").to_string();
+fn two_processes_cannot_use_the_same_folder() {
+    let single = SingleProxy::with_store("");
+    let first = Proxy::start(&single.setup).expect("it starts");
+    let second = Proxy::start(&single.setup).err().expect("the folder is taken").to_string();
     assert!(second.contains("another process has it"), "{second}");
     drop(first);
-    Proxy::start(&alone.setup).expect("the folder is free again");
+    Proxy::start(&single.setup).expect("the folder is free again");
 }
 
-/// What a process holds open, by kind: sockets, files by path, all others.
-fn held(proxy: &Proxy) -> (usize, Vec<String>, usize) {
+/// The open descriptors of a process: number of sockets, paths of files, number of all others.
+fn open_descriptors(proxy: &Proxy) -> (usize, Vec<String>, usize) {
     let (mut sockets, mut files, mut others) = (0, Vec::new(), 0);
     for entry in std::fs::read_dir(format!("/proc/{}/fd", proxy.id())).expect("it runs") {
-        let Ok(to) = std::fs::read_link(entry.expect("an entry").path()) else { continue };
-        let to = to.to_string_lossy().into_owned();
-        if to.starts_with("socket:") {
+        let Ok(target) = std::fs::read_link(entry.expect("an entry").path()) else { continue };
+        let target = target.to_string_lossy().into_owned();
+        if target.starts_with("socket:") {
             sockets += 1;
-        } else if to.starts_with('/') && !to.starts_with("/dev/") {
-            files.push(to);
+        } else if target.starts_with('/') && !target.starts_with("/dev/") {
+            files.push(target);
         } else {
             others += 1;
         }
@@ -296,45 +297,47 @@
 }
 
 #[test]
-fn the_shipped_deploy_line_opens_no_socket_and_no_file_more_whatever_the_environment_has() {
-    let alone = Alone::new();
+fn the_shipped_deploy_line_opens_no_extra_socket_or_file_whatever_the_environment() {
+    let single = SingleProxy::new();
     let line =
         include_str!("../deploy/balancer.toml").lines().find(|l| l.starts_with("run ")).expect("a run line");
     assert_eq!(line, "run = \"exec target/release/linentrail\"");
-    std::fs::create_dir_all(alone.folder.join("linentrail-t")).expect("a folder");
-    let mut setup = alone.setup.clone();
+    std::fs::create_dir_all(single.folder.join("linentrail-t")).expect("a folder");
+    let mut setup = single.setup.clone();
     setup.shipped = true;
     setup.config.as_object_mut().expect("fields").remove("console");
-    // A folder that looks like a store's, and what might be taken for its settings.
-    setup.shared = Some(alone.folder.clone());
+    // A folder that samples like a store, and environment variables that might be taken for its settings.
+    setup.shared = Some(single.folder.clone());
     setup.environment = ["STORE", "LINENTRAIL_STORE", "LINENTRAIL_KEY", "LINENTRAIL_AGREEMENT", "AGREEMENT"]
-        .map(|n| (n.to_string(), alone.folder.display().to_string()))
+        .map(|n| (n.to_string(), single.folder.display().to_string()))
         .into();
     let proxy = Proxy::start(&setup).expect("it starts");
-    // A call to discovery that is refused holds one more socket for less than a look; what stays shows in each of them.
-    let looks: Vec<_> = (0..20)
+    // A refused call to discovery holds one more socket for less than the time between two samples. Descriptors that
+    // stay open are in every sample.
+    let samples: Vec<_> = (0..20)
         .map(|_| {
             std::thread::sleep(std::time::Duration::from_millis(10));
-            held(&proxy)
+            open_descriptors(&proxy)
         })
         .collect();
-    // The listener, and the pair that signals come by, one end of it twice; so it was before there was a store.
-    assert_eq!(looks.iter().map(|(sockets, ..)| *sockets).min(), Some(1 + 3), "{looks:?}");
-    assert!(looks.iter().all(|(sockets, ..)| *sockets <= 1 + 3 + 1), "{looks:?}");
-    assert!(looks.iter().all(|(_, files, _)| files.is_empty()), "{looks:?}");
-    // Standard input, output and error, and the runtime's own.
-    assert!(looks.iter().all(|(.., others)| *others <= 8), "{looks:?}");
+    // One socket for the listener, and three for the socket pair that delivers signals, one end of which is
+    // duplicated. These are all sockets of the program without a store.
+    assert_eq!(samples.iter().map(|(sockets, ..)| *sockets).min(), Some(1 + 3), "{samples:?}");
+    assert!(samples.iter().all(|(sockets, ..)| *sockets <= 1 + 3 + 1), "{samples:?}");
+    assert!(samples.iter().all(|(_, files, _)| files.is_empty()), "{samples:?}");
+    // Standard input, output and error, and the descriptors of the async runtime.
+    assert!(samples.iter().all(|(.., others)| *others <= 8), "{samples:?}");
     let threads = std::fs::read_dir(format!("/proc/{}/task", proxy.id())).expect("it runs").count();
     assert_eq!(threads, 1);
-    let left: Vec<_> = std::fs::read_dir(alone.folder.join("linentrail-t")).expect("the folder").collect();
+    let left: Vec<_> = std::fs::read_dir(single.folder.join("linentrail-t")).expect("the folder").collect();
     assert!(left.is_empty(), "{left:?}");
-    // With the operators' file there is a thread and the folder's lock.
-    let storing = Alone::storing("");
-    let proxy = Proxy::start(&storing.setup).expect("it starts");
-    // For a moment the thread may be writing down the start's number.
-    let soon = (0..2_000).any(|_| {
+    // With the operators' file the process has another thread, and the folder's lock file is open.
+    let with_store = SingleProxy::with_store("");
+    let proxy = Proxy::start(&with_store.setup).expect("it starts");
+    // At first the thread may also have a file open in which it records the number of the start.
+    let only_lock_open = (0..2_000).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(10));
-        held(&proxy).1.len() == 1
+        open_descriptors(&proxy).1.len() == 1
     });
-    assert!(soon, "the lock: {:?}", held(&proxy).1);
+    assert!(only_lock_open, "the lock: {:?}", open_descriptors(&proxy).1);
 }
