--- a/tests/repeat_ids.rs
+++ b/tests/repeat_ids.rs
@@ -1,11 +1,11 @@
-//! Bookings that are tried at both processes of a proxy, while a new version takes over: at most one run for each id.
+//! Bookings that a client sends to both processes of a proxy during an upgrade: each repeat id runs at most once.
 #![allow(missing_docs)]
 
 mod scenario;
 use scenario::play;
 
 #[test]
-fn a_booking_tried_at_both_processes_at_once_runs_once_and_is_refused_by_neither() {
+fn a_booking_sent_to_both_processes_at_once_runs_once_and_succeeds_at_one() {
     for _ in 0..4 {
         play(
             "member p primary
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn forty_ids_tried_at_both_processes_at_once_run_once_each() {
+fn forty_ids_sent_to_both_processes_at_once_run_once_each() {
     let race = |n| {
         format!(
             "o,n race POST k{n}- 01 id=x{n} sent=0
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_booking_whose_process_was_killed_in_the_middle_does_not_run_again_by_the_other() {
+fn a_booking_whose_process_was_killed_does_not_run_again_through_the_other() {
     play(
         "member p primary
          start odata console handed
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_id_that_stands_for_another_booking_at_the_other_process_is_a_conflict() {
+fn an_id_used_for_another_booking_at_the_other_process_is_a_conflict() {
     play(
         "member p primary
          start odata console handed
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_booking_of_a_client_whose_clock_runs_ahead_does_not_run_again_by_the_next_process() {
+fn a_booking_of_a_client_whose_clock_is_ahead_does_not_run_again_through_the_next_process() {
     play(
         "member p primary
          start odata console handed
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_booking_that_the_last_process_but_one_ran_does_not_run_again() {
+fn a_booking_run_two_processes_earlier_does_not_run_again() {
     play(
         "member p primary
          start odata console handed
@@ -131,8 +131,9 @@
 }
 
 #[test]
-fn a_booking_does_not_run_again_where_ids_cannot_be_shared() {
-    // A file where the folder of the ids should be: the former can tell nothing, and what is not told proves nothing.
+fn a_booking_does_not_run_again_when_ids_cannot_be_shared() {
+    // A file in the place of the folder of repeat ids: the former process cannot publish its ids, so the next process
+    // must not take a missing id for proof that the booking has not run.
     play(
         "member p primary
          start odata console handed
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn a_booking_does_not_run_again_where_the_former_process_hangs() {
+fn a_booking_does_not_run_again_while_the_former_process_hangs() {
     play(
         "member p primary
          start odata console handed
@@ -170,8 +171,8 @@
 }
 
 #[test]
-fn a_booking_does_not_run_again_where_the_shared_folder_cannot_be_joined_at_the_start() {
-    // A folder where its lock should be: the next process can neither see the former nor be seen by it.
+fn a_booking_does_not_run_again_when_the_shared_folder_is_unusable_at_startup() {
+    // A folder in the place of the lock file: the next process and the former cannot detect each other.
     play(
         "member p primary
          start odata console handed
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn both_processes_go_on_with_new_bookings_and_with_those_that_never_ran() {
+fn both_processes_accept_new_bookings_and_those_that_never_ran() {
     play(
         "member p primary
          start odata console handed
