--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! The real program while its system calls fail as Linux documents (`crates/standins/shim/faults.c`): short reads and
-//! writes, calls that fail for a moment, a wall clock that is stepped, a process that is held up.
+//! The real program under system call faults that Linux documents (injected by `crates/standins/shim/faults.c`):
+//! short reads and writes, transient errors, a wall clock that is set off, and a process that stalls.
 #![allow(missing_docs)]
 
 use linentrail_standins::client::{request_id, Ask, Pg, Told};
@@ -18,38 +18,38 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on a slow machine: only a failure waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any step here takes on a slow machine: only a failure waits this long.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A folder for one test; it goes with it.
-struct Folder(PathBuf);
+/// A temporary folder of one test, removed on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new() -> Self {
-        static MADE: AtomicUsize = AtomicUsize::new(0);
-        let made = MADE.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("linentrail-faults-{}-{made}", std::process::id()));
+        static CREATED: AtomicUsize = AtomicUsize::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("linentrail-faults-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A primary, two replicas, and a proxy before them.
-struct World {
+/// A primary, two replicas, a discovery registry, and the setup of a proxy for them whose system calls can fail.
+struct Fixture {
     members: Vec<Member>,
     setup: Setup,
     shim: Shim,
-    folder: Folder,
+    folder: TempFolder,
     registry: Registry,
 }
 
-impl World {
+impl Fixture {
     fn new(calls: &[(Call, u32)]) -> Self {
         let group = Group::default();
         let capacity = Capacity::default();
@@ -58,7 +58,7 @@
         let list: Vec<_> = members.iter().enumerate().map(|(n, m)| entry(n, m.address())).collect();
         let registry = Registry::default();
         let discovery = registry.start(list.clone().into()).to_string();
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         let shim = Shim::new(&folder.0, &folder.0, 7, calls).unwrap();
         let setup = Setup {
             program: env!("CARGO_BIN_EXE_linentrail").into(),
@@ -66,14 +66,15 @@
             environment: shim.environment(),
             ..Setup::default()
         };
-        World { members, setup, shim, folder, registry }
+        Fixture { members, setup, shim, folder, registry }
     }
 
     fn start(&self) -> Proxy {
         Proxy::start(&self.setup).unwrap()
     }
 
-    fn faults(&self) -> usize {
+    /// Number of system calls that the shim has made fail.
+    fn fault_count(&self) -> usize {
         let text = std::fs::read_to_string(self.folder.0.join("fault-log")).unwrap_or_default();
         text.lines().count()
     }
@@ -87,14 +88,15 @@
     Ask { class: "place-order", key: key.into(), value: Some(vec![1; 40]), wait_ms: 15_000, after: None }
 }
 
-async fn answer(client: &mut Pg, what: &str) {
-    let told = tokio::time::timeout(PATIENCE, client.answer()).await;
-    let told = told.unwrap_or_else(|_| panic!("{what}: no answer"));
-    assert!(matches!(told, Ok(Told::Served(_))), "{what}: {told:?}");
+async fn expect_served(client: &mut Pg, what: &str) {
+    let answer = tokio::time::timeout(STEP_TIMEOUT, client.answer()).await;
+    let answer = answer.unwrap_or_else(|_| panic!("{what}: no answer"));
+    assert!(matches!(answer, Ok(Told::Served(_))), "{what}: {answer:?}");
 }
 
-/// Clients that ask in turn, and such that send several queries at once; all must be served.
-fn all_are_served(world: &World, proxy: &Proxy) {
+/// Checks that all requests are served, of clients that send one query at a time and of clients that pipeline four;
+/// and that system calls did fail meanwhile.
+fn assert_all_served(fixture: &Fixture, proxy: &Proxy) {
     let to = proxy.pg;
     runtime().block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
@@ -107,14 +109,19 @@
                     if n % 2 == 0 {
                         for (at, ask) in asks.iter().enumerate() {
                             client.send(&wire::query(&ask.sql(&request_id()))).await.unwrap();
-                            answer(&mut client, &format!("client {n}, round {round}, request {at}")).await;
+                            expect_served(&mut client, &format!("client {n}, round {round}, request {at}"))
+                                .await;
                         }
                     } else {
                         let queries: Vec<u8> =
                             asks.iter().flat_map(|ask| wire::query(&ask.sql(&request_id()))).collect();
                         client.send(&queries).await.unwrap();
                         for at in 0..asks.len() {
-                            answer(&mut client, &format!("client {n}, round {round}, query {at} of 4")).await;
+                            expect_served(
+                                &mut client,
+                                &format!("client {n}, round {round}, query {at} of 4"),
+                            )
+                            .await;
                         }
                     }
                 }
@@ -124,88 +131,89 @@
             done.unwrap();
         }
     });
-    assert!(world.faults() > 50, "only {} faults came", world.faults());
+    assert!(fixture.fault_count() > 50, "only {} system calls failed", fixture.fault_count());
 }
 
 #[test]
 fn short_reads_lose_no_request_and_no_answer() {
     for calls in [&[(Call::RecvShort, 5)][..], &[(Call::RecvCut, 1)]] {
-        let world = World::new(calls);
-        let proxy = world.start();
-        world.shim.calls_fail(true).unwrap();
-        all_are_served(&world, &proxy);
+        let fixture = Fixture::new(calls);
+        let proxy = fixture.start();
+        fixture.shim.calls_fail(true).unwrap();
+        assert_all_served(&fixture, &proxy);
     }
 }
 
 #[test]
 fn short_writes_and_interrupted_waits_lose_nothing() {
-    let world = World::new(&[(Call::SendShort, 3), (Call::WaitInterrupted, 5)]);
-    let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
-    all_are_served(&world, &proxy);
+    let fixture = Fixture::new(&[(Call::SendShort, 3), (Call::WaitInterrupted, 5)]);
+    let proxy = fixture.start();
+    fixture.shim.calls_fail(true).unwrap();
+    assert_all_served(&fixture, &proxy);
 }
 
 #[test]
-fn calls_that_a_signal_interrupts_lose_nothing() {
-    let world = World::new(&[(Call::CallInterrupted, 5)]);
-    let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
-    all_are_served(&world, &proxy);
+fn calls_interrupted_by_signals_lose_nothing() {
+    let fixture = Fixture::new(&[(Call::CallInterrupted, 5)]);
+    let proxy = fixture.start();
+    fixture.shim.calls_fail(true).unwrap();
+    assert_all_served(&fixture, &proxy);
 }
 
 #[test]
-fn calls_that_find_no_memory_for_a_moment_lose_nothing() {
-    let world = World::new(&[(Call::CallNoMemory, 10)]);
-    let proxy = world.start();
-    world.shim.calls_fail(true).unwrap();
-    all_are_served(&world, &proxy);
+fn calls_that_transiently_run_out_of_memory_lose_nothing() {
+    let fixture = Fixture::new(&[(Call::CallNoMemory, 10)]);
+    let proxy = fixture.start();
+    fixture.shim.calls_fail(true).unwrap();
+    assert_all_served(&fixture, &proxy);
 }
 
 #[test]
-fn a_start_outlasts_sockets_that_are_not_to_be_had_for_a_moment() {
-    let world = World::new(&[(Call::SocketFails, 2)]);
-    world.shim.calls_fail(true).unwrap();
+fn startup_survives_transient_failures_to_create_sockets() {
+    let fixture = Fixture::new(&[(Call::SocketFails, 2)]);
+    fixture.shim.calls_fail(true).unwrap();
     let mut faults = 0;
     for seed in 0..6 {
-        let shim = Shim::new(&world.folder.0, &world.folder.0, seed, &[(Call::SocketFails, 2)]).unwrap();
+        let shim = Shim::new(&fixture.folder.0, &fixture.folder.0, seed, &[(Call::SocketFails, 2)]).unwrap();
         shim.calls_fail(true).unwrap();
-        let setup = Setup { environment: shim.environment(), ..world.setup.clone() };
+        let setup = Setup { environment: shim.environment(), ..fixture.setup.clone() };
         let started = Proxy::start(&setup);
         assert!(started.is_ok(), "seed {seed}: {:?}", started.err());
-        faults = world.faults();
+        faults = fixture.fault_count();
     }
     assert!(faults > 0, "no call has failed");
 }
 
-/// The first calls of connect() fail, all of them for the name server: the members are not known yet.
+/// The first three connect() calls fail. All of them go to the name server, since no member is known yet.
 #[test]
-fn browsing_for_members_outlasts_connects_that_fail_for_a_moment() {
-    let mut world = World::new(&[]);
+fn browsing_for_members_survives_transient_connect_failures() {
+    let mut fixture = Fixture::new(&[]);
     let names = Dns::default();
-    for (n, member) in world.members.iter().enumerate() {
+    for (n, member) in fixture.members.iter().enumerate() {
         names.name(&format!("n{n}-0000000{n}"), member.address().port(), 4, true);
     }
-    world.setup.config["known"]["instances"] = Vec::<String>::new().into();
-    world.setup.browse = Some(names.start());
-    let shim = Shim::new(&world.folder.0, &world.folder.0, 7, &[(Call::ConnectFails, 1)]).unwrap().at_most(3);
+    fixture.setup.config["known"]["instances"] = Vec::<String>::new().into();
+    fixture.setup.browse = Some(names.start());
+    let shim =
+        Shim::new(&fixture.folder.0, &fixture.folder.0, 7, &[(Call::ConnectFails, 1)]).unwrap().at_most(3);
     shim.calls_fail(true).unwrap();
-    world.setup.environment = shim.environment();
-    let proxy = world.start();
+    fixture.setup.environment = shim.environment();
+    let proxy = fixture.start();
     runtime().block_on(async {
         let mut client = Pg::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
-        answer(&mut client, "a read").await;
+        expect_served(&mut client, "a read").await;
     });
-    assert_eq!(world.faults(), 3);
+    assert_eq!(fixture.fault_count(), 3);
     assert_eq!(proxy.counters().unwrap().get("list_failures").copied().unwrap_or_default(), 0);
 }
 
 #[test]
-fn connections_accepted_by_the_machine_are_taken_at_the_end_though_accept_fails_for_a_moment() {
+fn connections_queued_by_the_kernel_are_served_at_shutdown_despite_transient_accept_failures() {
     const CLIENTS: usize = 16;
-    let mut world = World::new(&[(Call::AcceptFails, 2)]);
-    world.setup.still_coming = Some(Duration::from_millis(1));
-    let proxy = world.start();
+    let mut fixture = Fixture::new(&[(Call::AcceptFails, 2)]);
+    fixture.setup.still_coming = Some(Duration::from_millis(1));
+    let proxy = fixture.start();
     proxy.signal("STOP").unwrap();
     runtime().block_on(async {
         let mut streams = Vec::new();
@@ -217,26 +225,26 @@
             streams.push(stream);
         }
         proxy.signal("TERM").unwrap();
-        world.shim.calls_fail(true).unwrap();
+        fixture.shim.calls_fail(true).unwrap();
         proxy.signal("CONT").unwrap();
         for (n, mut stream) in streams.into_iter().enumerate() {
             let mut all = Vec::new();
             let read = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut all);
-            let read = tokio::time::timeout(PATIENCE, read).await.expect("an end");
+            let read = tokio::time::timeout(STEP_TIMEOUT, read).await.expect("an end");
             assert!(read.is_ok() && all.ends_with(b"Z\0\0\0\x05I"), "client {n} of {CLIENTS}: {read:?}");
-            // A row stands between the welcome and the end.
+            // The answer contains a row between the startup reply and the final ReadyForQuery.
             assert!(all.windows(7).any(|w| w == b"SELECT "), "client {n} of {CLIENTS} has no answer");
         }
     });
-    assert!(world.faults() > 0, "no call has failed");
+    assert!(fixture.fault_count() > 0, "no call has failed");
 }
 
 #[test]
-fn an_output_that_takes_no_more_ends_no_proxy() {
-    let world = World::new(&[]);
-    let config = world.folder.0.join("config.json");
-    std::fs::write(&config, world.setup.config.to_string()).unwrap();
-    let mut child = Command::new(&world.setup.program)
+fn a_full_standard_output_does_not_end_the_proxy() {
+    let fixture = Fixture::new(&[]);
+    let config = fixture.folder.0.join("config.json");
+    std::fs::write(&config, fixture.setup.config.to_string()).unwrap();
+    let mut child = Command::new(&fixture.setup.program)
         .env("BALANCER_CONFIG", &config)
         .env("BALANCER_NAME", "t")
         .stdout(File::options().write(true).open("/dev/full").unwrap())
@@ -252,7 +260,7 @@
         let mut client = Pg::connect(address).await.expect("it takes clients");
         for n in 0..20 {
             client.send(&wire::query(&read("k").sql(&request_id()))).await.unwrap();
-            answer(&mut client, &format!("request {n}")).await;
+            expect_served(&mut client, &format!("request {n}")).await;
         }
     });
     proxy::signal_all(&[child.id()], "TERM").unwrap();
@@ -261,18 +269,18 @@
     assert!(status.success(), "{status}");
 }
 
-/// A client asks, and its request waits for a connection that the member does not welcome. The process is held up; the
-/// client leaves, and then the member welcomes. Whichever of the two the process hears of first when it goes on, the
-/// client has gone.
+/// A request waits for a member connection whose startup the member does not complete. The process is stopped; the
+/// client disconnects, and the member completes the startup, before or after the disconnect. Whichever event the
+/// process reads first when it resumes, it must not send the request, since its client has gone.
 #[test]
-fn nothing_begins_for_a_client_that_left_while_the_process_was_held_up() {
+fn no_attempt_starts_for_a_client_that_disconnected_during_a_stall() {
     for round in 0..8 {
-        let world = World::new(&[]);
-        let proxy = world.start();
-        let primary = &world.members[0];
+        let fixture = Fixture::new(&[]);
+        let proxy = fixture.start();
+        let primary = &fixture.members[0];
         let key = format!("k{round}");
-        let client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
-        // The welcome is on its way first on half of the rounds.
+        let client = stop_with_a_waiting_write(&fixture, &proxy, &key);
+        // In half of the rounds the member completes the startup before the client disconnects.
         if round % 2 == 0 {
             primary.does(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
@@ -282,45 +290,46 @@
         primary.does(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(150));
         proxy.signal("CONT").unwrap();
-        wait_for("the client's leave", || proxy.counters().unwrap().get("left").is_some_and(|n| *n > 0));
+        wait_for("the client's disconnect", || proxy.counters().unwrap().get("left").is_some_and(|n| *n > 0));
         std::thread::sleep(Duration::from_millis(50));
         assert_eq!(
             primary.given(&format!("write {key}")),
             0,
-            "round {round}: sent for a client that has gone"
+            "round {round}: sent for a client that has disconnected"
         );
     }
 }
 
-/// A write waits for a connection that no member welcomes, and the process is stopped; the write's client.
-fn stands_still_with_a_write_that_waits(world: &World, proxy: &Proxy, key: &str) -> Pg {
-    world.members.iter().for_each(|m| m.does(Behaviour::Shut));
+/// Sends a write that waits for a connection, as no member completes its startup, then stops the process. Returns the
+/// client of the write.
+fn stop_with_a_waiting_write(fixture: &Fixture, proxy: &Proxy, key: &str) -> Pg {
+    fixture.members.iter().for_each(|m| m.does(Behaviour::Shut));
     let client = runtime().block_on(async {
         let mut client = Pg::connect(proxy.pg).await.unwrap();
         client.send(&wire::query(&write(key).sql(&request_id()))).await.unwrap();
         client
     });
-    wait_for("a connection to the primary", || world.members[0].totals().2 > 0);
+    wait_for("a connection to the primary", || fixture.members[0].totals().2 > 0);
     std::thread::sleep(Duration::from_millis(20));
     proxy.signal("STOP").unwrap();
     client
 }
 
-fn wait_for(what: &str, mut true_now: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !true_now() {
-        assert!(began.elapsed() < PATIENCE, "{what} does not come");
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < STEP_TIMEOUT, "{what}: not seen in time");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message of which a part has been read is the proxy's: its connection is not the one to close for others.
+/// The proxy has read a part of a message: it must not close that connection to free a descriptor for other clients.
 #[test]
-fn a_client_in_the_middle_of_a_message_keeps_its_connection_when_others_lack_one() {
-    let mut world = World::new(&[]);
-    // 40 descriptors: 8 beyond the reserve, 4 of them for clients.
-    world.setup.config["limits"]["sockets"] = 40.into();
-    let proxy = world.start();
+fn a_client_within_a_message_keeps_its_connection_when_descriptors_run_out() {
+    let mut fixture = Fixture::new(&[]);
+    // 40 descriptors leave 8 beyond the reserve; 4 of these are for clients.
+    fixture.setup.config["limits"]["sockets"] = 40.into();
+    let proxy = fixture.start();
     runtime().block_on(async {
         let mut client = Pg::connect(proxy.pg).await.unwrap();
         client.ask(&write("k")).await.unwrap();
@@ -330,51 +339,52 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         let others: Vec<TcpStream> = (0..12).filter_map(|_| TcpStream::connect(proxy.pg).ok()).collect();
         tokio::time::sleep(Duration::from_millis(800)).await;
-        client.send(rest).await.expect("the connection stands");
-        answer(&mut client, "the request sent in two pieces").await;
+        client.send(rest).await.expect("the connection is still open");
+        expect_served(&mut client, "the request sent in two pieces").await;
         drop(others);
     });
 }
 
-/// The wall clock of a machine is an hour off when its proxy starts: what members tell in times of theirs still means
-/// what it does. Reads that may be 3 s old go to replicas that are 5 ms behind, and not all of them to the primary.
+/// The wall clock of the proxy's machine is an hour off at startup. The proxy must still read the timestamps of
+/// members correctly: reads that may be 3 s stale go to replicas that lag by 5 ms, and not all of them to the
+/// primary.
 #[test]
-fn a_process_that_starts_on_a_machine_whose_clock_is_off_uses_the_replicas() {
+fn a_process_started_with_a_wrong_wall_clock_uses_the_replicas() {
     const HOUR: i64 = 3_600_000_000;
     for step in [0, HOUR, -HOUR] {
-        let world = World::new(&[]);
-        world.shim.clock_step(step).unwrap();
-        let proxy = world.start();
+        let fixture = Fixture::new(&[]);
+        fixture.shim.clock_step(step).unwrap();
+        let proxy = fixture.start();
         runtime().block_on(async {
             let mut client = Pg::connect(proxy.pg).await.unwrap();
             for n in 0..60 {
                 client.ask(&write(&format!("w{n}"))).await.unwrap();
                 let ask = Ask { class: "yard-board", ..read(&format!("k{n}")) };
                 client.send(&wire::query(&ask.sql(&request_id()))).await.unwrap();
-                answer(&mut client, &format!("step {step}: read {n}")).await;
+                expect_served(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
         let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
-        let of_replicas: usize = world.members[1..].iter().map(reads).sum();
-        assert!(of_replicas >= 40, "clock {step} us off: replicas got {of_replicas} reads of 60");
+        let replica_reads: usize = fixture.members[1..].iter().map(reads).sum();
+        assert!(replica_reads >= 40, "clock {step} us off: replicas got {replica_reads} reads of 60");
     }
 }
 
-/// A member that has just started can do a seventh of its work. Whatever the clock of the proxy's machine says, it gets
-/// hardly a share of the reads.
+/// A member that has just started has a seventh of its full capacity. It must get only a small share of the reads,
+/// whatever the clock of the proxy's machine says.
 #[test]
-fn a_cold_member_is_cold_also_where_the_clock_is_off() {
+fn a_member_is_slow_started_even_with_a_wrong_wall_clock() {
     const HOUR: i64 = 3_600_000_000;
     for step in [0, HOUR, -HOUR] {
-        let mut world = World::new(&[]);
-        let known = &mut world.setup.config["known"]["instances"];
+        let mut fixture = Fixture::new(&[]);
+        let known = &mut fixture.setup.config["known"]["instances"];
         known[1]["startedAtMs"] = linentrail_standins::now_ms().into();
         let discovery = Registry::default().start(known.clone());
-        world.setup.config["discovery"] = discovery.to_string().into();
-        // One of many: its share of each member is less than a request at a time.
-        world.setup.config["settings"]["instances"] = 100.into();
-        world.shim.clock_step(step).unwrap();
-        let proxy = world.start();
+        fixture.setup.config["discovery"] = discovery.to_string().into();
+        // The proxy is one of 100: its share of each member's capacity is less than one concurrent request.
+        fixture.setup.config["settings"]["instances"] = 100.into();
+        fixture.shim.clock_step(step).unwrap();
+        let proxy = fixture.start();
         runtime().block_on(async {
             let mut client = Pg::connect(proxy.pg).await.unwrap();
             for n in 0..4 {
@@ -382,24 +392,24 @@
             }
             for n in 0..60 {
                 client.send(&wire::query(&read(&format!("k{n}")).sql(&request_id()))).await.unwrap();
-                answer(&mut client, &format!("step {step}: read {n}")).await;
+                expect_served(&mut client, &format!("step {step}: read {n}")).await;
             }
         });
         let reads = |m: &Member| m.seen().iter().filter(|s| s.starts_with("read ")).count();
-        let cold = reads(&world.members[1]);
-        assert!(cold < 20, "clock {step} us off: the cold member got {cold} reads of 60");
+        let slow_started = reads(&fixture.members[1]);
+        assert!(slow_started < 20, "clock {step} us off: the new member got {slow_started} reads of 60");
     }
 }
 
-/// A part of a request has been read when the process is told to end: the rest of it comes after connections have begun to
-/// close, and it is answered by either front.
+/// The process has read a part of a request when its shutdown begins, and the rest arrives after connections have
+/// begun to close: either front must answer the request.
 #[test]
-fn a_request_that_has_begun_when_the_end_comes_is_answered() {
-    let mut world = World::new(&[]);
-    world.setup.odata = true;
-    world.setup.still_coming = Some(Duration::from_millis(300));
+fn a_request_partly_read_at_shutdown_is_answered() {
+    let mut fixture = Fixture::new(&[]);
+    fixture.setup.odata = true;
+    fixture.setup.still_coming = Some(Duration::from_millis(300));
     for odata in [false, true] {
-        let proxy = world.start();
+        let proxy = fixture.start();
         let (to, whole, answer) = if odata {
             let head = "GET /records('k') HTTP/1.1\r\nHost: x\r\nSkip-Class: monthly-report\r\n";
             let rest = "Skip-Tenant: acme\r\nSkip-Group: 1\r\n\r\n";
@@ -410,7 +420,7 @@
         };
         let (first, rest) = whole.split_at(whole.len() - 30);
         let mut stream = TcpStream::connect(to).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         stream.write_all(first).unwrap();
         std::thread::sleep(Duration::from_millis(50));
         proxy.signal("TERM").unwrap();
@@ -418,28 +428,29 @@
         stream.write_all(rest).unwrap();
         let mut all = Vec::new();
         stream.read_to_end(&mut all).unwrap();
-        let told = String::from_utf8_lossy(&all);
-        assert!(told.contains(answer), "OData {odata}: {told:?}");
+        let received = String::from_utf8_lossy(&all);
+        assert!(received.contains(answer), "OData {odata}: {received:?}");
     }
 }
 
-/// The process stands still; meanwhile discovery announces the member as leaving, and the member welcomes the connection
-/// that a write waits for. When the process goes on, both stand in its sockets: the list counts.
+/// During a stall discovery announces the member as leaving, and the member completes the startup of the connection
+/// that a write waits for. When the process resumes, both are in its socket buffers: it must apply the new member
+/// list first.
 #[test]
-fn nothing_begins_by_a_list_that_was_overruled_while_the_process_stood_still() {
+fn no_attempt_starts_by_a_member_list_that_was_replaced_during_a_stall() {
     for round in 0..6 {
-        let mut world = World::new(&[]);
-        world.setup.config["settings"]["discovery"] = "subscribe".into();
-        let proxy = world.start();
-        wait_for("a watch", || world.registry.calls().watches >= 2);
-        let primary = &world.members[0];
+        let mut fixture = Fixture::new(&[]);
+        fixture.setup.config["settings"]["discovery"] = "subscribe".into();
+        let proxy = fixture.start();
+        wait_for("a watch", || fixture.registry.calls().watches >= 2);
+        let primary = &fixture.members[0];
         let key = format!("k{round}");
-        let _client = stands_still_with_a_write_that_waits(&world, &proxy, &key);
+        let _client = stop_with_a_waiting_write(&fixture, &proxy, &key);
         if round % 2 == 0 {
             primary.does(Behaviour::Answer);
             std::thread::sleep(Duration::from_millis(30));
         }
-        world.registry.change(0, "leaving");
+        fixture.registry.change(0, "leaving");
         std::thread::sleep(Duration::from_millis(100));
         primary.does(Behaviour::Answer);
         std::thread::sleep(Duration::from_millis(500));
@@ -447,8 +458,8 @@
         let withheld = |counters: &std::collections::BTreeMap<String, u64>| {
             ["withdrawn", "withheld_withdrawn"].iter().any(|name| counters.get(*name).is_some_and(|n| *n > 0))
         };
-        let given = || primary.given(&format!("write {key}"));
-        wait_for("what became of it", || given() > 0 || withheld(&proxy.counters().unwrap()));
-        assert_eq!(given(), 0, "round {round}: sent to a member that leaves");
+        let sent = || primary.given(&format!("write {key}"));
+        wait_for("the outcome of the write", || sent() > 0 || withheld(&proxy.counters().unwrap()));
+        assert_eq!(sent(), 0, "round {round}: sent to a member that leaves");
     }
 }
