--- a/tests/unsafe_reads.rs
+++ b/tests/unsafe_reads.rs
@@ -1,20 +1,22 @@
-//! Reads that may not simply be repeated, by the settings of their class: once a member may have run one, it is neither sent
-//! again nor answered with the promise that trying again is harmless. Every order is forced on the real program.
+//! Reads whose class is unsafe (or keyed, with its window over): once a member may have run such a read, the proxy
+//! neither sends it again nor answers that a retry is harmless. The scenarios force each order of events on the real
+//! program.
 #![allow(missing_docs)]
 
 mod scenario;
 use scenario::play;
 
-/// The class of session reads may not be repeated, as the settings of a deployment may say.
+/// Makes the class of session reads unsafe, as the settings of a deployment may.
 const UNSAFE: &str = "config sets services/1/idempotency \"non_idempotent\"\n";
-/// It may be repeated within its window, which is over before any answer can come.
+/// Makes the class of session reads keyed, with a window that is over before any answer can arrive.
 const KEYED: &str = "config sets services/1/idempotency \"idempotency_key\"
     config sets services/1/group \"zone\"
     config sets services/1/window_us 1\n";
-/// What a member answers that turns a statement away untouched.
-const NEVER_RAN: [&str; 3] = ["53300", "72000", "25006"];
+/// SQLSTATEs of a member that refuses a statement without running it.
+const NOT_RUN_CODES: [&str; 3] = ["53300", "72000", "25006"];
 
-/// A session read by either front, whose session the proxy has seen write what no statement says.
+/// A session read by either front that carries no commit position; the proxy itself knows of the session's earlier
+/// write.
 const SESSION_READS: [&str; 2] = [
     "a send read k1 my-booking
      a expect no refusal",
@@ -23,7 +25,7 @@
 ];
 
 #[test]
-fn a_read_that_may_not_be_repeated_is_sent_again_where_its_answer_proves_no_position() {
+fn an_unsafe_read_is_not_sent_again_when_its_answer_proves_no_position() {
     let all_mute = "p does mute\nr does mute\nq does mute";
     let all_unplaced = "p does unplaced\nr does unplaced\nq does unplaced";
     let replicas_mute = "r does mute\nq does mute";
@@ -46,7 +48,8 @@
             ));
         }
     }
-    // The proxy takes a write that told no commit for committed when its answer came; replicas are chosen by what was told.
+    // If the answer of a write names no commit, the proxy takes the time of that answer for the commit. Replicas are
+    // chosen by the positions that they have reported.
     for read in SESSION_READS {
         play(&format!(
             "{UNSAFE}
@@ -66,8 +69,8 @@
 }
 
 #[test]
-fn a_read_fails_though_the_member_that_served_it_was_known_to_be_recent_enough() {
-    // Replicas tell their positions by reports alone, as where only writes' answers tell one.
+fn a_read_is_served_when_its_member_was_known_to_be_recent_enough() {
+    // Replicas give their positions only in reports, as where only the answers of writes carry a position.
     for (class, read, row) in [
         (UNSAFE, "a send read k1 my-booking", "a expect row 01"),
         ("", "a send read k1 my-booking", "a expect row 01"),
@@ -93,8 +96,8 @@
 }
 
 #[test]
-fn a_read_that_ran_at_a_primary_without_its_role_is_refused() {
-    // Its answer is from before the session's write, so that it can be neither passed on nor had again.
+fn a_read_that_ran_at_a_demoted_primary_fails_and_is_not_refused() {
+    // The answer predates the session's write, so that the proxy can neither forward it nor send the read again.
     let by_pg =
         "a send raw SELECT v FROM records WHERE k = 'k1' /* id=0f,c=my-booking,t=acme,d=3000,cluster=1 */
          a expect error XX000";
@@ -117,9 +120,9 @@
 }
 
 #[test]
-fn an_error_behind_a_part_of_an_answer_is_taken_for_proof_that_nothing_ran() {
-    // A member that turns a statement away does so before it describes a row.
-    for code in NEVER_RAN {
+fn an_error_after_a_part_of_an_answer_does_not_prove_that_nothing_ran() {
+    // A member that refuses a statement without running it does so before it sends a row description.
+    for code in NOT_RUN_CODES {
         for place in ["after-description", "after-row"] {
             play(&format!(
                 "{UNSAFE}
@@ -144,8 +147,8 @@
 }
 
 #[test]
-fn an_error_beside_a_whole_answer_proves_nothing() {
-    for code in NEVER_RAN {
+fn an_error_before_or_after_a_whole_answer_does_not_prove_that_nothing_ran() {
+    for code in NOT_RUN_CODES {
         for (place, by_pg, by_odata) in [
             ("after-completion", "error XX000", "502"),
             ("before", "error XX000", "502"),
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn what_may_have_run_at_a_member_that_fails_is_told_as_a_failure() {
+fn a_read_that_may_have_run_at_a_failing_member_is_answered_as_failed() {
     for does in ["error", "reset", "half", "stall", "swapped", "unready", "noisy", "broken 40"] {
         play(&format!(
             "{UNSAFE}
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn a_copy_of_an_earlier_refusal_is_not_taken_for_the_next_answer() {
+fn a_duplicate_of_an_earlier_refusal_is_not_taken_for_the_next_answer() {
     play(&format!(
         "{UNSAFE}
          member p primary
@@ -235,8 +238,8 @@
 }
 
 #[test]
-fn a_read_keeps_the_effect_that_its_class_had_when_it_came() {
-    // The first came while it might be repeated, the second while it might not.
+fn a_read_keeps_the_effect_that_its_class_had_on_arrival() {
+    // The first read arrives while its class is safe, the second while it is unsafe.
     play(
         "member p primary
          member r replica 0
@@ -267,8 +270,8 @@
 }
 
 #[test]
-fn an_end_of_one_request_is_not_told_of_another() {
-    for (fails, answers, of_read, of_write) in
+fn the_end_of_one_request_is_not_reported_for_another() {
+    for (fails, answers, read_result, write_result) in
         [("r", "p", "error XX000", "row 02"), ("p", "r", "row -", "error XX000")]
     {
         play(&format!(
@@ -287,8 +290,8 @@
              {fails} does reset
              counts severed 1
              {answers} does answer
-             a expect {of_read}
-             b expect {of_write}
+             a expect {read_result}
+             b expect {write_result}
              sum 1 read k1
              sum 1 write k2"
         ));
@@ -296,8 +299,8 @@
 }
 
 #[test]
-fn a_client_is_told_to_repeat_what_members_cannot_know_again() {
-    // Each try by OData has an id of its own at members; by the other protocol tries share their client's.
+fn a_client_is_not_told_to_retry_what_members_cannot_recognise() {
+    // Members see a new id for each retry by OData. By the PostgreSQL protocol, retries keep the client's id.
     play(
         "config sets services/1/idempotency \"idempotency_key\"
          config sets services/1/group \"all\"
