--- a/tests/store.rs
+++ b/tests/store.rs
@@ -306,7 +306,7 @@
     let mut setup = single.setup.clone();
     setup.shipped = true;
     setup.config.as_object_mut().expect("fields").remove("console");
-    // A folder that samples like a store, and environment variables that might be taken for its settings.
+    // A folder that looks like a store, and environment variables that might be taken for its settings.
     setup.shared = Some(single.folder.clone());
     setup.environment = ["STORE", "LINENTRAIL_STORE", "LINENTRAIL_KEY", "LINENTRAIL_AGREEMENT", "AGREEMENT"]
         .map(|n| (n.to_string(), single.folder.display().to_string()))
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -1,5 +1,5 @@
 //! The real program under system call faults that Linux documents (injected by `crates/standins/shim/faults.c`):
-//! short reads and writes, transient errors, a wall clock that is set off, and a process that stalls.
+//! short reads and writes, transient errors, a wrong wall clock, and a process that stalls.
 #![allow(missing_docs)]
 
 use linentrail_standins::client::{request_id, Ask, Pg, Told};
