--- a/src/listing.rs
+++ b/src/discovery_schedule.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     /// One service answers all proxies, one call after another.
-    Asked,
+    Queried,
     /// An agent on the proxy's own machine holds what discovery has sent, and answers at once. What it holds counts as
     /// told whether or not this process has called, from its first moment on.
     Pushed {
@@ -46,7 +46,7 @@
     /// What the settings say of it.
     pub fn of(settings: &Settings) -> Self {
         if settings.subscribe {
-            Delivery::Asked
+            Delivery::Queried
         } else {
             Delivery::Pushed { drain_grace: settings.rules.drain_grace }
         }
@@ -55,7 +55,7 @@
     /// How many of `proxies` call where this one does.
     pub fn callers(self, proxies: u32) -> u32 {
         match self {
-            Delivery::Asked => proxies,
+            Delivery::Queried => proxies,
             Delivery::Pushed { .. } => 1,
         }
     }
@@ -65,44 +65,44 @@
     /// that silence must be noticed within the grace.
     fn watch_wait(self) -> Time {
         match self {
-            Delivery::Asked => WATCH_WAIT,
+            Delivery::Queried => WATCH_WAIT,
             Delivery::Pushed { drain_grace } => (drain_grace / 2).clamp(PUSHED_WAIT_MIN, WATCH_WAIT),
         }
     }
 
     /// How long discovery is to wait for a change before it answers this call, in us.
-    pub fn wait(self, call: Call) -> Time {
+    pub fn wait(self, call: ListCall) -> Time {
         match call {
-            Call::Whole | Call::Confirm => 0,
-            Call::Watch | Call::Renewal => self.watch_wait(),
+            ListCall::FullList | ListCall::Confirm => 0,
+            ListCall::Watch | ListCall::Renewal => self.watch_wait(),
         }
     }
 
     /// How long a call is waited for, in us, from when it is made.
-    pub fn timeout(self, call: Call) -> Time {
+    pub fn timeout(self, call: ListCall) -> Time {
         match (self, call) {
             (Delivery::Pushed { .. }, _) => self.watch_wait() + self.watch_wait() / 2,
-            (Delivery::Asked, Call::Whole | Call::Confirm) => QUEUE_WAIT_MAX + LEAD,
-            (Delivery::Asked, Call::Watch) => QUEUE_WAIT_MAX + WATCH_WAIT + LEAD,
-            (Delivery::Asked, Call::Renewal) => WATCH_WAIT + RENEWAL_LEAD,
+            (Delivery::Queried, ListCall::FullList | ListCall::Confirm) => QUEUE_WAIT_MAX + LEAD,
+            (Delivery::Queried, ListCall::Watch) => QUEUE_WAIT_MAX + WATCH_WAIT + LEAD,
+            (Delivery::Queried, ListCall::Renewal) => WATCH_WAIT + RENEWAL_LEAD,
         }
     }
 
     /// What becomes of a call that failed: without a word (`silent`), or with a refusal, a reset or what is no list.
-    pub fn failed(self, silent: bool) -> Next {
+    pub fn after_failure(self, silent: bool) -> FailedCallAction {
         match self {
-            _ if silent => Next::Again,
-            Delivery::Pushed { .. } => Next::Soon,
-            Delivery::Asked => Next::Told,
+            _ if silent => FailedCallAction::RetryNow,
+            Delivery::Pushed { .. } => FailedCallAction::RetryAfterPause,
+            Delivery::Queried => FailedCallAction::ReportFailure,
         }
     }
 }
 
 /// One call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
+pub enum ListCall {
     /// For the whole list.
-    Whole,
+    FullList,
     /// For what has changed since the version that the process started with, answered at once also where nothing has: until
     /// then nobody has confirmed that list.
     Confirm,
@@ -114,28 +114,28 @@
 
 /// What becomes of a call that has brought no list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum FailedCallAction {
     /// It is made again at once: a silent call is broken, discovery need not be, and the pauses of a failed call would
     /// outlast what is left before all counts as told. All that fell silent together waited since different moments.
-    Again,
+    RetryNow,
     /// It is made again after a short pause: an agent is this proxy's own, and no call of others waits behind.
-    Soon,
+    RetryAfterPause,
     /// The module hears that it failed, and says when the next is due.
-    Told,
+    ReportFailure,
 }
 
 /// When this proxy calls.
 #[derive(Debug, Clone, Copy)]
-pub struct Listing {
+pub struct CallSchedule {
     seed: u64,
     /// Lots drawn so far.
     drawn: u64,
 }
 
-impl Listing {
+impl CallSchedule {
     /// For the proxy with this seed.
     pub fn new(seed: u64) -> Self {
-        Listing { seed, drawn: 0 }
+        CallSchedule { seed, drawn: 0 }
     }
 
     fn drawn_fraction(&mut self) -> f64 {
@@ -145,7 +145,7 @@
 
     /// Discovery has moved, for so many proxies alike: how long until this one calls there, in us. `waited` is how long ago
     /// the first move was since which no list has come: one move after another puts the call off no further.
-    pub fn moved(&mut self, proxies: u32, waited: Time) -> Time {
+    pub fn delay_after_move(&mut self, proxies: u32, waited: Time) -> Time {
         let span =
             (Time::from(proxies.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER).min(MOVE_SPAN_MAX);
         let drawn = (span as f64 * self.drawn_fraction()) as Time;
@@ -154,12 +154,12 @@
 
     /// A whole list has come, by a call that took so long, in us: how long until the watch behind it begins. By then all
     /// others of so many proxies should have their lists.
-    pub fn listed(&mut self, proxies: u32, took: Time) -> Time {
+    pub fn delay_after_list(&mut self, proxies: u32, took: Time) -> Time {
         let round = took.saturating_mul(Time::from(proxies.saturating_sub(1))).min(ROUND_MAX);
         (round as f64 * (1.0 + self.drawn_fraction() / 2.0)) as Time
     }
 }
 
 #[cfg(test)]
-#[path = "listing_tests.rs"]
+#[path = "discovery_schedule_tests.rs"]
 mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,13 +16,13 @@
 use linentrail::core::repeat_ids::RepeatIds;
 use linentrail::core::repeat_ledger::LedgerSize;
 use linentrail::core::{CoreCommand, Handle, Input};
+use linentrail::discovery_schedule::{CallSchedule, Delivery};
 use linentrail::dnssd::browse::Browser;
 use linentrail::dnssd::records;
 use linentrail::handover::files::Folder;
 use linentrail::handover::shared_folder::SharedFolder;
 use linentrail::handover::{self, ControlHandle, Handover};
 use linentrail::knowledge::Held;
-use linentrail::listing::{Delivery, Listing};
 use linentrail::net::answer_limit::AnswerLimit;
 use linentrail::net::budget::{Budget, ErrorPacer};
 use linentrail::net::client_listeners::ClientListeners;
@@ -183,7 +183,7 @@
     let wire = pg::member::PgConnector::new(budget.bytes.clone());
     let fleet = MemberActors::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
-    let listing = Listing::new(settings.seed);
+    let schedule = CallSchedule::new(settings.seed);
     let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
     let actor = Actor::new(settings, fleet, clock, (inbox, ordered)).map_err(|e| e.to_string())?;
 
@@ -200,7 +200,7 @@
         let DnsSd { server, service, .. } = &file.dnssd;
         tokio::spawn(Browser::new(*server, service, lists, mailbox.clone(), clock)?.run(asked));
     } else {
-        let discovery = Discovery::new(service, listing, lists, held, mailbox.clone());
+        let discovery = Discovery::new(service, schedule, lists, held, mailbox.clone());
         version = discovery.version.clone();
         tokio::spawn(discovery.run(asked));
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -2,22 +2,22 @@
 //! held. Where discovery is asked it begins when the module says so; where lists are pushed it begins with the process.
 //!
 //! Where discovery is asked, a failed call is told to the module, which decides when to ask again; a watch that fell
-//! silent is opened anew at once (`src/listing.rs`). What is held stays, and so does its version,
+//! silent is opened anew at once (`src/discovery_schedule.rs`). What is held stays, and so does its version,
 //! as a whole list costs discovery many times a watch and a large fleet asks all at once. A watch must be renewed
 //! within 200 ms of its last answer to go on; this actor hands an answer to the core and calls again with nothing in
 //! between but a short pause where an answer came at once and told nothing.
 //!
 //! When discovery moves, whatever call is open ends at once, and the new address is asked for the whole list: what
 //! it has to tell counts as told seconds later, whether it was asked or not. Where all proxies may call at one moment,
-//! [`Listing`] says when this one does.
+//! [`CallSchedule`] says when this one does.
 
 use super::socket::Socket;
 use super::transient;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, ListedMember};
+use crate::discovery_schedule::{CallSchedule, Delivery, FailedCallAction, ListCall};
 use crate::http::{Headers, HttpClient, HttpRequest};
 use crate::interface::*;
-use crate::listing::{Call, Delivery, Listing, Next};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::{json, Value as Json};
@@ -226,7 +226,7 @@
     /// Where the version that is held is told.
     pub version: Arc<AtomicU64>,
     service: watch::Receiver<DiscoveryService>,
-    listing: Listing,
+    listing: CallSchedule,
     /// Until the next call.
     pause: Duration,
     lists: ListReader,
@@ -248,7 +248,7 @@
     /// again, counts as a move.
     pub fn new(
         service: watch::Receiver<DiscoveryService>,
-        listing: Listing,
+        listing: CallSchedule,
         lists: ListReader,
         held: Option<u64>,
         core: mpsc::Sender<Input>,
@@ -288,7 +288,7 @@
         asked: &mut mpsc::Receiver<ListRequest>,
         service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
-        if self.delivery() != Delivery::Asked {
+        if self.delivery() != Delivery::Queried {
             return !self.core.is_closed();
         }
         tokio::select! {
@@ -338,7 +338,7 @@
             // A watch, which may be answered with a whole list, too, takes as long as nothing happens.
             if first && kind == ListKind::Full {
                 let took = began.elapsed().as_micros() as Time;
-                self.pause = Duration::from_micros(self.listing.listed(self.callers(), took));
+                self.pause = Duration::from_micros(self.listing.delay_after_list(self.callers(), took));
             }
             // A service that does not wait would be asked as fast as it answers; a watch goes on after this pause.
             let nothing = entries.is_empty() || kind == ListKind::Full;
@@ -358,13 +358,13 @@
 
     /// After a failed call: whether the next is this actor's own to make, and its time has come.
     async fn calls_again(&mut self, silent: bool) -> bool {
-        match self.delivery().failed(silent) {
-            Next::Again => return !self.core.is_closed(),
-            Next::Soon => tokio::time::sleep(AGENT_PAUSE).await,
-            Next::Told if self.moving.is_some_and(|since| since.elapsed() < MOVING) => {
+        match self.delivery().after_failure(silent) {
+            FailedCallAction::RetryNow => return !self.core.is_closed(),
+            FailedCallAction::RetryAfterPause => tokio::time::sleep(AGENT_PAUSE).await,
+            FailedCallAction::ReportFailure if self.moving.is_some_and(|since| since.elapsed() < MOVING) => {
                 tokio::time::sleep(MOVING_PAUSE).await;
             }
-            Next::Told => return false,
+            FailedCallAction::ReportFailure => return false,
         }
         !self.core.is_closed()
     }
@@ -383,7 +383,7 @@
     fn moved(&mut self) {
         (self.link, self.after, self.renews) = (None, None, false);
         let waited = self.unlisted_since.get_or_insert_with(Instant::now).elapsed().as_micros() as Time;
-        self.pause = Duration::from_micros(self.listing.moved(self.callers(), waited));
+        self.pause = Duration::from_micros(self.listing.delay_after_move(self.callers(), waited));
         self.moving = Some(Instant::now() + self.pause);
         count(Count::list_moves);
     }
@@ -398,12 +398,12 @@
         }
         let delivery = self.delivery();
         let (target, call) = match self.after {
-            None => ("/api/targets".to_string(), Call::Whole),
+            None => ("/api/targets".to_string(), ListCall::FullList),
             Some(version) => {
                 let call = match (self.confirmed, self.renews) {
-                    (false, _) => Call::Confirm,
-                    (true, true) => Call::Renewal,
-                    (true, false) => Call::Watch,
+                    (false, _) => ListCall::Confirm,
+                    (true, true) => ListCall::Renewal,
+                    (true, false) => ListCall::Watch,
                 };
                 let wait = delivery.wait(call) / 1000;
                 (format!("/api/targets?after={version}&wait_ms={wait}"), call)
--- a/src/net/discovery_tests.rs
+++ b/src/net/discovery_tests.rs
@@ -35,14 +35,14 @@
         let of = |n: usize| DiscoveryService {
             address: addresses[n % services].clone(),
             proxies: 300,
-            delivery: Delivery::Asked,
+            delivery: Delivery::Queried,
         };
         let (moves, service) = watch::channel(of(0));
         let (core, mut inputs) = mpsc::channel(8);
         let (follow, asked) = mpsc::channel(1);
         let lists = ListReader::new(vec!["a".into()]);
         // A seed whose first turns come late.
-        let discovery = Discovery::new(service, Listing::new(3), lists, Some(3), core);
+        let discovery = Discovery::new(service, CallSchedule::new(3), lists, Some(3), core);
         tokio::spawn(discovery.run(asked));
         let began = Instant::now();
         for n in 1.. {
--- a/tests/wide_lists.rs
+++ b/tests/wide_lists.rs
@@ -3,8 +3,8 @@
 
 use linentrail::clock::Clock;
 use linentrail::core::{Input, ListedMember};
+use linentrail::discovery_schedule::{CallSchedule, Delivery};
 use linentrail::dnssd::browse::Browser;
-use linentrail::listing::{Delivery, Listing};
 use linentrail::net::discovery::{Discovery, DiscoveryService, ListReader, ListRequest};
 use linentrail::ListKind;
 use linentrail_standins::dns::Dns;
@@ -46,13 +46,13 @@
         let registry = Registry::default();
         registry.does(how);
         let address = registry.start(whole.into()).to_string();
-        for delivery in [Delivery::Asked, Delivery::Pushed { drain_grace: 500_000 }] {
+        for delivery in [Delivery::Queried, Delivery::Pushed { drain_grace: 500_000 }] {
             let service = DiscoveryService { address: address.clone(), proxies: 350, delivery };
             let (_moves, service) = watch::channel(service);
             let (core, mut inbox) = mpsc::channel(64);
             let (follow, asked) = mpsc::channel(1);
             let lists = ListReader::new(vec!["a".into()]);
-            tokio::spawn(Discovery::new(service, Listing::new(7), lists, None, core).run(asked));
+            tokio::spawn(Discovery::new(service, CallSchedule::new(7), lists, None, core).run(asked));
             follow.send(ListRequest).await.expect("it runs");
             let (kind, entries) = first(&mut inbox).await;
             assert_eq!((kind, addresses(&entries)), (ListKind::Full, MANY), "{how:?} {delivery:?}");
