--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -20,7 +20,7 @@
 use crate::interface::{ListKind, Time};
 use crate::net::discovery::{self, ListReader};
 use crate::net::transient;
-use crate::operators::agreement::{Agreement, OnLapse};
+use crate::operators::agreement::{AgreementConfig, OnLeaseExpiry};
 use crate::store::actor::Scribe;
 use crate::store::state::Finding;
 use bytes::Bytes;
@@ -95,7 +95,7 @@
 /// What the actor is wired to.
 pub struct Dependencies {
     /// The block of the operators' file.
-    pub config: Agreement,
+    pub config: AgreementConfig,
     /// Its keys.
     pub keys: Keys,
     /// The way to the core.
@@ -513,7 +513,7 @@
         let now = self.with.clock.now();
         let version = self.with.list_version.load(Ordering::Relaxed).max(self.list.0);
         self.instance.listed(version);
-        let wanted = self.with.config.lists && !self.list.1;
+        let wanted = self.with.config.exchange_lists && !self.list.1;
         if let Some((_, by)) = self.instance.newer_list().filter(|_| wanted) {
             self.list.1 = true;
             self.pull(by, Want::List, Done::Listed);
@@ -521,7 +521,7 @@
         let Some((standings, until)) = self.instance.holds(now) else {
             if self.lapsed.is_none() {
                 self.lapsed = Some(now);
-                if self.with.config.on_lapse == OnLapse::GoOn {
+                if self.with.config.on_lease_expiry == OnLeaseExpiry::Continue {
                     count(Count::agreement_lapses);
                     log::warn!("what is agreed on no longer holds here, and is gone by all the same: the bound is not kept");
                 }
@@ -540,7 +540,7 @@
         if until > self.until {
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
-        if until > self.until && self.with.config.on_lapse == OnLapse::Refuse {
+        if until > self.until && self.with.config.on_lease_expiry == OnLeaseExpiry::Refuse {
             self.with.control.send(CoreCommand::ExtendLease(until)).await?;
         }
         self.until = until;
@@ -595,16 +595,16 @@
     fn first(&mut self, settings: Holds, hands: Holds) {
         let now = self.with.clock.now();
         let lowest = self.with.config.voters.iter().min().copied();
-        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.config.times.lease);
-        if !self.with.config.voters.contains(&self.with.config.me)
-            || !(waited || lowest == Some(self.with.config.me))
+        let waited = self.lapsed.is_some_and(|since| now > since + 4 * self.with.config.timing.lease);
+        if !self.with.config.voters.contains(&self.with.config.own_number)
+            || !(waited || lowest == Some(self.with.config.own_number))
         {
             return;
         }
         let own = self.with.own_settings.borrow().to_string();
         for (kind, holds, body) in [(Kind::Settings, settings, own), (Kind::Hands, hands, String::new())] {
             if holds == Holds::Nothing && self.instance.awaits(kind).is_empty() {
-                let author = format!("the file of proxy {}", self.with.config.me);
+                let author = format!("the file of proxy {}", self.with.config.own_number);
                 let _ = self.propose(kind, author, body, (0, Hash::default()));
             }
         }
--- a/src/agreement_io/status.rs
+++ b/src/agreement_io/status.rs
@@ -49,7 +49,7 @@
 impl AgreementActor {
     /// How the fleet stands as seen from here, on one line.
     pub(super) fn status(&self) -> String {
-        let (now, times) = (self.with.clock.now(), self.with.config.times);
+        let (now, times) = (self.with.clock.now(), self.with.config.timing);
         let lease = self.instance.holds(now).map(|(_, until)| (until - now) / 1000);
         let turns = self.acts.map_or([0; 2], |acts| acts.map(|s| s.turn));
         let of = |kind: Kind| {
@@ -63,7 +63,7 @@
         };
         let proxy = |number: &u16| {
             let heard = self.instance.heard().get(number).copied().unwrap_or_default();
-            let me = *number == self.with.config.me;
+            let me = *number == self.with.config.own_number;
             let ago = |at: Time| now.saturating_sub(at) / 1000;
             json!({"number": number, "votes": self.with.config.voters.contains(number), "this": me,
                 "heard_ms": if me { Some(0) } else { (heard.at > 0).then(|| ago(heard.at)) },
@@ -71,7 +71,7 @@
                 "forgot": heard.forgot, "drifts": heard.drifts})
         };
         let mut told = json!({
-            "me": self.with.config.me, "lease_ms": lease, "bound_ms": times.change_bound() / 1000, "last": self.last,
+            "me": self.with.config.own_number, "lease_ms": lease, "bound_ms": times.change_bound() / 1000, "last": self.last,
             "acts_on": turns, "votes": self.instance.votes(),
             "proxies": self.with.config.proxies.keys().map(proxy).collect::<Vec<_>>(),
         });
--- a/src/check.rs
+++ b/src/check.rs
@@ -23,7 +23,7 @@
     match path.extension().and_then(|e| e.to_str()) {
         Some("json") => Ok(configuration(&text()?)),
         Some("hcl") => Ok(operators(&text()?)),
-        Some("toml") => Err(operators::refuse_former(None, true).err().unwrap_or_default()),
+        Some("toml") => Err(operators::reject_legacy_file(None, true).err().unwrap_or_default()),
         _ => Err(format!("{shown}: neither a configuration (.json) nor an operators' file (.hcl)")),
     }
 }
@@ -80,7 +80,7 @@
             };
             let agreement = match file.agreement.enabled {
                 true => {
-                    let (times, voters) = (file.agreement.times, file.agreement.voters.len());
+                    let (times, voters) = (file.agreement.timing, file.agreement.voters.len());
                     let (bound, lapse) = (times.change_bound() / 1000, times.max_lease() / 1000);
                     format!("on, {voters} voters; a change takes at most {bound} ms, a cut-off proxy sends {lapse} ms more")
                 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -32,8 +32,8 @@
 use linentrail::net::stall;
 use linentrail::net::startup::{self, ClientListener};
 use linentrail::net::transient;
-use linentrail::operators::agreement::OnLapse;
-use linentrail::operators::{self, DnsSd, Odata};
+use linentrail::operators::agreement::OnLeaseExpiry;
+use linentrail::operators::{self, DnsSdConfig, OdataConfig};
 use linentrail::recovery::{self, Gatherer, Start};
 use linentrail::reload::{tell_classes, Reload};
 use linentrail::shutdown::Shutdown;
@@ -101,15 +101,15 @@
     ClientListener::bind(inherited, address).await.map_err(|e| format!("{place}: {e}"))
 }
 
-async fn bind_odata(odata: &Odata) -> Result<TcpListener, String> {
+async fn bind_odata(odata: &OdataConfig) -> Result<TcpListener, String> {
     let address = odata.listen;
     transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
 /// No ids of bookings yet. Answers that are remembered share the memory with all else.
-fn repeat_ids(odata: &Odata, memory: usize, clock: Clock) -> RepeatIds {
+fn repeat_ids(odata: &OdataConfig, memory: usize, clock: Clock) -> RepeatIds {
     let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
-    RepeatIds::new(limits, odata.repeat_span, clock)
+    RepeatIds::new(limits, odata.repeat_id_lifetime, clock)
 }
 
 /// Does a part of the start that may wait for others; where it can, beside the clients that come meanwhile, on a thread that
@@ -197,7 +197,7 @@
         watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
     let mut version = Arc::default();
     if file.dnssd.browse {
-        let DnsSd { server, service, .. } = &file.dnssd;
+        let DnsSdConfig { server, service, .. } = &file.dnssd;
         tokio::spawn(Browser::new(*server, service, lists, mailbox.clone(), clock)?.run(asked));
     } else {
         let discovery = Discovery::new(service, schedule, lists, held, mailbox.clone());
@@ -216,12 +216,12 @@
         let gatherer = Gatherer { scribe, control: control.clone(), clock, settings, version, zones };
         let gatherer = Arc::new(gatherer);
         last = Some(gatherer.clone());
-        let every = file.store.every;
+        let every = file.store.snapshot_interval;
         tokio::spawn(async move { gatherer.run(every).await });
     }
     let (mut agreed, mut fleet) = (None, None);
     if file.agreement.enabled {
-        if file.agreement.on_lapse == OnLapse::Refuse {
+        if file.agreement.on_lease_expiry == OnLeaseExpiry::Refuse {
             // Before the first client comes: without a word of the voters nothing is sent.
             control.send(CoreCommand::ExtendLease(0)).await;
             control.request(|reply| CoreCommand::ApplySettings(Box::new(first), times, reply)).await;
@@ -334,7 +334,7 @@
         }
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
-    shutdown.run(peer_alive, file.still_coming, longest_deadline, last_writing).await;
+    shutdown.run(peer_alive, file.accept_after_sigterm, longest_deadline, last_writing).await;
     cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line()));
     Ok(())
 }
--- a/src/operators/agreement.rs
+++ b/src/operators/agreement.rs
@@ -1,5 +1,5 @@
 //! The block `agreement` of the operators' file: who the proxies of a fleet are, which of them vote, with which keys they
-//! speak, and the times that all must have alike.
+//! speak, and the timing that all must have alike.
 
 use super::hcl::Reader;
 use crate::agreement::seal::{Keys, KEY_BYTES_MIN};
@@ -11,16 +11,16 @@
 
 /// What a proxy does whose lease has run out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OnLapse {
+pub enum OnLeaseExpiry {
     /// It sends nothing more and refuses, with when to come back.
     Refuse,
     /// It goes on by what it knew, and says so: the bound is then not kept.
-    GoOn,
+    Continue,
 }
 
 /// The block.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Agreement {
+pub struct AgreementConfig {
     /// Whether this proxy takes part.
     pub enabled: bool,
     /// Its number.
@@ -31,15 +31,15 @@
     pub voters: Vec<ProxyNumber>,
     /// Ids of keys and the files that hold them; the first one signs.
     pub keys: Vec<(u8, PathBuf)>,
-    /// The times that all have alike.
-    pub times: Timing,
+    /// The timing that all have alike.
+    pub timing: Timing,
     /// What becomes of requests without a lease.
-    pub on_lapse: OnLapse,
+    pub on_lease_expiry: OnLeaseExpiry,
     /// Whether a later member list is taken from another proxy, where discovery has not told it here.
-    pub lists: bool,
+    pub exchange_lists: bool,
 }
 
-impl Agreement {
+impl AgreementConfig {
     /// The keys, read from their files.
     ///
     /// # Errors
@@ -72,10 +72,10 @@
 }
 
 /// Reads the block; `stores` says whether the proxy has a store.
-pub fn read(file: &mut Reader, stores: bool) -> Agreement {
+pub fn read(file: &mut Reader, stores: bool) -> AgreementConfig {
     let mut block = file.block("agreement");
     let enabled = block.flag("enabled");
-    let me = block.number("me", 0, 1..=u64::from(ProxyNumber::MAX)) as ProxyNumber;
+    let own_number = block.number("me", 0, 1..=u64::from(ProxyNumber::MAX)) as ProxyNumber;
     let what = "a list of \"NUMBER ADDRESS:PORT\" on this machine, each number once";
     let proxies: BTreeMap<ProxyNumber, SocketAddr> = block.read("proxies", BTreeMap::new(), what, |e| {
         let address = |text: &str| text.parse().ok().filter(|a: &SocketAddr| a.ip().is_loopback());
@@ -93,28 +93,29 @@
         numbered(e, |path| Some(PathBuf::from(path)).filter(|p| p.is_absolute()))
             .filter(|keys| !keys.is_empty())
     });
-    let times = Timing {
+    let timing = Timing {
         lease: block.number("lease_ms", 800, 100..=60_000) * 1000,
         drift_ppm: block.number("drift_ppm", 10_000, 0..=200_000),
         round: block.number("round_ms", 50, 5..=5_000) * 1000,
     };
-    let on_lapse = block.word("on_lapse", &[("refuse", OnLapse::Refuse), ("go_on", OnLapse::GoOn)]);
-    let lists = block.flag("lists");
+    let on_lease_expiry =
+        block.choice("on_lapse", &[("refuse", OnLeaseExpiry::Refuse), ("go_on", OnLeaseExpiry::Continue)]);
+    let exchange_lists = block.flag("lists");
     if enabled {
         // What follows from proxies that cannot be read is not told beside that.
-        let unread = |name: &str, empty: bool| empty && block.says(name);
+        let unread = |name: &str, empty: bool| empty && block.is_set(name);
         let known = !unread("proxies", proxies.is_empty());
-        let keyless = keys.is_empty() && !block.says("keys");
+        let keyless = keys.is_empty() && !block.is_set("keys");
         let voting = known && !unread("voters", voters.is_empty());
         let mut wrong = |name: &str, bad: bool, what: String| {
             if bad {
-                block.wrong(name, format!("agreement.{name} {what}"));
+                block.add_fault(name, format!("agreement.{name} {what}"));
             }
         };
         wrong(
             "me",
-            known && !proxies.contains_key(&me),
-            format!("is {me}, which is none of agreement.proxies"),
+            known && !proxies.contains_key(&own_number),
+            format!("is {own_number}, which is none of agreement.proxies"),
         );
         let twice = voters.iter().enumerate().any(|(n, v)| voters[..n].contains(v));
         let unknown = voters.iter().any(|v| !proxies.contains_key(v));
@@ -126,13 +127,13 @@
             what,
         );
         wrong("keys", keyless, "must name a key".into());
-        let what = format!("must be eight times round_ms, {}, or longer", times.round / 1000);
-        wrong("lease_ms", times.lease < 8 * times.round, what);
+        let what = format!("must be eight timing round_ms, {}, or longer", timing.round / 1000);
+        wrong("lease_ms", timing.lease < 8 * timing.round, what);
         // What a voter promises must outlast it.
-        wrong("enabled", voters.contains(&me) && !stores, "needs a store: this proxy votes".into());
+        wrong("enabled", voters.contains(&own_number) && !stores, "needs a store: this proxy votes".into());
     }
-    block.end();
-    Agreement { enabled, me, proxies, voters, keys, times, on_lapse, lists }
+    block.finish();
+    AgreementConfig { enabled, own_number, proxies, voters, keys, timing, on_lease_expiry, exchange_lists }
 }
 
 #[cfg(test)]
@@ -150,10 +151,10 @@
         let none = read("").expect("nothing is sound").agreement;
         assert!(!none.enabled && none.proxies.is_empty());
         let block = read(SOUND).expect("sound").agreement;
-        assert_eq!((block.me, block.voters.len(), block.proxies.len()), (2, 3, 3));
-        assert_eq!(block.on_lapse, OnLapse::Refuse);
+        assert_eq!((block.own_number, block.voters.len(), block.proxies.len()), (2, 3, 3));
+        assert_eq!(block.on_lease_expiry, OnLeaseExpiry::Refuse);
         // Printed by `check`: with the defaults no more than 2 s.
-        assert!(block.times.change_bound() <= 2_000_000, "{}", block.times.change_bound());
+        assert!(block.timing.change_bound() <= 2_000_000, "{}", block.timing.change_bound());
     }
 
     #[test]
@@ -176,7 +177,7 @@
     #[test]
     fn each_fault_is_told_with_its_place() {
         for (from, to, word) in [
-            ("me = 2", "me = 9", "7:7: agreement.me is 9"),
+            ("me = 2", "me = 9", "7:7: agreement.own_number is 9"),
             ("[1, 2, 3]", "[1, 2]", "agreement.voters"),
             ("[1, 2, 3]", "[1, 2, 2]", "agreement.voters"),
             ("[1, 2, 3]", "[1, 2, 7]", "agreement.voters"),
--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -11,14 +11,14 @@
 
 /// What is wrong with the file, and where.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct ConfigFault {
     /// Line and column, from 1.
     pub place: (usize, usize),
     /// What.
     pub what: String,
 }
 
-impl Display for Fault {
+impl Display for ConfigFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}", self.place.0, self.place.1, self.what)
     }
@@ -28,7 +28,7 @@
 pub struct Reader<'a> {
     text: &'a str,
     blocks: BTreeMap<String, Body>,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigFault>,
 }
 
 /// A block being read: what is left of it is what nobody knows.
@@ -52,7 +52,7 @@
         match hcl_edit::parser::parse_body(text) {
             Err(e) => {
                 let at = e.location();
-                let fault = Fault { place: (at.line(), at.column()), what: e.message().to_string() };
+                let fault = ConfigFault { place: (at.line(), at.column()), what: e.message().to_string() };
                 reader.faults.push(fault);
             }
             Ok(body) => body.into_iter().for_each(|structure| reader.take(structure)),
@@ -80,7 +80,7 @@
 
     fn fault(&mut self, span: Option<Range<usize>>, what: String) {
         let place = place(self.text, span);
-        self.faults.push(Fault { place, what });
+        self.faults.push(ConfigFault { place, what });
     }
 
     /// A block by its name; one that is not there has only defaults.
@@ -90,7 +90,7 @@
     }
 
     /// All that is wrong, in the order of the file, once all blocks have been read.
-    pub fn end(mut self) -> Vec<Fault> {
+    pub fn finish(mut self) -> Vec<ConfigFault> {
         for (name, body) in std::mem::take(&mut self.blocks) {
             self.fault(body.span(), format!("there is no block '{name}'"));
         }
@@ -123,7 +123,7 @@
     }
 
     /// Whether the file says anything of this.
-    pub fn says(&self, name: &str) -> bool {
+    pub fn is_set(&self, name: &str) -> bool {
         self.body.as_ref().is_some_and(|b| b.get_attribute(name).is_some())
     }
 
@@ -134,7 +134,7 @@
 
     /// A whole number within a range.
     pub fn number(&mut self, name: &'static str, or: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
-        let what = format!("a whole number from {} to {}", range.start(), range.end());
+        let what = format!("a whole number from {} to {}", range.start(), range.finish());
         self.read(name, or, &what, |e| e.as_number()?.as_u64().filter(|n| range.contains(n)))
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// One of a few words.
-    pub fn word<T: Copy>(&mut self, name: &'static str, words: &[(&str, T)]) -> T {
+    pub fn choice<T: Copy>(&mut self, name: &'static str, words: &[(&str, T)]) -> T {
         let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
         let what = format!("one of {}", all.join(", "));
         let value = |e: &Expression| words.iter().find(|(word, _)| e.as_str() == Some(word)).map(|(_, v)| *v);
@@ -153,14 +153,14 @@
     }
 
     /// A fault of several values together, at the place of one of them or of the block.
-    pub fn wrong(&mut self, name: &str, what: String) {
+    pub fn add_fault(&mut self, name: &str, what: String) {
         let at =
             self.body.as_ref().and_then(|b| b.get_attribute(name).map(|a| a.value.span()).or(Some(b.span())));
         self.reader.fault(at.flatten(), what);
     }
 
     /// Ends the block: whatever is in it that was not asked for is a fault.
-    pub fn end(self) {
+    pub fn finish(self) {
         let Block { reader, name, body, known } = self;
         let mut seen = BTreeSet::new();
         for structure in body.into_iter().flatten() {
@@ -191,10 +191,10 @@
         let mut block = reader.block("odata");
         block.flag("enabled");
         block.number("port", 1, 1..=9);
-        block.word("mode", &[("slow", 1), ("fast", 2)]);
+        block.choice("mode", &[("slow", 1), ("fast", 2)]);
         block.text("name", "x");
-        block.end();
-        reader.end().iter().map(ToString::to_string).collect()
+        block.finish();
+        reader.finish().iter().map(ToString::to_string).collect()
     }
 
     #[test]
@@ -203,10 +203,10 @@
         let mut reader = Reader::new("odata {\n enabled = true\n mode = \"fast\"\n port = 3\n}");
         let mut block = reader.block("odata");
         assert!(block.flag("enabled") && !block.flag("other"));
-        assert_eq!(block.word("mode", &[("slow", 1), ("fast", 2)]), 2);
+        assert_eq!(block.choice("mode", &[("slow", 1), ("fast", 2)]), 2);
         assert_eq!((block.number("port", 1, 1..=9), block.number("ports", 7, 1..=9)), (3, 7));
-        block.end();
-        assert!(reader.end().is_empty());
+        block.finish();
+        assert!(reader.finish().is_empty());
     }
 
     #[test]
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -5,30 +5,30 @@
 pub mod hcl;
 
 use crate::interface::Time;
-use agreement::Agreement;
-use hcl::{Fault, Reader};
+use agreement::AgreementConfig;
+use hcl::{ConfigFault, Reader};
 use hcl_edit::expr::Expression;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Where the file lies, from the root of the repository.
-pub const FILE: &str = "deploy/linentrail.hcl";
+pub const DEFAULT_FILE: &str = "deploy/linentrail.hcl";
 /// Names another one.
-pub const NAMED: &str = "LINENTRAIL_FILE";
+pub const FILE_VARIABLE: &str = "LINENTRAIL_FILE";
 /// What it took the place of.
-const FORMER: &str = "deploy/fronts.toml";
-const FORMER_NAMED: &str = "LINENTRAIL_FRONTS";
+const LEGACY_FILE: &str = "deploy/fronts.toml";
+const LEGACY_FILE_VARIABLE: &str = "LINENTRAIL_FRONTS";
 
 /// The OData front.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Odata {
+pub struct OdataConfig {
     /// Whether it is served.
     pub enabled: bool,
     /// Where it listens.
     pub listen: SocketAddr,
     /// How long ids of bookings are remembered, in us.
-    pub repeat_span: Time,
+    pub repeat_id_lifetime: Time,
     /// How many ids are remembered.
     pub repeat_ids: usize,
     /// How many bytes their answers may take.
@@ -37,7 +37,7 @@
 
 /// DNS-SD.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DnsSd {
+pub struct DnsSdConfig {
     /// Whether members are browsed for.
     pub browse: bool,
     /// The DNS server.
@@ -54,23 +54,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fsync {
     /// The operators' word before its yes, and snapshots.
-    Word,
+    Always,
     /// Never: it outlasts the process, not the machine.
     Never,
 }
 
 /// What a start does that cannot read its configuration, but has stored one that held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum OnBrokenConfig {
     /// It takes the stored one.
-    TakeLast,
+    UseStored,
     /// It does not start.
     Refuse,
 }
 
 /// What is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Store {
+pub struct StoreConfig {
     /// Whether anything is.
     pub enabled: bool,
     /// Where; each proxy has a folder of its own name in it.
@@ -78,29 +78,29 @@
     /// When it is forced onto the disk.
     pub fsync: Fsync,
     /// Most bytes that it takes.
-    pub most: u64,
+    pub max_bytes: u64,
     /// Least time between two snapshots.
-    pub every: Duration,
+    pub snapshot_interval: Duration,
     /// What becomes of a configuration that cannot be read.
-    pub broken: Broken,
+    pub on_broken_config: OnBrokenConfig,
     /// Where the operators' word may have been lost: for so long after a start `STATUS` is no, unless they say
     /// `CONFIRM`.
-    pub confirm: Duration,
+    pub confirm_timeout: Duration,
 }
 
 /// The whole file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Operators {
+pub struct OperatorsFile {
     /// New clients are still taken for so long after SIGTERM: whoever deals them out takes a while to notice.
-    pub still_coming: Duration,
+    pub accept_after_sigterm: Duration,
     /// The OData front.
-    pub odata: Odata,
+    pub odata: OdataConfig,
     /// DNS-SD.
-    pub dnssd: DnsSd,
+    pub dnssd: DnsSdConfig,
     /// What outlasts the process.
-    pub store: Store,
+    pub store: StoreConfig,
     /// What the proxies of a fleet agree on.
-    pub agreement: Agreement,
+    pub agreement: AgreementConfig,
 }
 
 /// An address on this machine alone.
@@ -118,50 +118,53 @@
 ///
 /// # Errors
 /// With all that is wrong with it, each with its place.
-pub fn read(text: &str) -> Result<Operators, Vec<Fault>> {
+pub fn read(text: &str) -> Result<OperatorsFile, Vec<ConfigFault>> {
     let mut file = Reader::new(text);
     let mut block = file.block("odata");
-    let odata = Odata {
+    let odata = OdataConfig {
         enabled: block.flag("enabled"),
         listen: block.read("listen", local(8080), LOCAL, loopback),
-        repeat_span: block.number("repeat_span_s", 600, 1..=1_000_000) * 1_000_000,
+        repeat_id_lifetime: block.number("repeat_span_s", 600, 1..=1_000_000) * 1_000_000,
         repeat_ids: block.number("repeat_ids", 20_000, 1..=1_000_000) as usize,
         repeat_bytes: block.number("repeat_mib", 32, 1..=65_536) as usize * 1024 * 1024,
     };
-    block.end();
+    block.finish();
     let mut block = file.block("dnssd");
-    let dnssd = DnsSd {
+    let dnssd = DnsSdConfig {
         browse: block.flag("browse"),
         server: block.read("server", local(8053), LOCAL, loopback),
         service: block.text("service", "_postgresql._tcp.members.luzon-skip-hub.internal."),
         domain: block.text("domain", "luzon-skip-hub.internal."),
         instance: block.text("instance", "linentrail"),
     };
-    block.end();
+    block.finish();
     let mut block = file.block("shutdown");
-    let still_coming = Duration::from_millis(block.number("still_coming_ms", 550, 1..=1_000_000));
-    block.end();
+    let accept_after_sigterm = Duration::from_millis(block.number("still_coming_ms", 550, 1..=1_000_000));
+    block.finish();
     let mut block = file.block("store");
-    let store = Store {
+    let store = StoreConfig {
         enabled: block.flag("enabled"),
         folder: block.text("folder", "").into(),
-        fsync: block.word("fsync", &[("word", Fsync::Word), ("never", Fsync::Never)]),
-        most: block.number("most_mib", 16, 1..=1_024) << 20,
-        every: Duration::from_millis(block.number("every_ms", 1_000, 50..=3_600_000)),
-        broken: block.word("broken", &[("take_last", Broken::TakeLast), ("refuse", Broken::Refuse)]),
-        confirm: Duration::from_secs(block.number("confirm_s", 0, 0..=86_400)),
+        fsync: block.choice("fsync", &[("word", Fsync::Always), ("never", Fsync::Never)]),
+        max_bytes: block.number("most_mib", 16, 1..=1_024) << 20,
+        snapshot_interval: Duration::from_millis(block.number("every_ms", 1_000, 50..=3_600_000)),
+        on_broken_config: block.choice(
+            "broken",
+            &[("take_last", OnBrokenConfig::UseStored), ("refuse", OnBrokenConfig::Refuse)],
+        ),
+        confirm_timeout: Duration::from_secs(block.number("confirm_s", 0, 0..=86_400)),
     };
     if store.enabled && !store.folder.is_absolute() {
-        block.wrong(
+        block.add_fault(
             "folder",
             "store.folder must be the whole path of a folder where the store is enabled".into(),
         );
     }
-    block.end();
+    block.finish();
     let agreement = agreement::read(&mut file, store.enabled);
-    let faults = file.end();
+    let faults = file.finish();
     if faults.is_empty() {
-        Ok(Operators { still_coming, odata, dnssd, store, agreement })
+        Ok(OperatorsFile { accept_after_sigterm, odata, dnssd, store, agreement })
     } else {
         Err(faults)
     }
@@ -171,13 +174,15 @@
 ///
 /// # Errors
 /// Where the former file, or the variable that named one, is still there.
-pub fn refuse_former(variable: Option<&str>, there: bool) -> Result<(), String> {
+pub fn reject_legacy_file(variable: Option<&str>, there: bool) -> Result<(), String> {
     let moved = |what: &str| {
-        Err(format!("{what} is no longer read: its settings stand in {FILE}, or where {NAMED} says"))
+        Err(format!(
+            "{what} is no longer read: its settings stand in {DEFAULT_FILE}, or where {FILE_VARIABLE} says"
+        ))
     };
     match (variable, there) {
-        (Some(_), _) => moved(FORMER_NAMED),
-        (None, true) => moved(FORMER),
+        (Some(_), _) => moved(LEGACY_FILE_VARIABLE),
+        (None, true) => moved(LEGACY_FILE),
         (None, false) => Ok(()),
     }
 }
@@ -186,10 +191,10 @@
 ///
 /// # Errors
 /// With all that is wrong, on one line.
-pub fn load() -> Result<Operators, String> {
-    refuse_former(std::env::var(FORMER_NAMED).ok().as_deref(), Path::new(FORMER).exists())?;
-    let named = std::env::var(NAMED).ok();
-    let path = named.as_deref().unwrap_or(FILE);
+pub fn load() -> Result<OperatorsFile, String> {
+    reject_legacy_file(std::env::var(LEGACY_FILE_VARIABLE).ok().as_deref(), Path::new(LEGACY_FILE).exists())?;
+    let named = std::env::var(FILE_VARIABLE).ok();
+    let path = named.as_deref().unwrap_or(DEFAULT_FILE);
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound && named.is_none() => String::new(),
@@ -236,8 +241,8 @@
 
     #[test]
     fn the_former_file_is_refused_by_name() {
-        assert_eq!(refuse_former(None, false), Ok(()));
-        assert!(refuse_former(Some("x"), false).expect_err("named").contains("LINENTRAIL_FRONTS"));
-        assert!(refuse_former(None, true).expect_err("there").contains("deploy/fronts.toml"));
+        assert_eq!(reject_legacy_file(None, false), Ok(()));
+        assert!(reject_legacy_file(Some("x"), false).expect_err("named").contains("LINENTRAIL_FRONTS"));
+        assert!(reject_legacy_file(None, true).expect_err("there").contains("deploy/fronts.toml"));
     }
 }
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -10,7 +10,7 @@
 use crate::interface::Time;
 use crate::knowledge::{Held, Knowledge};
 use crate::net::discovery;
-use crate::operators::{self, Broken, Fsync};
+use crate::operators::{self, Fsync, OnBrokenConfig};
 use crate::reload::own_settings;
 use crate::store::actor::Scribe;
 use crate::store::disk::Folder;
@@ -44,12 +44,12 @@
     config::lookup("BALANCER_NAME", "name").map_err(|e| format!("{e}: the store's folder cannot be found"))
 }
 
-fn open(file: &operators::Store) -> Result<(Scribe, Recovered, RecoveredVotes), String> {
+fn open(file: &operators::StoreConfig) -> Result<(Scribe, Recovered, RecoveredVotes), String> {
     let place = crate::handover::place(&file.folder.to_string_lossy(), &name()?);
     let bad = |e: std::io::Error| format!("store {}: {e}", place.display());
-    let folder = Folder::take(&place, file.fsync == Fsync::Word).map_err(bad)?;
+    let folder = Folder::take(&place, file.fsync == Fsync::Always).map_err(bad)?;
     let folder = folder.ok_or_else(|| format!("store {}: another process has it", place.display()))?;
-    let (store, found) = Store::open(folder, file.most).map_err(bad)?;
+    let (store, found) = Store::open(folder, file.max_bytes).map_err(bad)?;
     tell(&found);
     let mut kept = Vec::new();
     for prefix in RecoveredVotes::NAME_PREFIXES {
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// With one plain message.
-pub fn start(file: &operators::Store, loaded: Loaded) -> Result<Start, String> {
+pub fn start(file: &operators::StoreConfig, loaded: Loaded) -> Result<Start, String> {
     let store = if file.enabled { Some(open(file)?) } else { None };
     let (store, memory) = store.map(|(scribe, found, memory)| ((scribe, found), memory)).unzip();
     let fault = match loaded {
@@ -83,7 +83,9 @@
         Err(fault) => fault,
     };
     let last = match &store {
-        Some((_, found)) if file.broken == Broken::TakeLast && found.finding.settings_hold() => {
+        Some((_, found))
+            if file.on_broken_config == OnBrokenConfig::UseStored && found.finding.settings_hold() =>
+        {
             found.all.settings.as_ref().map(|held| held.text.as_bytes().to_vec())
         }
         _ => None,
@@ -110,13 +112,13 @@
 }
 
 /// Hands the core what was stored, before the first client comes.
-pub async fn recall(file: &operators::Store, found: Recovered, control: &ControlHandle, now: Time) {
-    let waits = found.finding.may_lack_words() && !file.confirm.is_zero();
-    let until = if waits { now + file.confirm.as_micros() as Time } else { 0 };
+pub async fn recall(file: &operators::StoreConfig, found: Recovered, control: &ControlHandle, now: Time) {
+    let waits = found.finding.may_lack_words() && !file.confirm_timeout.is_zero();
+    let until = if waits { now + file.confirm_timeout.as_micros() as Time } else { 0 };
     if waits {
         log::warn!(
             "what was said by hand may be lost: STATUS is no until CONFIRM, or for {:?}",
-            file.confirm
+            file.confirm_timeout
         );
     }
     control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.all), until, reply)).await;
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -42,11 +42,11 @@
 
 impl Shutdown {
     /// Ends the process in order. `peer_alive`: another process takes clients from the same listener. New clients are taken
-    /// for `still_coming`; the longest deadline of requests is asked for after that; `last_writing` comes when all have their answers.
+    /// for `accept_after_sigterm`; the longest deadline of requests is asked for after that; `last_writing` comes when all have their answers.
     pub async fn run(
         mut self,
         peer_alive: bool,
-        still_coming: Duration,
+        accept_after_sigterm: Duration,
         longest_deadline: impl FnOnce() -> Time,
         last_writing: impl Future<Output = ()>,
     ) {
@@ -60,7 +60,7 @@
             );
         }
         let told_at = self.clock.now();
-        tokio::time::sleep(still_coming).await;
+        tokio::time::sleep(accept_after_sigterm).await;
         // What was taken is owed its answer: the settings say how long the last of it may take, and days differ in that.
         let longest = longest_deadline();
         let killed_at = told_at + longest.min(LONGEST_BEFORE_KILL) + KILL_MARGIN;
