--- a/src/check.rs
+++ b/src/check.rs
@@ -6,9 +6,9 @@
 
 /// What a check has found.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum CheckResult {
     /// It can be used; what it says, in short.
-    Sound(String),
+    Valid(String),
     /// It cannot; one line for each fault.
     Faults(Vec<String>),
 }
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// When the file cannot be read, or is neither.
-pub fn file(path: &Path) -> Result<Finding, String> {
+pub fn file(path: &Path) -> Result<CheckResult, String> {
     let shown = path.display();
     let text = || std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"));
     match path.extension().and_then(|e| e.to_str()) {
@@ -28,10 +28,10 @@
     }
 }
 
-fn configuration(text: &str) -> Finding {
+fn configuration(text: &str) -> CheckResult {
     let told = match config::read(text.as_bytes(), |_| None) {
         Ok(told) => told,
-        Err(e) => return Finding::Faults(vec![e]),
+        Err(e) => return CheckResult::Faults(vec![e]),
     };
     let mut faults = Vec::new();
     for (name, address) in [("listen", &told.listen), ("discovery", &told.discovery)] {
@@ -68,9 +68,9 @@
     )
 }
 
-fn operators(text: &str) -> Finding {
+fn operators(text: &str) -> CheckResult {
     match operators::read(text) {
-        Err(faults) => Finding::Faults(faults.iter().map(ToString::to_string).collect()),
+        Err(faults) => CheckResult::Faults(faults.iter().map(ToString::to_string).collect()),
         Ok(file) => {
             let on = |on: bool| if on { "on" } else { "off" };
             let (odata, browse) = (on(file.odata.enabled), on(file.dnssd.browse));
@@ -86,7 +86,7 @@
                 }
                 false => "off".to_string(),
             };
-            Finding::Sound(format!(
+            CheckResult::Valid(format!(
                 "OData {odata} at {}, browsing {browse}, store {store}, agreement {agreement}",
                 file.odata.listen
             ))
@@ -94,11 +94,11 @@
     }
 }
 
-fn finding(faults: Vec<String>, sound: String) -> Finding {
+fn finding(faults: Vec<String>, sound: String) -> CheckResult {
     if faults.is_empty() {
-        Finding::Sound(sound)
+        CheckResult::Valid(sound)
     } else {
-        Finding::Faults(faults)
+        CheckResult::Faults(faults)
     }
 }
 
@@ -116,7 +116,7 @@
         let found = configuration(&sound().to_string());
         assert_eq!(
             found,
-            Finding::Sound("4 classes, 0 members known, 1024 descriptors, 192 MiB".to_string())
+            CheckResult::Valid("4 classes, 0 members known, 1024 descriptors, 192 MiB".to_string())
         );
     }
 
@@ -127,7 +127,7 @@
         bad["limits"]["sockets"] = 8.into();
         bad["settings"]["services"][1]["aim_us"] = "soon".into();
         bad["settings"]["services"][0]["name"] = "my-booking".into();
-        let Finding::Faults(faults) = configuration(&bad.to_string()) else { panic!("it is not sound") };
+        let CheckResult::Faults(faults) = configuration(&bad.to_string()) else { panic!("it is not sound") };
         for word in ["nowhere", "limits.sockets", "services.1.aim_us", "my-booking"] {
             assert!(faults.iter().any(|f| f.contains(word)), "{word}: {faults:?}");
         }
@@ -136,9 +136,11 @@
 
     #[test]
     fn what_cannot_be_read_is_one_fault_and_what_is_no_such_file_is_none() {
-        assert!(matches!(configuration("{"), Finding::Faults(f) if f.len() == 1));
-        assert!(matches!(operators("odata {\nlisten = 7\n}"), Finding::Faults(f) if f[0].contains("listen")));
-        assert!(matches!(operators(""), Finding::Sound(_)));
+        assert!(matches!(configuration("{"), CheckResult::Faults(f) if f.len() == 1));
+        assert!(
+            matches!(operators("odata {\nlisten = 7\n}"), CheckResult::Faults(f) if f[0].contains("listen"))
+        );
+        assert!(matches!(operators(""), CheckResult::Valid(_)));
         assert!(file(Path::new("notes.txt")).is_err());
         assert!(file(Path::new("deploy/fronts.toml")).expect_err("moved").contains("linentrail.hcl"));
         assert!(file(Path::new("no-such-file.json")).is_err());
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use linentrail::agreement_io::{AgreementActor, Dependencies};
-use linentrail::check::{self, Finding};
+use linentrail::check::{self, CheckResult};
 use linentrail::class_table::ClassSlots;
 use linentrail::cli::{self, Arguments, Command};
 use linentrail::clock::Clock;
@@ -350,11 +350,11 @@
 
 fn check(file: &Path) -> ExitCode {
     match check::file(file) {
-        Ok(Finding::Sound(what)) => {
+        Ok(CheckResult::Valid(what)) => {
             cli::say(format_args!("{}: sound: {what}", file.display()));
             ExitCode::SUCCESS
         }
-        Ok(Finding::Faults(faults)) => {
+        Ok(CheckResult::Faults(faults)) => {
             faults.iter().for_each(|fault| cli::say(format_args!("{}: {fault}", file.display())));
             ExitCode::FAILURE
         }
