--- a/src/check.rs
+++ b/src/check.rs
@@ -29,7 +29,7 @@
 }
 
 fn configuration(text: &str) -> CheckResult {
-    let told = match config::read(text.as_bytes(), |_| None) {
+    let told = match config::parse(text.as_bytes(), |_| None) {
         Ok(told) => told,
         Err(e) => return CheckResult::Faults(vec![e]),
     };
@@ -60,7 +60,7 @@
     if let Ok(names) = &names {
         faults.extend(names.duplicates());
     }
-    let known = told.known.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
+    let known = told.initial_list.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
     let limits = (told.sockets, told.memory >> 20);
     finding(
         faults,
--- a/src/config.rs
+++ b/src/config.rs
@@ -23,19 +23,19 @@
     /// Most memory, in bytes.
     pub memory: usize,
     /// The member list as this proxy last held it.
-    pub known: Value,
+    pub initial_list: Value,
     /// The settings, flat.
     pub settings: FlatSettings,
     /// Everything but the list, flat.
-    pub all: FlatSettings,
+    pub all_fields: FlatSettings,
 }
 
 /// Missing names that are told one by one.
-const SHOWN: usize = 5;
+const MISSING_KEYS_SHOWN: usize = 5;
 
 /// The settings of a configuration, checked whole and ready to hold.
 #[derive(Debug, Clone)]
-pub struct Sound {
+pub struct ValidatedConfig {
     /// Names of classes and tenants, in the settings' order.
     pub names: Names,
     /// For the module.
@@ -49,18 +49,18 @@
     ///
     /// # Errors
     /// With all that is wrong with them.
-    pub fn sound(&self) -> Result<Sound, String> {
+    pub fn validate(&self) -> Result<ValidatedConfig, String> {
         let names = self.settings.names()?;
         let settings = self.settings.settings(self.seed)?;
         settings.check().map_err(|e| e.to_string())?;
         if let Some(fault) = names.duplicates().next() {
             return Err(format!("settings: {fault}"));
         }
-        Ok(Sound { names, settings, times: self.settings.socket_times()? })
+        Ok(ValidatedConfig { names, settings, times: self.settings.socket_times()? })
     }
 
     /// What a new configuration changes that only a new start can take up.
-    pub fn fixed(&self, new: &Config) -> Vec<&'static str> {
+    pub fn changes_requiring_restart(&self, new: &Config) -> Vec<&'static str> {
         let mut fixed = Vec::new();
         for (what, differs) in [
             ("listen", self.listen != new.listen),
@@ -80,19 +80,22 @@
 ///
 /// # Errors
 /// With one plain message on all that is wrong with it.
-pub fn reread(
+pub fn parse_replacement(
     text: &[u8],
     running: &Config,
     variable: impl Fn(&str) -> Option<String>,
-) -> Result<(Config, Sound), String> {
-    let new = read(text, variable)?;
-    let lacks = new.all.missing_keys(&running.all);
+) -> Result<(Config, ValidatedConfig), String> {
+    let new = parse(text, variable)?;
+    let lacks = new.all_fields.missing_keys(&running.all_fields);
     if !lacks.is_empty() {
-        let (first, more) = (lacks[..lacks.len().min(SHOWN)].join(", "), lacks.len().saturating_sub(SHOWN));
+        let (first, more) = (
+            lacks[..lacks.len().min(MISSING_KEYS_SHOWN)].join(", "),
+            lacks.len().saturating_sub(MISSING_KEYS_SHOWN),
+        );
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
         return Err(format!("missing, though the running configuration has them: {first}{more}"));
     }
-    let mut sound = new.sound()?;
+    let mut sound = new.validate()?;
     if running.settings.names().is_ok_and(|names| names.zones != sound.names.zones) {
         return Err("settings: zones cannot change while the process runs".to_string());
     }
@@ -105,9 +108,9 @@
 ///
 /// # Errors
 /// With one plain message on what is missing or malformed, as in a file that is only half written.
-pub fn read(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
+pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let mut json: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let known = json.as_object_mut().and_then(|fields| fields.remove("known")).unwrap_or_default();
+    let initial_list = json.as_object_mut().and_then(|fields| fields.remove("known")).unwrap_or_default();
     let text = |name: &str, known_as: &str| {
         let file = || json.get(name).and_then(Value::as_str).filter(|v| !v.is_empty()).map(str::to_string);
         variable(known_as).or_else(file).ok_or_else(|| format!("neither {known_as} nor '{name}' is given"))
@@ -125,9 +128,9 @@
         seed: u64::from_str_radix(seed, 16).map_err(|_| format!("the seed '{seed}' is not hex"))?,
         sockets: limit("/limits/sockets", 1024),
         memory: limit("/limits/memory_mb", 192).saturating_mul(1024 * 1024),
-        known,
+        initial_list,
         settings: FlatSettings::from_json(json.get("settings").unwrap_or(&Value::Null)),
-        all: FlatSettings::from_json(&json),
+        all_fields: FlatSettings::from_json(&json),
     })
 }
 
@@ -135,7 +138,7 @@
 ///
 /// # Errors
 /// With one plain message.
-pub fn text() -> Result<(String, Vec<u8>), String> {
+pub fn read_file() -> Result<(String, Vec<u8>), String> {
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG is not set".to_string())?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     Ok((path, text))
@@ -150,7 +153,7 @@
     if let Some(told) = std::env::var(variable).ok().filter(|told| !told.is_empty()) {
         return Ok(told);
     }
-    let (path, text) = text()?;
+    let (path, text) = read_file()?;
     let json: Option<Value> = serde_json::from_slice(&text).ok();
     let told = json.as_ref().and_then(|j| j.get(field)?.as_str()).filter(|told| !told.is_empty());
     told.map(str::to_string).ok_or_else(|| format!("{path}: it tells no {field}, nor does {variable}"))
@@ -168,7 +171,7 @@
     if let Some(told) = std::env::var("BALANCER_LISTEN").ok().filter(|told| !told.is_empty()) {
         return Ok(told);
     }
-    let (path, text) = text()?;
+    let (path, text) = read_file()?;
     let place: Place = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
     Ok(place.listen)
 }
@@ -177,9 +180,9 @@
 ///
 /// # Errors
 /// With one plain message.
-pub fn load() -> Result<(Config, Sound, Vec<u8>), String> {
-    let (path, text) = text()?;
-    let (told, sound) = sound_text(&text).map_err(|e| format!("{path}: {e}"))?;
+pub fn load() -> Result<(Config, ValidatedConfig, Vec<u8>), String> {
+    let (path, text) = read_file()?;
+    let (told, sound) = parse_and_validate(&text).map_err(|e| format!("{path}: {e}"))?;
     Ok((told, sound, text))
 }
 
@@ -187,9 +190,9 @@
 ///
 /// # Errors
 /// With one plain message.
-pub fn sound_text(text: &[u8]) -> Result<(Config, Sound), String> {
-    let told = read(text, |name| std::env::var(name).ok())?;
-    let sound = told.sound()?;
+pub fn parse_and_validate(text: &[u8]) -> Result<(Config, ValidatedConfig), String> {
+    let told = parse(text, |name| std::env::var(name).ok())?;
+    let sound = told.validate()?;
     Ok((told, sound))
 }
 
@@ -197,11 +200,11 @@
 /// tell where discovery is now.
 ///
 /// # Errors
-/// As [`reread`].
-pub fn load_again(running: &Config) -> Result<(Config, Sound, Vec<u8>), String> {
-    let (path, text) = text()?;
+/// As [`parse_replacement`].
+pub fn reload(running: &Config) -> Result<(Config, ValidatedConfig, Vec<u8>), String> {
+    let (path, text) = read_file()?;
     let variable = |name: &str| std::env::var(name).ok().filter(|_| name != "BALANCER_DISCOVERY");
-    let (told, sound) = reread(&text, running, variable).map_err(|e| format!("{path}: {e}"))?;
+    let (told, sound) = parse_replacement(&text, running, variable).map_err(|e| format!("{path}: {e}"))?;
     Ok((told, sound, text))
 }
 
@@ -212,7 +215,7 @@
     fn running() -> (Value, Config) {
         let settings = linentrail_standins::proxy::settings();
         let json = linentrail_standins::proxy::config("127.0.0.1:9", &[], settings, 1024, 192);
-        let config = read(json.to_string().as_bytes(), |_| None).expect("it is sound");
+        let config = parse(json.to_string().as_bytes(), |_| None).expect("it is sound");
         (json, config)
     }
 
@@ -230,7 +233,7 @@
     }
 
     fn refused(json: &Value, running: &Config) -> bool {
-        reread(json.to_string().as_bytes(), running, |_| None).is_err()
+        parse_replacement(json.to_string().as_bytes(), running, |_| None).is_err()
     }
 
     #[test]
@@ -260,10 +263,10 @@
         let (json, running) = running();
         let text = json.to_string();
         for end in 0..text.len() {
-            assert!(reread(&text.as_bytes()[..end], &running, |_| None).is_err(), "{end}");
+            assert!(parse_replacement(&text.as_bytes()[..end], &running, |_| None).is_err(), "{end}");
         }
-        let (told, _) = reread(text.as_bytes(), &running, |_| None).expect("it is whole");
-        assert_eq!(told.all, running.all);
+        let (told, _) = parse_replacement(text.as_bytes(), &running, |_| None).expect("it is whole");
+        assert_eq!(told.all_fields, running.all_fields);
     }
 
     #[test]
@@ -283,7 +286,8 @@
             ] {
                 let mut new = json.clone();
                 *new.pointer_mut(&format!("/settings/{place}")).expect("it is there") = bad.clone();
-                let fault = reread(new.to_string().as_bytes(), &running, |_| None).expect_err(place);
+                let fault =
+                    parse_replacement(new.to_string().as_bytes(), &running, |_| None).expect_err(place);
                 assert!(!fault.contains('\n'), "{fault}");
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use linentrail::class_table::ClassSlots;
 use linentrail::cli::{self, Arguments, Command};
 use linentrail::clock::Clock;
-use linentrail::config::Sound;
+use linentrail::config::ValidatedConfig;
 use linentrail::console::Console;
 use linentrail::core::actor::Actor;
 use linentrail::core::bookings::Bookings;
@@ -160,7 +160,7 @@
     let store_file = file.store.clone();
     let start = off_thread(file.store.enabled, move || recovery::start(&store_file, loaded));
     let Start { told, sound, stored, store, memory: votes, own } = start.await?;
-    let Sound { names, settings, times } = sound;
+    let ValidatedConfig { names, settings, times } = sound;
     let zones = names.zones.clone();
     let mut slots = ClassSlots::default();
     let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
@@ -189,7 +189,7 @@
 
     let mut lists = ListReader::new(zones.clone());
     // Known before the first client comes, and perhaps old.
-    let known = lists.read(&recovery::list(&told.known, store.as_ref().map(|s| &s.1)), None);
+    let known = lists.read(&recovery::list(&told.initial_list, store.as_ref().map(|s| &s.1)), None);
     let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -3,7 +3,7 @@
 
 use crate::agreement_io::RecoveredVotes;
 use crate::clock::Clock;
-use crate::config::{self, Config, Sound};
+use crate::config::{self, Config, ValidatedConfig};
 use crate::core::counters::{count, Count};
 use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
@@ -28,7 +28,7 @@
     /// The configuration that holds.
     pub told: Config,
     /// The same, checked.
-    pub sound: Sound,
+    pub sound: ValidatedConfig,
     /// It is the stored one, as the file cannot be used.
     pub stored: bool,
     /// Where there is a store: that, what it had, and the configuration's text for it to keep.
@@ -65,7 +65,7 @@
 }
 
 /// What reading the configuration brought.
-pub type Loaded = Result<(Config, Sound, Vec<u8>), String>;
+pub type Loaded = Result<(Config, ValidatedConfig, Vec<u8>), String>;
 
 /// Goes by the configuration that was read, or where it cannot be used and the operators' file says so, by the last that
 /// held. It waits for the disk.
@@ -91,7 +91,8 @@
         _ => None,
     };
     let Some(text) = last else { return Err(fault) };
-    let (told, sound) = config::sound_text(&text).map_err(|e| format!("{fault}; the last that held: {e}"))?;
+    let (told, sound) =
+        config::parse_and_validate(&text).map_err(|e| format!("{fault}; the last that held: {e}"))?;
     log::error!("the configuration cannot be used, and the last that held is taken: {fault}");
     count(Count::store_settings_taken);
     let own = own_settings(&text);
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::agreement_io::SettingsUpdate;
 use crate::class_table::{ClassSlots, ClassTable};
 use crate::clock::Clock;
-use crate::config::{self, Config, Sound};
+use crate::config::{self, Config, ValidatedConfig};
 use crate::core::counters::{count, Count};
 use crate::core::CoreCommand;
 use crate::discovery_schedule::Delivery;
@@ -72,7 +72,7 @@
             }
             let (mut pause, mut until) = (READ_AGAIN, Instant::now() + READ_AGAIN_MOST);
             let fault = loop {
-                match config::load_again(&self.running) {
+                match config::reload(&self.running) {
                     Ok((told, sound, text)) => {
                         self.take(told, sound, &text).await;
                         self.stored.store(false, Ordering::Relaxed);
@@ -118,8 +118,8 @@
         tell_classes(&self.slots.current());
     }
 
-    async fn take(&mut self, told: Config, sound: Sound, text: &[u8]) {
-        let Sound { names, settings, times } = sound;
+    async fn take(&mut self, told: Config, sound: ValidatedConfig, text: &[u8]) {
+        let ValidatedConfig { names, settings, times } = sound;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
         match &self.agreed {
             Some((_, own)) => {
@@ -133,7 +133,7 @@
         // Also where it is the same: the list is then asked for anew.
         let _ = self.discovery.send(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
         count(Count::reloads);
-        let fixed = self.running.fixed(&told);
+        let fixed = self.running.changes_requiring_restart(&told);
         if !fixed.is_empty() {
             log::warn!("taken up only by a new start: {}", fixed.join(", "));
         }
