--- a/src/cli.rs
+++ b/src/cli.rs
@@ -40,7 +40,7 @@
     Fleet {
         /// What is asked
         #[command(subcommand)]
-        call: Fleet,
+        call: FleetCommand,
         /// The console of any proxy of the fleet; else that of BALANCER_CONSOLE or of the configuration
         #[arg(long, global = true, value_name = "HOST:PORT")]
         console: Option<String>,
@@ -54,7 +54,7 @@
 
 /// What can be asked of a fleet that agrees.
 #[derive(Debug, Subcommand, PartialEq, Eq)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Proxies, versions held and in force, leases, and whom a change waits for; 1 where no lease holds
     Status,
     /// The versions that were in force at this proxy
@@ -104,12 +104,12 @@
 }
 
 /// A line on standard output. One that nobody takes, as on a full disk or behind a closed pipe, is lost and ends nothing.
-pub fn say(line: fmt::Arguments) {
+pub fn print_line(line: fmt::Arguments) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
 /// The same on standard error.
-pub fn complain(line: fmt::Arguments) {
+pub fn print_error_line(line: fmt::Arguments) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
--- a/src/console/line.rs
+++ b/src/console/line.rs
@@ -10,7 +10,7 @@
 use tokio_util::codec::{Decoder, Encoder, LinesCodec, LinesCodecError};
 
 /// The longest line taken in, its end not counted.
-pub const LONGEST: usize = 512;
+pub const LINE_BYTES_MAX: usize = 512;
 
 /// What a caller asks.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -26,12 +26,12 @@
     /// All that was said by hand and may have been lost has been said again.
     Confirm,
     /// What the proxies of the fleet agree on.
-    Fleet(Fleet),
+    Fleet(FleetCall),
 }
 
 /// What is asked of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fleet {
+pub enum FleetCall {
     /// How it stands.
     Status,
     /// What was in force.
@@ -50,16 +50,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// It is so, or it was done.
-    Yes(Cow<'static, str>),
+    Success(Cow<'static, str>),
     /// It is not so, or it was not done, and why.
-    No(String),
+    Failure(String),
 }
 
 impl Display for Reply {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reply::Yes(what) => write!(f, "200 {what}"),
-            Reply::No(why) => write!(f, "400 {why}"),
+            Reply::Success(what) => write!(f, "200 {what}"),
+            Reply::Failure(why) => write!(f, "400 {why}"),
         }
     }
 }
@@ -70,19 +70,19 @@
     /// A call.
     Call(Call),
     /// A line, or a part of one, that is no call, and why.
-    Wrong(String),
+    Invalid(String),
 }
 
 /// The console's end of a connection.
-pub struct Lines(LinesCodec);
+pub struct LineCodec(LinesCodec);
 
-impl Default for Lines {
+impl Default for LineCodec {
     fn default() -> Self {
-        Lines(LinesCodec::new_with_max_length(LONGEST))
+        LineCodec(LinesCodec::new_with_max_length(LINE_BYTES_MAX))
     }
 }
 
-impl Decoder for Lines {
+impl Decoder for LineCodec {
     type Item = Line;
     type Error = io::Error;
 
@@ -90,10 +90,10 @@
         match self.0.decode(src) {
             Ok(line) => Ok(line.map(|line| read(&line))),
             Err(LinesCodecError::MaxLineLengthExceeded) => {
-                Ok(Some(Line::Wrong(format!("a line has at most {LONGEST} bytes"))))
+                Ok(Some(Line::Invalid(format!("a line has at most {LINE_BYTES_MAX} bytes"))))
             }
             Err(LinesCodecError::Io(e)) if e.kind() == io::ErrorKind::InvalidData => {
-                Ok(Some(Line::Wrong("the line is not UTF-8".to_string())))
+                Ok(Some(Line::Invalid("the line is not UTF-8".to_string())))
             }
             Err(LinesCodecError::Io(e)) => Err(e),
         }
@@ -104,15 +104,15 @@
             None if !src.is_empty() => {
                 // The codec underneath remembers how far it has looked.
                 src.clear();
-                *self = Lines::default();
-                Ok(Some(Line::Wrong("the line does not end".to_string())))
+                *self = LineCodec::default();
+                Ok(Some(Line::Invalid("the line does not end".to_string())))
             }
             line => Ok(line),
         }
     }
 }
 
-impl Encoder<Reply> for Lines {
+impl Encoder<Reply> for LineCodec {
     type Error = io::Error;
 
     fn encode(&mut self, reply: Reply, dst: &mut BytesMut) -> io::Result<()> {
@@ -131,27 +131,27 @@
         ["CONFIRM"] => Line::Call(Call::Confirm),
         ["SUSPEND", id] => Line::Call(Call::Suspend(id.to_string())),
         ["RESTORE", id] => Line::Call(Call::Restore(id.to_string())),
-        ["FLEET"] => Line::Call(Call::Fleet(Fleet::Status)),
-        ["FLEET", "HISTORY"] => Line::Call(Call::Fleet(Fleet::History)),
+        ["FLEET"] => Line::Call(Call::Fleet(FleetCall::Status)),
+        ["FLEET", "HISTORY"] => Line::Call(Call::Fleet(FleetCall::History)),
         ["FLEET", "PROPOSE", path, ref author @ ..] => {
-            Line::Call(Call::Fleet(Fleet::Propose(path.to_string(), author.join(" "))))
+            Line::Call(Call::Fleet(FleetCall::Propose(path.to_string(), author.join(" "))))
         }
-        ["FLEET", "SUSPEND", id] => Line::Call(Call::Fleet(Fleet::Hand(id.to_string(), true))),
-        ["FLEET", "RESTORE", id] => Line::Call(Call::Fleet(Fleet::Hand(id.to_string(), false))),
-        ["FLEET", "ABORT"] => Line::Call(Call::Fleet(Fleet::Abort)),
+        ["FLEET", "SUSPEND", id] => Line::Call(Call::Fleet(FleetCall::Hand(id.to_string(), true))),
+        ["FLEET", "RESTORE", id] => Line::Call(Call::Fleet(FleetCall::Hand(id.to_string(), false))),
+        ["FLEET", "ABORT"] => Line::Call(Call::Fleet(FleetCall::Abort)),
         ["FLEET", "EPOCH", number] => match number.parse() {
-            Ok(number) => Line::Call(Call::Fleet(Fleet::Epoch(number))),
-            Err(_) => Line::Wrong("an epoch is a number".to_string()),
+            Ok(number) => Line::Call(Call::Fleet(FleetCall::Epoch(number))),
+            Err(_) => Line::Invalid("an epoch is a number".to_string()),
         },
         ["FLEET", ..] => {
             let all = "HISTORY, PROPOSE PATH AUTHOR, SUSPEND ID, RESTORE ID, ABORT, EPOCH NUMBER";
-            Line::Wrong(format!("FLEET takes nothing more, or one of {all}"))
+            Line::Invalid(format!("FLEET takes nothing more, or one of {all}"))
         }
-        [] => Line::Wrong("the line is empty".to_string()),
-        ["STATUS" | "PHASE" | "CONFIRM", ..] => Line::Wrong(format!("{} takes no more words", words[0])),
-        ["SUSPEND" | "RESTORE"] => Line::Wrong(format!("{} needs a member's id", words[0])),
-        ["SUSPEND" | "RESTORE", ..] => Line::Wrong(format!("{} takes one id", words[0])),
-        _ => Line::Wrong(
+        [] => Line::Invalid("the line is empty".to_string()),
+        ["STATUS" | "PHASE" | "CONFIRM", ..] => Line::Invalid(format!("{} takes no more words", words[0])),
+        ["SUSPEND" | "RESTORE"] => Line::Invalid(format!("{} needs a member's id", words[0])),
+        ["SUSPEND" | "RESTORE", ..] => Line::Invalid(format!("{} takes one id", words[0])),
+        _ => Line::Invalid(
             "no such call; there are STATUS, PHASE, SUSPEND ID, RESTORE ID and CONFIRM".to_string(),
         ),
     }
@@ -162,7 +162,7 @@
     use super::*;
 
     fn all(bytes: &[u8]) -> Vec<Line> {
-        let (mut codec, mut src, mut found) = (Lines::default(), BytesMut::from(bytes), Vec::new());
+        let (mut codec, mut src, mut found) = (LineCodec::default(), BytesMut::from(bytes), Vec::new());
         while let Some(line) = codec.decode_eof(&mut src).expect("bytes in memory do not break") {
             found.push(line);
         }
@@ -180,7 +180,7 @@
 
     #[test]
     fn what_is_no_call_is_told_why() {
-        let long = [b'x'; LONGEST + 1];
+        let long = [b'x'; LINE_BYTES_MAX + 1];
         for (bytes, word) in [
             (&b"\n"[..], "empty"),
             (b"STATUS now\n", "no more words"),
@@ -192,14 +192,14 @@
             (&long, "at most"),
         ] {
             let found = all(bytes);
-            let Some(Line::Wrong(why)) = found.first() else { panic!("{bytes:?}: {found:?}") };
+            let Some(Line::Invalid(why)) = found.first() else { panic!("{bytes:?}: {found:?}") };
             assert!(why.contains(word), "{why}");
         }
     }
 
     #[test]
     fn a_line_comes_whole_however_it_is_cut() {
-        let mut codec = Lines::default();
+        let mut codec = LineCodec::default();
         let mut src = BytesMut::new();
         for b in b"SUSPEND s-1" {
             src.extend_from_slice(&[*b]);
@@ -213,8 +213,8 @@
     #[test]
     fn an_answer_is_one_line() {
         let mut dst = BytesMut::new();
-        Lines::default().encode(Reply::No("why".to_string()), &mut dst).expect("fine");
-        Lines::default().encode(Reply::Yes("done".into()), &mut dst).expect("fine");
+        LineCodec::default().encode(Reply::Failure("why".to_string()), &mut dst).expect("fine");
+        LineCodec::default().encode(Reply::Success("done".into()), &mut dst).expect("fine");
         assert_eq!(&dst[..], b"400 why\n200 done\n");
     }
 }
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -15,7 +15,7 @@
 use crate::net::socket::Socket;
 use crate::phases;
 use futures_util::{SinkExt, StreamExt};
-use line::{Call, Fleet, Line, Lines, Reply};
+use line::{Call, FleetCall, Line, LineCodec, Reply};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -26,16 +26,16 @@
 use tokio_util::codec::Framed;
 
 /// Callers at a time.
-pub const SEATS: usize = 12;
+pub const CONNECTIONS_MAX: usize = 12;
 /// How long a caller may take over its line, and to take in its answer.
-const PATIENCE: Duration = Duration::from_secs(15);
-const LAST_WORD: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// By then a caller is told that its call was not done: an answer is owed within a second.
-const DONE: Duration = Duration::from_millis(800);
+const EXECUTION_TIMEOUT: Duration = Duration::from_millis(800);
 /// A timer fires only behind a look at what the kernel has to tell: whatever signal came before a call is heard by then.
-const SIGNALS_HEARD: Duration = Duration::from_millis(1);
+const SIGNAL_DELIVERY_WAIT: Duration = Duration::from_millis(1);
 /// After a failure to accept.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What every caller needs.
 #[derive(Clone)]
@@ -73,12 +73,12 @@
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     log::warn!("a caller of the console could not be accepted: {e}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             callers.retain(|c| !c.task.is_finished());
-            while callers.len() >= SEATS {
+            while callers.len() >= CONNECTIONS_MAX {
                 let silent = callers.iter().position(|c| !c.whole.load(Ordering::Relaxed));
                 match silent.and_then(|at| callers.remove(at)) {
                     Some(caller) => {
@@ -86,7 +86,7 @@
                         caller.task.abort();
                     }
                     // All are being answered, which takes no longer than an answer may.
-                    None => tokio::time::sleep(PAUSE).await,
+                    None => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
                 callers.retain(|c| !c.task.is_finished());
             }
@@ -101,31 +101,34 @@
     }
 
     async fn serve(&self, stream: TcpStream, whole: &AtomicBool) {
-        let mut conn = Framed::with_capacity(Socket::new(stream), Lines::default(), line::LONGEST);
-        let Ok(Some(Ok(said))) = tokio::time::timeout(PATIENCE, conn.next()).await else { return };
+        let mut conn = Framed::with_capacity(Socket::new(stream), LineCodec::default(), line::LINE_BYTES_MAX);
+        let Ok(Some(Ok(said))) = tokio::time::timeout(CALL_TIMEOUT, conn.next()).await else { return };
         whole.store(true, Ordering::Relaxed);
         count(Count::console_calls);
         let reply = match said {
             Line::Call(call) => {
-                let reply = match tokio::time::timeout(DONE, self.answer(&call)).await {
+                let reply = match tokio::time::timeout(EXECUTION_TIMEOUT, self.answer(&call)).await {
                     Ok(reply) => reply,
-                    Err(_) => Reply::No("not done in time; ask again".to_string()),
+                    Err(_) => Reply::Failure("not done in time; ask again".to_string()),
                 };
-                if !matches!(call, Call::Status | Call::Phase | Call::Fleet(Fleet::Status | Fleet::History)) {
+                if !matches!(
+                    call,
+                    Call::Status | Call::Phase | Call::Fleet(FleetCall::Status | FleetCall::History)
+                ) {
                     log::info!("the operators ask {call:?}: {reply}");
                 }
                 reply
             }
-            Line::Wrong(why) => Reply::No(why),
+            Line::Invalid(why) => Reply::Failure(why),
         };
-        if matches!(reply, Reply::No(_)) {
+        if matches!(reply, Reply::Failure(_)) {
             count(Count::console_refused);
         }
         let last_word = async {
             conn.send(reply).await?;
             crate::net::client_close::shutdown_and_drain(conn.into_inner()).await
         };
-        let _ = tokio::time::timeout(LAST_WORD, last_word).await;
+        let _ = tokio::time::timeout(REPLY_TIMEOUT, last_word).await;
     }
 
     async fn answer(&self, call: &Call) -> Reply {
@@ -133,20 +136,22 @@
             Call::Status => return self.status().await,
             Call::Phase => {
                 return match self.control.request(CoreCommand::QueryStartup).await {
-                    Some(told) if told.phase == phases::Phase::Full => Reply::Yes(told.to_string().into()),
-                    Some(told) => Reply::No(told.to_string()),
-                    None => Reply::No("ending".to_string()),
+                    Some(told) if told.phase == phases::Phase::Full => {
+                        Reply::Success(told.to_string().into())
+                    }
+                    Some(told) => Reply::Failure(told.to_string()),
+                    None => Reply::Failure("ending".to_string()),
                 }
             }
             Call::Confirm => {
                 return match self.control.request(CoreCommand::ConfirmSuspensions).await {
-                    Some(true) => Reply::Yes("confirmed".into()),
-                    Some(false) => Reply::No("nothing waits to be confirmed".to_string()),
-                    None => Reply::No("ending".to_string()),
+                    Some(true) => Reply::Success("confirmed".into()),
+                    Some(false) => Reply::Failure("nothing waits to be confirmed".to_string()),
+                    None => Reply::Failure("ending".to_string()),
                 }
             }
             Call::Fleet(call) => {
-                return self.fleet(call).await.map_or_else(Reply::No, |yes| Reply::Yes(yes.into()))
+                return self.fleet(call).await.map_or_else(Reply::Failure, |yes| Reply::Success(yes.into()))
             }
             Call::Suspend(id) => (
                 self.control.change(id, |reply| CoreCommand::Suspend(id.as_str().into(), reply)).await,
@@ -157,19 +162,19 @@
                 "back",
             ),
         };
-        told.map_or_else(Reply::No, |()| Reply::Yes(done.into()))
+        told.map_or_else(Reply::Failure, |()| Reply::Success(done.into()))
     }
 
-    async fn fleet(&self, call: &Fleet) -> Result<String, String> {
+    async fn fleet(&self, call: &FleetCall) -> Result<String, String> {
         let ask = match call {
-            Fleet::Status => OperatorCommand::Status,
-            Fleet::History => OperatorCommand::History,
-            Fleet::Propose(path, author) => {
+            FleetCall::Status => OperatorCommand::Status,
+            FleetCall::History => OperatorCommand::History,
+            FleetCall::Propose(path, author) => {
                 OperatorCommand::Propose(author.clone(), agreement_io::read_settings_json(path).await?)
             }
-            Fleet::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
-            Fleet::Abort => OperatorCommand::Abort,
-            Fleet::Epoch(number) => OperatorCommand::BeginEpoch(*number),
+            FleetCall::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
+            FleetCall::Abort => OperatorCommand::Abort,
+            FleetCall::Epoch(number) => OperatorCommand::BeginEpoch(*number),
         };
         let fleet = self.fleet.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
         let ending = || "the process ends".to_string();
@@ -180,28 +185,30 @@
 
     /// Yes only where a client would really be served.
     async fn status(&self) -> Reply {
-        tokio::time::sleep(SIGNALS_HEARD).await;
+        tokio::time::sleep(SIGNAL_DELIVERY_WAIT).await;
         let phase = *self.phase.borrow();
         match phase {
-            ProcessPhase::Starting => return Reply::No("starting: clients are not taken yet".to_string()),
+            ProcessPhase::Starting => {
+                return Reply::Failure("starting: clients are not taken yet".to_string())
+            }
             ProcessPhase::HandingOver | ProcessPhase::Closing | ProcessPhase::Ended => {
-                return Reply::No("ending".to_string())
+                return Reply::Failure("ending".to_string())
             }
             ProcessPhase::Serving => {}
         }
         match self.control.request(CoreCommand::QueryReadiness).await {
             Some(Readiness::Ready) if self.stored.load(Ordering::Relaxed) => {
-                Reply::Yes("serving, by the last configuration that held".into())
+                Reply::Success("serving, by the last configuration that held".into())
             }
-            Some(Readiness::Ready) => Reply::Yes("serving".into()),
+            Some(Readiness::Ready) => Reply::Success("serving".into()),
             Some(Readiness::NoUsableMember) => {
-                Reply::No("no member is listed that requests could go to".to_string())
+                Reply::Failure("no member is listed that requests could go to".to_string())
             }
             Some(Readiness::SuspensionsUnconfirmed) => {
                 let why = "what was said by hand may be lost; say it again, then CONFIRM";
-                Reply::No(why.to_string())
+                Reply::Failure(why.to_string())
             }
-            None => Reply::No("ending".to_string()),
+            None => Reply::Failure("ending".to_string()),
         }
     }
 }
--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -4,7 +4,7 @@
 //! for each instance's others, and hands on what comes of them as a whole list. It asks again before a record's time to live is over, and at least every
 //! ten seconds; what expires unrenewed, or is no longer named, is gone from the next list.
 
-use super::records::Cache;
+use super::records::RecordCache;
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, ListedMember};
@@ -22,12 +22,12 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 /// Patience with one question.
-const PATIENCE: Duration = Duration::from_secs(2);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Least and most time between two rounds, in us.
-const ROUND_LEAST: Time = 500_000;
-const ROUND_MOST: Time = 10_000_000;
+const ROUND_INTERVAL_MIN: Time = 500_000;
+const ROUND_INTERVAL_MAX: Time = 10_000_000;
 /// Records are asked for again this long before they expire, in us.
-const AHEAD: Time = 1_500_000;
+const RENEW_AHEAD: Time = 1_500_000;
 /// Most instances followed, so that no answer can make the proxy ask without end; one message names no more of them.
 const INSTANCES_MAX: usize = 4_096;
 
@@ -38,7 +38,7 @@
     zones: Vec<String>,
     core: mpsc::Sender<Input>,
     clock: Clock,
-    cache: Cache,
+    cache: RecordCache,
     numbers: MemberNumbers,
     told: Option<Vec<ListedMember>>,
     link: Option<Framed<Socket, LengthDelimitedCodec>>,
@@ -66,7 +66,7 @@
             zones,
             core,
             clock,
-            cache: Cache::default(),
+            cache: RecordCache::default(),
             numbers,
             told: None,
             link: None,
@@ -89,9 +89,9 @@
                 return;
             }
             // A record that is not renewed in time must be gone from the list in time too.
-            let until = self.cache.next().map_or(ROUND_MOST, |t| t.saturating_sub(now));
-            let pause = if until > AHEAD + ROUND_LEAST { until - AHEAD } else { until };
-            let pause = pause.clamp(ROUND_LEAST, if fine { ROUND_MOST } else { AHEAD });
+            let until = self.cache.next_expiry().map_or(ROUND_INTERVAL_MAX, |t| t.saturating_sub(now));
+            let pause = if until > RENEW_AHEAD + ROUND_INTERVAL_MIN { until - RENEW_AHEAD } else { until };
+            let pause = pause.clamp(ROUND_INTERVAL_MIN, if fine { ROUND_INTERVAL_MAX } else { RENEW_AHEAD });
             tokio::select! {
                 asks = asked.recv() => match asks {
                     Some(ListRequest) => owed = true,
@@ -140,19 +140,19 @@
         let mut question = Message::new(self.asked, MessageType::Query, OpCode::Query);
         question.add_query(Query::query(name.clone(), kind));
         let question = Bytes::from(question.to_vec().ok()?);
-        let answer = tokio::time::timeout(PATIENCE, self.exchange(question)).await.ok()??;
+        let answer = tokio::time::timeout(QUERY_TIMEOUT, self.exchange(question)).await.ok()??;
         match answer.metadata.response_code {
             ResponseCode::NoError => {
                 let now = self.clock.now();
                 let (own, more) = (&answer.answers, &answer.additionals);
                 if own.iter().any(|r| r.name == name && r.record_type() == kind) {
                     let all: Vec<_> = own.iter().chain(more).cloned().collect();
-                    self.cache.answered(&name, kind, &all, now);
+                    self.cache.store_answer(&name, kind, &all, now);
                 } else {
-                    self.cache.without(&name, kind);
+                    self.cache.remove(&name, kind);
                 }
             }
-            ResponseCode::NXDomain => self.cache.nothing(&name),
+            ResponseCode::NXDomain => self.cache.remove_name(&name),
             // Refused or out of order: what is held stays until it expires.
             code => {
                 log::warn!("the DNS server answers {code} for {name}");
--- a/src/dnssd/records.rs
+++ b/src/dnssd/records.rs
@@ -22,7 +22,7 @@
 
 /// Records held until their time to live is over.
 #[derive(Default)]
-pub struct Cache {
+pub struct RecordCache {
     instances: BTreeMap<Name, Kept<Name>>,
     servers: BTreeMap<Name, Kept<(u16, u16, u16, Name)>>,
     texts: BTreeMap<Name, Kept<BTreeMap<String, String>>>,
@@ -47,11 +47,11 @@
     kept.push((value, until));
 }
 
-impl Cache {
+impl RecordCache {
     /// Takes in the answer to one question about `name`, complete for that name and `kind`: what it leaves out is
     /// gone, and a time to live of 0 says so too. What comes beside it adds to what is held.
-    pub fn answered(&mut self, name: &Name, kind: RecordType, records: &[Record], now: Time) {
-        self.without(name, kind);
+    pub fn store_answer(&mut self, name: &Name, kind: RecordType, records: &[Record], now: Time) {
+        self.remove(name, kind);
         for record in records {
             let until = now.saturating_add(Time::from(record.ttl) * 1_000_000);
             let at = record.name.to_lowercase();
@@ -70,7 +70,7 @@
     }
 
     /// The name has nothing of this type.
-    pub fn without(&mut self, name: &Name, kind: RecordType) {
+    pub fn remove(&mut self, name: &Name, kind: RecordType) {
         let name = name.to_lowercase();
         match kind {
             RecordType::PTR => drop(self.instances.remove(&name)),
@@ -82,9 +82,9 @@
     }
 
     /// The name does not exist.
-    pub fn nothing(&mut self, name: &Name) {
+    pub fn remove_name(&mut self, name: &Name) {
         for kind in [RecordType::PTR, RecordType::SRV, RecordType::TXT, RecordType::A] {
-            self.without(name, kind);
+            self.remove(name, kind);
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// When the first record will be past its time.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_expiry(&self) -> Option<Time> {
         fn first<T>(map: &BTreeMap<Name, Kept<T>>) -> Option<Time> {
             map.values().flatten().map(|(_, until)| *until).min()
         }
@@ -183,7 +183,7 @@
 ///
 /// # Errors
 /// When the names are not such as DNS can hold, or the address is no IPv4 one.
-pub fn own(instance: &str, domain: &str, listen: SocketAddr) -> Result<Vec<Record>, String> {
+pub fn front_records(instance: &str, domain: &str, listen: SocketAddr) -> Result<Vec<Record>, String> {
     let SocketAddr::V4(listen) = listen else { return Err(format!("{listen} has no A record")) };
     let wrong = |e: hickory_proto::ProtoError| format!("{instance} in {domain}: {e}");
     let mut domain = Name::from_ascii(domain).map_err(wrong)?;
@@ -206,7 +206,7 @@
 }
 
 /// A record as a zone file has it: the strings of a TXT record each in quotes.
-pub fn line(record: &Record) -> String {
+pub fn zone_file_line(record: &Record) -> String {
     let RData::TXT(text) = &record.data else { return record.to_string() };
     let strings: Vec<String> = text
         .txt_data
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The commands that ask a fleet that agrees, through the console of any of its proxies.
 
-use crate::cli::{self, Fleet};
+use crate::cli::{self, FleetCommand};
 use crate::console_client::{call, configured_address};
 use serde_json::Value;
 use std::process::ExitCode;
@@ -111,7 +111,7 @@
         }
         let state = format!("{} {}", of["state"], of["waits_for"]);
         if state != last {
-            cli::complain(format_args!("{told}"));
+            cli::print_error_line(format_args!("{told}"));
             last = state;
         }
         std::thread::sleep(LOOK);
@@ -124,19 +124,19 @@
     if told.contains("is so already") {
         return Ok(vec![told]);
     }
-    cli::complain(format_args!("{told}"));
+    cli::print_error_line(format_args!("{told}"));
     wait(console, kind, before)
 }
 
-fn done(asks: &Fleet, console: &str, json: bool) -> Result<(Vec<String>, bool), String> {
+fn done(asks: &FleetCommand, console: &str, json: bool) -> Result<(Vec<String>, bool), String> {
     let well = |lines| Ok((lines, true));
     match asks {
-        Fleet::Status => {
+        FleetCommand::Status => {
             let status = asked(console, "FLEET")?;
             let lines = if json { vec![status.to_string()] } else { table(&status) };
             Ok((lines, status["lease_ms"].is_u64()))
         }
-        Fleet::History => {
+        FleetCommand::History => {
             let all = asked(console, "FLEET HISTORY")?;
             let one = |p: &Value| {
                 let word = |name: &str| p[name].as_str().unwrap_or("?").to_string();
@@ -154,25 +154,29 @@
                 all.as_array().into_iter().flatten().map(one).collect()
             })
         }
-        Fleet::Propose { file, author } => {
+        FleetCommand::Propose { file, author } => {
             let file = file.canonicalize().map_err(|e| format!("{}: {e}", file.display()))?;
             well(change(console, "settings", &format!("FLEET PROPOSE {} {author}", file.display()))?)
         }
-        Fleet::Abort => well(vec![said(console, "FLEET ABORT")?]),
-        Fleet::Suspend { member } => well(change(console, "hands", &format!("FLEET SUSPEND {member}"))?),
-        Fleet::Restore { member } => well(change(console, "hands", &format!("FLEET RESTORE {member}"))?),
-        Fleet::Epoch { number } => well(vec![said(console, &format!("FLEET EPOCH {number}"))?]),
+        FleetCommand::Abort => well(vec![said(console, "FLEET ABORT")?]),
+        FleetCommand::Suspend { member } => {
+            well(change(console, "hands", &format!("FLEET SUSPEND {member}"))?)
+        }
+        FleetCommand::Restore { member } => {
+            well(change(console, "hands", &format!("FLEET RESTORE {member}"))?)
+        }
+        FleetCommand::Epoch { number } => well(vec![said(console, &format!("FLEET EPOCH {number}"))?]),
     }
 }
 
 /// Runs one of the commands: 0 where it is so or done, 1 where not, 2 where nobody answers.
-pub fn run(asks: &Fleet, console: Option<&str>, json: bool) -> ExitCode {
+pub fn run(asks: &FleetCommand, console: Option<&str>, json: bool) -> ExitCode {
     let told = console
         .map_or_else(configured_address, |c| Ok(c.to_string()))
         .map(|console| done(asks, &console, json));
     match told {
         Ok(Ok((lines, well))) => {
-            lines.iter().for_each(|line| cli::say(format_args!("{line}")));
+            lines.iter().for_each(|line| cli::print_line(format_args!("{line}")));
             if well {
                 ExitCode::SUCCESS
             } else {
@@ -180,11 +184,11 @@
             }
         }
         Ok(Err(why)) => {
-            cli::complain(format_args!("linentrail: {why}"));
+            cli::print_error_line(format_args!("linentrail: {why}"));
             ExitCode::FAILURE
         }
         Err(message) => {
-            cli::complain(format_args!("linentrail: {message}"));
+            cli::print_error_line(format_args!("linentrail: {message}"));
             ExitCode::from(2)
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
 //! The real proxy: wiring, start and shutdown.
-// These panic where the output cannot be written; `cli::say` and `cli::complain` do not.
+// These panic where the output cannot be written; `cli::print_line` and `cli::print_error_line` do not.
 #![deny(clippy::print_stdout, clippy::print_stderr)]
 
 use clap::Parser;
@@ -320,7 +320,7 @@
     let _ = phase.send(ProcessPhase::Serving);
     loop {
         tokio::select! {
-            _ = usr1.recv() => cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line())),
+            _ = usr1.recv() => cli::print_line(format_args!("counters: {}{}", counters::nonzero_line(), meter::counter_fields())),
             _ = term.recv() => break,
             _ = int.recv() => break,
         }
@@ -335,15 +335,15 @@
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
     shutdown.run(peer_alive, file.accept_after_sigterm, longest_deadline, last_writing).await;
-    cli::say(format_args!("counters: {}{}", counters::nonzero_line(), meter::line()));
+    cli::print_line(format_args!("counters: {}{}", counters::nonzero_line(), meter::counter_fields()));
     Ok(())
 }
 
 /// Prints the records under which the OData front can be found, as a zone file has them.
 fn print_records() -> Result<(), String> {
     let file = operators::load()?;
-    for record in records::own(&file.dnssd.instance, &file.dnssd.domain, file.odata.listen)? {
-        cli::say(format_args!("{}", records::line(&record)));
+    for record in records::front_records(&file.dnssd.instance, &file.dnssd.domain, file.odata.listen)? {
+        cli::print_line(format_args!("{}", records::zone_file_line(&record)));
     }
     Ok(())
 }
@@ -351,15 +351,15 @@
 fn check(file: &Path) -> ExitCode {
     match check::file(file) {
         Ok(CheckResult::Valid(what)) => {
-            cli::say(format_args!("{}: sound: {what}", file.display()));
+            cli::print_line(format_args!("{}: sound: {what}", file.display()));
             ExitCode::SUCCESS
         }
         Ok(CheckResult::Faults(faults)) => {
-            faults.iter().for_each(|fault| cli::say(format_args!("{}: {fault}", file.display())));
+            faults.iter().for_each(|fault| cli::print_line(format_args!("{}: {fault}", file.display())));
             ExitCode::FAILURE
         }
         Err(message) => {
-            cli::complain(format_args!("linentrail: {message}"));
+            cli::print_error_line(format_args!("linentrail: {message}"));
             ExitCode::from(2)
         }
     }
@@ -368,7 +368,7 @@
 fn status(console: Option<&str>) -> ExitCode {
     match console_client::status(console) {
         Ok(told) => {
-            told.lines.iter().for_each(|line| cli::say(format_args!("{line}")));
+            told.lines.iter().for_each(|line| cli::print_line(format_args!("{line}")));
             if told.ready {
                 ExitCode::SUCCESS
             } else {
@@ -376,7 +376,7 @@
             }
         }
         Err(message) => {
-            cli::complain(format_args!("linentrail: {message}"));
+            cli::print_error_line(format_args!("linentrail: {message}"));
             ExitCode::from(2)
         }
     }
@@ -387,7 +387,7 @@
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(fault) if fault.use_stderr() => {
-            cli::complain(format_args!("linentrail: {}", cli::one_line(&fault)));
+            cli::print_error_line(format_args!("linentrail: {}", cli::one_line(&fault)));
             return ExitCode::from(2);
         }
         Err(help) => help.exit(),
@@ -408,7 +408,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            cli::complain(format_args!("linentrail: {message}"));
+            cli::print_error_line(format_args!("linentrail: {message}"));
             ExitCode::FAILURE
         }
     }
--- a/src/meter.rs
+++ b/src/meter.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Whether anything is counted.
-pub const ON: bool = cfg!(feature = "meter");
+pub const ENABLED: bool = cfg!(feature = "meter");
 
 /// What is counted here.
 #[derive(Debug, Clone, Copy)]
@@ -28,14 +28,14 @@
 
 /// Adds to a cost; nothing without the feature.
 pub fn add(cost: Cost, n: usize) {
-    if ON {
+    if ENABLED {
         COSTS[cost as usize].fetch_add(n as u64, Ordering::Relaxed);
     }
 }
 
 /// All costs so far as `name=number` pairs, each behind a space; empty without the feature.
-pub fn line() -> String {
-    if !ON {
+pub fn counter_fields() -> String {
+    if !ENABLED {
         return String::new();
     }
     let of = |c: Cost| COSTS[c as usize].load(Ordering::Relaxed);
