--- a/src/operators/agreement.rs
+++ b/src/operators/agreement.rs
@@ -1,5 +1,5 @@
 //! The block `agreement` of the operators' file: who the proxies of a fleet are, which of them vote, with which keys they
-//! speak, and the timing that all must have alike.
+//! speak, and the times that all must have alike.
 
 use super::hcl::Reader;
 use crate::agreement::seal::{Keys, KEY_BYTES_MIN};
@@ -24,7 +24,7 @@
     /// Whether this proxy takes part.
     pub enabled: bool,
     /// Its number.
-    pub me: ProxyNumber,
+    pub own_number: ProxyNumber,
     /// All proxies, by number, and where each is spoken to (UDP, and TCP for what does not fit).
     pub proxies: BTreeMap<ProxyNumber, SocketAddr>,
     /// Those that vote.
@@ -127,7 +127,7 @@
             what,
         );
         wrong("keys", keyless, "must name a key".into());
-        let what = format!("must be eight timing round_ms, {}, or longer", timing.round / 1000);
+        let what = format!("must be eight times round_ms, {}, or longer", timing.round / 1000);
         wrong("lease_ms", timing.lease < 8 * timing.round, what);
         // What a voter promises must outlast it.
         wrong("enabled", voters.contains(&own_number) && !stores, "needs a store: this proxy votes".into());
@@ -177,7 +177,7 @@
     #[test]
     fn each_fault_is_told_with_its_place() {
         for (from, to, word) in [
-            ("me = 2", "me = 9", "7:7: agreement.own_number is 9"),
+            ("me = 2", "me = 9", "7:7: agreement.me is 9"),
             ("[1, 2, 3]", "[1, 2]", "agreement.voters"),
             ("[1, 2, 3]", "[1, 2, 2]", "agreement.voters"),
             ("[1, 2, 3]", "[1, 2, 7]", "agreement.voters"),
