--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -134,7 +134,7 @@
 
     /// A whole number within a range.
     pub fn number(&mut self, name: &'static str, or: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
-        let what = format!("a whole number from {} to {}", range.start(), range.finish());
+        let what = format!("a whole number from {} to {}", range.start(), range.end());
         self.read(name, or, &what, |e| e.as_number()?.as_u64().filter(|n| range.contains(n)))
     }
 
