--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -203,19 +203,20 @@
         memory: Option<RecoveredVotes>,
     ) -> Result<(Self, mpsc::Receiver<Question>), String> {
         let file = &with.config;
-        let at = file.proxies.get(&file.me).copied().ok_or("agreement.me is none of agreement.proxies")?;
+        let at =
+            file.proxies.get(&file.own_number).copied().ok_or("agreement.me is none of agreement.proxies")?;
         let bad = |e: std::io::Error| format!("agreement: {at}: {e}");
         let socket = Arc::new(transient::listen_datagrams(at).await.map_err(bad)?);
         let listener = transient::listen(at).await.map_err(bad)?;
         let now = with.clock.now();
         let fleet = Fleet {
-            me: file.me,
+            me: file.own_number,
             start: now,
             voters: file.voters.clone(),
-            times: file.times,
-            seed: with.seed ^ u64::from(file.me),
+            times: file.timing,
+            seed: with.seed ^ u64::from(file.own_number),
         };
-        let votes = file.voters.contains(&file.me);
+        let votes = file.voters.contains(&file.own_number);
         let voter = memory.as_ref().filter(|_| votes).map(|memory| memory.voter(now));
         let mut instance = Instance::new(fleet, voter, now);
         let mut documents = BTreeMap::new();
@@ -232,9 +233,11 @@
         let (questions, asked) = mpsc::channel(MAILBOX);
         tokio::spawn(fetch::serve(listener, with.keys.clone(), questions));
         let (done, ends) = mpsc::channel(MAILBOX);
-        let (sender, receiver) =
-            (Sender::new(with.keys.clone(), file.me, now), Receiver::new(with.keys.clone(), file.me));
-        log::info!("proxy {} of {} agrees with the others at {at}", file.me, file.proxies.len());
+        let (sender, receiver) = (
+            Sender::new(with.keys.clone(), file.own_number, now),
+            Receiver::new(with.keys.clone(), file.own_number),
+        );
+        log::info!("proxy {} of {} agrees with the others at {at}", file.own_number, file.proxies.len());
         let actor = AgreementActor {
             instance,
             socket,
