--- a/src/discovery_schedule.rs
+++ b/src/discovery_schedule.rs
@@ -1,32 +1,35 @@
-//! When discovery is called where all proxies may call at one moment: after a move, and for the watch that follows a whole
-//! list. It does no I/O and holds no clock; `src/net/discovery.rs` asks it and makes the calls. When a first or a failed
-//! call is due, the module decides.
+//! When this proxy calls discovery in the situations in which all proxies may call at the same time: after discovery has
+//! moved to another address, and to start the watch that follows a full list. It does no I/O and reads no clock:
+//! `src/net/discovery.rs` asks it and makes the calls. The policy module (`src/policy`) decides when a first call or a
+//! call after a failure is due.
 //!
-//! Discovery works through calls in turn, so that one call of each proxy takes it N times what one takes. A call in that
-//! queue takes part of the time of all behind it, and a watch right behind each list doubles the queue for those that have
-//! no list yet. What a proxy sees is how long its own call took: in a jam that is more than a call costs, and the watch
-//! then waits longer than it need; where discovery answers in a few ms it waits for nothing that could be noticed.
+//! Discovery processes calls one after another, so that serving N proxies takes N times as long as serving one. Every
+//! queued call delays all calls behind it; if each proxy started its watch right after its list, the queue would double
+//! for those that still wait for a list. A proxy sees only how long its own call took. When discovery is congested that
+//! includes time in the queue, so the watch waits longer than necessary; when discovery answers within a few ms, the
+//! delay is negligible.
 
 use crate::interface::{Settings, Time};
 use crate::policy::list_calls::{QUEUE_WAIT_MAX, SPAN_PER_CALLER, UNSPREAD_CALLERS};
 use crate::policy::state::hash_fraction;
 
-/// Longest span of the calls after a move, in us: a proxy must know by itself within 6 s what discovery had to tell, and a
-/// call that fails is made again in the last of them.
+/// Longest span over which the proxies' calls after a move are spread, in us. A proxy must learn of a change within 6 s
+/// after discovery had it, and the last of these seconds must leave room to retry a failed call.
 const MOVE_SPAN_MAX: Time = 2_000_000;
-/// Longest time in which one call of each proxy is thought to be done, in us. A watch that begins by half as much again
-/// after the list still tells within those 6 s of what has changed behind the list.
+/// Upper bound for the estimate of how long discovery takes to serve one call of each proxy, in us. A watch starts at most
+/// 1.5 times this long after the list, which still reports changes made after the list within the 6 s.
 const ROUND_MAX: Time = 2_000_000;
 
-/// How long a watch may wait at discovery where it is asked, in us.
+/// How long discovery may hold a watch open before it answers, if lists are queried, in us.
 const WATCH_WAIT: Time = 1_500_000;
-/// An answer's time beyond that on its way, in us. What a call that is given up has missed counts as told 6 s after
-/// discovery had it: by then the call, given up and made again at once, must have been answered in its turn.
-const LEAD: Time = 100_000;
-/// A renewal needs no turn, but an answer on its way may stand behind others, in us.
-const RENEWAL_LEAD: Time = 700_000;
-
-/// Least wait of a watch where lists are pushed, in us: shorter ones would only cost processor time.
+/// Allowance for the answer's transit on top of that, in us. The proxy counts as informed of a change 6 s after discovery
+/// had it, even if its call timed out: within that time the call must have timed out and its immediate retry must have
+/// passed discovery's queue and been answered.
+const ANSWER_TRANSIT: Time = 100_000;
+/// The same allowance for a renewal, in us. A renewal does not queue at discovery, but its answer may be sent behind others.
+const RENEWAL_TRANSIT: Time = 700_000;
+
+/// Shortest wait of a watch if lists are pushed, in us: shorter ones would only cost processor time.
 const PUSHED_WAIT_MIN: Time = 50_000;
 
 /// How changes of the member list reach this proxy.
@@ -34,16 +37,16 @@
 pub enum Delivery {
     /// One service answers all proxies, one call after another.
     Queried,
-    /// An agent on the proxy's own machine holds what discovery has sent, and answers at once. What it holds counts as
-    /// told whether or not this process has called, from its first moment on.
+    /// An agent on the proxy's own machine holds the list that discovery has pushed, and answers at once. The proxy counts
+    /// as informed of a change as soon as the agent holds it, whether or not this process has called.
     Pushed {
-        /// How long after that a member that drains or is gone may still get requests, in us.
+        /// How long after that moment a draining or removed member may still be sent requests, in us.
         drain_grace: Time,
     },
 }
 
 impl Delivery {
-    /// What the settings say of it.
+    /// The delivery that the settings select.
     pub fn of(settings: &Settings) -> Self {
         if settings.subscribe {
             Delivery::Queried
@@ -52,7 +55,7 @@
         }
     }
 
-    /// How many of `proxies` call where this one does.
+    /// How many of `proxies` call the same service as this one.
     pub fn callers(self, proxies: u32) -> u32 {
         match self {
             Delivery::Queried => proxies,
@@ -60,9 +63,9 @@
         }
     }
 
-    /// How long a watch may wait for a change, in us. A renewal costs discovery no turn, so that a short wait costs it
-    /// little; a silent watch is noticed by so much sooner. What an agent got while it was silent counts at once, so
-    /// that silence must be noticed within the grace.
+    /// How long a watch may wait for a change, in us. A renewal does not queue at discovery, so a short wait costs little
+    /// and an unresponsive service is noticed sooner. The proxy counts as informed of what an agent receives at once, so
+    /// an unresponsive agent must be noticed within the drain grace.
     fn watch_wait(self) -> Time {
         match self {
             Delivery::Queried => WATCH_WAIT,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// How long discovery is to wait for a change before it answers this call, in us.
+    /// How long discovery may wait for a change before it answers this call, in us.
     pub fn wait(self, call: ListCall) -> Time {
         match call {
             ListCall::FullList | ListCall::Confirm => 0,
@@ -78,17 +81,18 @@
         }
     }
 
-    /// How long a call is waited for, in us, from when it is made.
+    /// Timeout of a call, in us, counted from when the call is made.
     pub fn timeout(self, call: ListCall) -> Time {
         match (self, call) {
             (Delivery::Pushed { .. }, _) => self.watch_wait() + self.watch_wait() / 2,
-            (Delivery::Queried, ListCall::FullList | ListCall::Confirm) => QUEUE_WAIT_MAX + LEAD,
-            (Delivery::Queried, ListCall::Watch) => QUEUE_WAIT_MAX + WATCH_WAIT + LEAD,
-            (Delivery::Queried, ListCall::Renewal) => WATCH_WAIT + RENEWAL_LEAD,
+            (Delivery::Queried, ListCall::FullList | ListCall::Confirm) => QUEUE_WAIT_MAX + ANSWER_TRANSIT,
+            (Delivery::Queried, ListCall::Watch) => QUEUE_WAIT_MAX + WATCH_WAIT + ANSWER_TRANSIT,
+            (Delivery::Queried, ListCall::Renewal) => WATCH_WAIT + RENEWAL_TRANSIT,
         }
     }
 
-    /// What becomes of a call that failed: without a word (`silent`), or with a refusal, a reset or what is no list.
+    /// What to do after a failed call. `silent`: it timed out without an answer; otherwise it was refused, reset or
+    /// answered with something other than a list.
     pub fn after_failure(self, silent: bool) -> FailedCallAction {
         match self {
             _ if silent => FailedCallAction::RetryNow,
@@ -101,62 +105,64 @@
 /// One call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListCall {
-    /// For the whole list.
+    /// Requests the full list.
     FullList,
-    /// For what has changed since the version that the process started with, answered at once also where nothing has: until
-    /// then nobody has confirmed that list.
+    /// Requests the changes since the version that the process started with, and is answered at once even if there are
+    /// none: until then that list is unconfirmed.
     Confirm,
-    /// A watch that begins.
+    /// Starts a watch (a long poll for changes).
     Watch,
-    /// A watch that goes on right behind its last answer.
+    /// Continues a watch right after its last answer.
     Renewal,
 }
 
-/// What becomes of a call that has brought no list.
+/// What to do after a call that returned no list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailedCallAction {
-    /// It is made again at once: a silent call is broken, discovery need not be, and the pauses of a failed call would
-    /// outlast what is left before all counts as told. All that fell silent together waited since different moments.
+    /// Retry at once. A call without an answer may be broken while discovery itself works, and the pauses after a failed
+    /// call would exceed the time left until the proxy counts as informed. The retries of all proxies do not coincide, as
+    /// calls that lost their answers at the same moment had waited since different moments.
     RetryNow,
-    /// It is made again after a short pause: an agent is this proxy's own, and no call of others waits behind.
+    /// Retry after a short pause: the agent serves this proxy alone, so no other proxy's call queues behind.
     RetryAfterPause,
-    /// The module hears that it failed, and says when the next is due.
+    /// Report the failure to the policy module, which says when the next call is due.
     ReportFailure,
 }
 
-/// When this proxy calls.
+/// Draws this proxy's delays before calls to discovery.
 #[derive(Debug, Clone, Copy)]
 pub struct CallSchedule {
     seed: u64,
-    /// Lots drawn so far.
-    drawn: u64,
+    /// How many random fractions have been drawn.
+    draws: u64,
 }
 
 impl CallSchedule {
-    /// For the proxy with this seed.
+    /// Creates the schedule of the proxy with this seed.
     pub fn new(seed: u64) -> Self {
-        CallSchedule { seed, drawn: 0 }
+        CallSchedule { seed, draws: 0 }
     }
 
-    fn drawn_fraction(&mut self) -> f64 {
-        self.drawn += 1;
-        hash_fraction(!self.seed, self.drawn, SPAN_PER_CALLER)
+    fn draw_fraction(&mut self) -> f64 {
+        self.draws += 1;
+        hash_fraction(!self.seed, self.draws, SPAN_PER_CALLER)
     }
 
-    /// Discovery has moved, for so many proxies alike: how long until this one calls there, in us. `waited` is how long ago
-    /// the first move was since which no list has come: one move after another puts the call off no further.
+    /// Delay of this proxy's first call after discovery has moved, in us, if `proxies` proxies call the same service.
+    /// `waited` is the time since the first move after which no list has arrived yet, so that repeated moves do not
+    /// postpone the call further.
     pub fn delay_after_move(&mut self, proxies: u32, waited: Time) -> Time {
         let span =
             (Time::from(proxies.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER).min(MOVE_SPAN_MAX);
-        let drawn = (span as f64 * self.drawn_fraction()) as Time;
-        drawn.min(MOVE_SPAN_MAX.saturating_sub(waited))
+        let delay = (span as f64 * self.draw_fraction()) as Time;
+        delay.min(MOVE_SPAN_MAX.saturating_sub(waited))
     }
 
-    /// A whole list has come, by a call that took so long, in us: how long until the watch behind it begins. By then all
-    /// others of so many proxies should have their lists.
+    /// Delay between a full list and the start of the watch that follows it, in us. `took` is the duration of the call
+    /// that returned the list; after the delay the other `proxies` should have their lists.
     pub fn delay_after_list(&mut self, proxies: u32, took: Time) -> Time {
-        let round = took.saturating_mul(Time::from(proxies.saturating_sub(1))).min(ROUND_MAX);
-        (round as f64 * (1.0 + self.drawn_fraction() / 2.0)) as Time
+        let round_time = took.saturating_mul(Time::from(proxies.saturating_sub(1))).min(ROUND_MAX);
+        (round_time as f64 * (1.0 + self.draw_fraction() / 2.0)) as Time
     }
 }
 
