--- a/src/console/line.rs
+++ b/src/console/line.rs
@@ -1,7 +1,7 @@
-//! The console's lines: a call in, one answer out.
+//! The line protocol of the console: a caller sends one line with a call and gets one line with the reply.
 //!
-//! A call counts only once its line has ended. What a caller left unfinished is not acted upon: half an id may well be
-//! another member's.
+//! A call is executed only if its line is complete. An unterminated line is rejected, since a truncated id may be that of
+//! another member.
 
 use bytes::BytesMut;
 use std::borrow::Cow;
@@ -9,49 +9,49 @@
 use std::io;
 use tokio_util::codec::{Decoder, Encoder, LinesCodec, LinesCodecError};
 
-/// The longest line taken in, its end not counted.
+/// Maximum length of a line, without its line ending.
 pub const LINE_BYTES_MAX: usize = 512;
 
-/// What a caller asks.
+/// A call of the operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Status,
-    /// Take a member out.
+    /// Takes a member out of use.
     Suspend(String),
-    /// Put a member back.
+    /// Puts a member back into use.
     Restore(String),
-    /// How far the process is on its way to full service.
+    /// Asks for the startup phase of the process.
     Phase,
-    /// All that was said by hand and may have been lost has been said again.
+    /// Confirms that all suspensions that may have been lost have been entered again.
     Confirm,
-    /// What the proxies of the fleet agree on.
+    /// A call about what the proxies of the fleet agree on.
     Fleet(FleetCall),
 }
 
-/// What is asked of the fleet.
+/// A call about the fleet's agreement. The variants' names are written to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetCall {
-    /// How it stands.
+    /// Asks for the state of the agreement.
     Status,
-    /// What was in force.
+    /// Asks for the versions that have been in force.
     History,
-    /// Take the settings of the file at this path, by this author.
+    /// Proposes the settings of the file at this path, on behalf of this author.
     Propose(String, String),
-    /// A member out, or back, for all.
+    /// Suspends (`true`) or restores (`false`) this member for all proxies.
     Hand(String, bool),
-    /// Take back the change that is under way.
+    /// Withdraws the change that is in progress.
     Abort,
-    /// Begin this epoch.
+    /// Begins this epoch.
     Epoch(u32),
 }
 
-/// The one answer to a call.
+/// The reply to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// It is so, or it was done.
+    /// The answer is yes, or the call was executed.
     Success(Cow<'static, str>),
-    /// It is not so, or it was not done, and why.
+    /// The answer is no, or the call was not executed; with the reason.
     Failure(String),
 }
 
@@ -64,16 +64,16 @@
     }
 }
 
-/// What comes of a caller's bytes.
+/// A decoded line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Line {
-    /// A call.
+    /// A valid call.
     Call(Call),
-    /// A line, or a part of one, that is no call, and why.
+    /// A line, complete or not, that is no valid call; with the reason.
     Invalid(String),
 }
 
-/// The console's end of a connection.
+/// Decodes calls and encodes replies on the console's side of a connection.
 pub struct LineCodec(LinesCodec);
 
 impl Default for LineCodec {
@@ -88,7 +88,7 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Line>> {
         match self.0.decode(src) {
-            Ok(line) => Ok(line.map(|line| read(&line))),
+            Ok(line) => Ok(line.map(|line| parse(&line))),
             Err(LinesCodecError::MaxLineLengthExceeded) => {
                 Ok(Some(Line::Invalid(format!("a line has at most {LINE_BYTES_MAX} bytes"))))
             }
@@ -102,7 +102,7 @@
     fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<Line>> {
         match self.decode(src)? {
             None if !src.is_empty() => {
-                // The codec underneath remembers how far it has looked.
+                // The inner codec keeps its scan position, which no longer fits the cleared buffer.
                 src.clear();
                 *self = LineCodec::default();
                 Ok(Some(Line::Invalid("the line does not end".to_string())))
@@ -122,8 +122,8 @@
     }
 }
 
-/// Reads a whole line.
-fn read(line: &str) -> Line {
+/// Parses a complete line.
+fn parse(line: &str) -> Line {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words[..] {
         ["STATUS"] => Line::Call(Call::Status),
@@ -161,7 +161,7 @@
 mod tests {
     use super::*;
 
-    fn all(bytes: &[u8]) -> Vec<Line> {
+    fn decode_all(bytes: &[u8]) -> Vec<Line> {
         let (mut codec, mut src, mut found) = (LineCodec::default(), BytesMut::from(bytes), Vec::new());
         while let Some(line) = codec.decode_eof(&mut src).expect("bytes in memory do not break") {
             found.push(line);
@@ -170,16 +170,16 @@
     }
 
     #[test]
-    fn a_call_is_one_line_with_either_end() {
+    fn a_call_is_one_line_with_either_line_ending() {
         let suspend = Line::Call(Call::Suspend("s-1".to_string()));
-        assert_eq!(all(b"STATUS\n"), [Line::Call(Call::Status)]);
-        assert_eq!(all(b"SUSPEND s-1\r\n"), std::slice::from_ref(&suspend));
-        assert_eq!(all(b"SUSPEND s-1\nrest\n")[0], suspend);
-        assert_eq!(all(b"RESTORE \xc3\xa9\n"), [Line::Call(Call::Restore("\u{e9}".to_string()))]);
+        assert_eq!(decode_all(b"STATUS\n"), [Line::Call(Call::Status)]);
+        assert_eq!(decode_all(b"SUSPEND s-1\r\n"), std::slice::from_ref(&suspend));
+        assert_eq!(decode_all(b"SUSPEND s-1\nrest\n")[0], suspend);
+        assert_eq!(decode_all(b"RESTORE \xc3\xa9\n"), [Line::Call(Call::Restore("\u{e9}".to_string()))]);
     }
 
     #[test]
-    fn what_is_no_call_is_told_why() {
+    fn an_invalid_line_is_rejected_with_the_reason() {
         let long = [b'x'; LINE_BYTES_MAX + 1];
         for (bytes, word) in [
             (&b"\n"[..], "empty"),
@@ -191,14 +191,14 @@
             (b"SUSPEND s-1", "does not end"),
             (&long, "at most"),
         ] {
-            let found = all(bytes);
+            let found = decode_all(bytes);
             let Some(Line::Invalid(why)) = found.first() else { panic!("{bytes:?}: {found:?}") };
             assert!(why.contains(word), "{why}");
         }
     }
 
     #[test]
-    fn a_line_comes_whole_however_it_is_cut() {
+    fn a_line_is_decoded_once_complete_even_byte_by_byte() {
         let mut codec = LineCodec::default();
         let mut src = BytesMut::new();
         for b in b"SUSPEND s-1" {
@@ -211,7 +211,7 @@
     }
 
     #[test]
-    fn an_answer_is_one_line() {
+    fn a_reply_is_one_line() {
         let mut dst = BytesMut::new();
         LineCodec::default().encode(Reply::Failure("why".to_string()), &mut dst).expect("fine");
         LineCodec::default().encode(Reply::Success("done".into()), &mut dst).expect("fine");
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -1,9 +1,9 @@
-//! The operators' second address: one call a line, one line a connection.
+//! The console: a TCP listener for operators. A connection carries one line with a call, and one line with the reply.
 //!
-//! Callers have seats of their own, for which descriptors are set aside, and their calls reach the core by a mailbox of
-//! their own, so that neither clients nor a core with much to do hold an answer up. When all seats are taken the caller
-//! goes who has been longest without a whole line: callers that keep a connection and say nothing must not keep out
-//! one that has something to say. It knows no decisions.
+//! Console connections have a limit and reserved descriptors of their own, and their calls reach the core through a
+//! separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the oldest connection that has
+//! not sent a complete line is closed for a new one: idle connections must not lock out an operator. The console itself
+//! decides nothing; it forwards calls to the core and to the agreement.
 
 pub mod line;
 
@@ -25,37 +25,39 @@
 use tokio::task::AbortHandle;
 use tokio_util::codec::Framed;
 
-/// Callers at a time.
+/// Maximum number of concurrent connections.
 pub const CONNECTIONS_MAX: usize = 12;
-/// How long a caller may take over its line, and to take in its answer.
+/// How long a caller may take to send its line.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a caller may take to receive its reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// By then a caller is told that its call was not done: an answer is owed within a second.
+/// A call that is not finished after this time is reported as not done: a caller must have its reply within a second.
 const EXECUTION_TIMEOUT: Duration = Duration::from_millis(800);
-/// A timer fires only behind a look at what the kernel has to tell: whatever signal came before a call is heard by then.
+/// The runtime polls the kernel for events before a timer fires, so that a signal sent before a call has been delivered
+/// after this wait.
 const SIGNAL_DELIVERY_WAIT: Duration = Duration::from_millis(1);
-/// After a failure to accept.
+/// Delay after a failed accept, and between checks for a free connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What every caller needs.
+/// The console; each connection has a copy.
 #[derive(Clone)]
 pub struct Console {
     control: ControlHandle,
     phase: PhaseReceiver,
-    /// The configuration was not to be read, and a stored one holds.
+    /// The configuration could not be read, and a stored one is in use.
     stored: Arc<AtomicBool>,
-    /// Where the proxies of a fleet agree.
+    /// Mailbox of the agreement, if the fleet has one.
     fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
 }
 
 struct Caller {
     task: AbortHandle,
-    /// Its line has come.
-    whole: Arc<AtomicBool>,
+    /// A complete line has arrived.
+    line_complete: Arc<AtomicBool>,
 }
 
 impl Console {
-    /// One that hands its calls to the control.
+    /// Creates a console that sends its calls to `control` and, for the fleet, to `fleet`.
     pub fn new(
         control: ControlHandle,
         phase: PhaseReceiver,
@@ -65,7 +67,7 @@
         Console { control, phase, stored, fleet }
     }
 
-    /// Takes callers until the process ends.
+    /// Accepts callers until the process ends.
     pub async fn run(self, listener: TcpListener) {
         let mut callers: VecDeque<Caller> = VecDeque::new();
         loop {
@@ -79,33 +81,33 @@
             };
             callers.retain(|c| !c.task.is_finished());
             while callers.len() >= CONNECTIONS_MAX {
-                let silent = callers.iter().position(|c| !c.whole.load(Ordering::Relaxed));
-                match silent.and_then(|at| callers.remove(at)) {
+                let incomplete = callers.iter().position(|c| !c.line_complete.load(Ordering::Relaxed));
+                match incomplete.and_then(|at| callers.remove(at)) {
                     Some(caller) => {
                         count(Count::console_made_room);
                         caller.task.abort();
                     }
-                    // All are being answered, which takes no longer than an answer may.
+                    // All connections have a call in progress, which ends within its timeout.
                     None => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
                 callers.retain(|c| !c.task.is_finished());
             }
             count(Count::console_connections);
-            let whole = Arc::new(AtomicBool::new(false));
-            let (console, told) = (self.clone(), whole.clone());
-            let task = tokio::spawn(async move { console.serve(stream, &told).await });
-            callers.push_back(Caller { task: task.abort_handle(), whole });
-            // It reads what it has sent already before the next caller can push it out.
+            let line_complete = Arc::new(AtomicBool::new(false));
+            let (console, complete) = (self.clone(), line_complete.clone());
+            let task = tokio::spawn(async move { console.serve(stream, &complete).await });
+            callers.push_back(Caller { task: task.abort_handle(), line_complete });
+            // Lets the task read a line that has already arrived before the next caller can evict it.
             tokio::task::yield_now().await;
         }
     }
 
-    async fn serve(&self, stream: TcpStream, whole: &AtomicBool) {
+    async fn serve(&self, stream: TcpStream, line_complete: &AtomicBool) {
         let mut conn = Framed::with_capacity(Socket::new(stream), LineCodec::default(), line::LINE_BYTES_MAX);
-        let Ok(Some(Ok(said))) = tokio::time::timeout(CALL_TIMEOUT, conn.next()).await else { return };
-        whole.store(true, Ordering::Relaxed);
+        let Ok(Some(Ok(line))) = tokio::time::timeout(CALL_TIMEOUT, conn.next()).await else { return };
+        line_complete.store(true, Ordering::Relaxed);
         count(Count::console_calls);
-        let reply = match said {
+        let reply = match line {
             Line::Call(call) => {
                 let reply = match tokio::time::timeout(EXECUTION_TIMEOUT, self.answer(&call)).await {
                     Ok(reply) => reply,
@@ -124,22 +126,22 @@
         if matches!(reply, Reply::Failure(_)) {
             count(Count::console_refused);
         }
-        let last_word = async {
+        let send_reply = async {
             conn.send(reply).await?;
             crate::net::client_close::shutdown_and_drain(conn.into_inner()).await
         };
-        let _ = tokio::time::timeout(REPLY_TIMEOUT, last_word).await;
+        let _ = tokio::time::timeout(REPLY_TIMEOUT, send_reply).await;
     }
 
     async fn answer(&self, call: &Call) -> Reply {
-        let (told, done) = match call {
+        let (result, done) = match call {
             Call::Status => return self.status().await,
             Call::Phase => {
                 return match self.control.request(CoreCommand::QueryStartup).await {
-                    Some(told) if told.phase == phases::Phase::Full => {
-                        Reply::Success(told.to_string().into())
+                    Some(startup) if startup.phase == phases::Phase::Full => {
+                        Reply::Success(startup.to_string().into())
                     }
-                    Some(told) => Reply::Failure(told.to_string()),
+                    Some(startup) => Reply::Failure(startup.to_string()),
                     None => Reply::Failure("ending".to_string()),
                 }
             }
@@ -162,11 +164,11 @@
                 "back",
             ),
         };
-        told.map_or_else(Reply::Failure, |()| Reply::Success(done.into()))
+        result.map_or_else(Reply::Failure, |()| Reply::Success(done.into()))
     }
 
     async fn fleet(&self, call: &FleetCall) -> Result<String, String> {
-        let ask = match call {
+        let command = match call {
             FleetCall::Status => OperatorCommand::Status,
             FleetCall::History => OperatorCommand::History,
             FleetCall::Propose(path, author) => {
@@ -179,11 +181,11 @@
         let fleet = self.fleet.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
         let ending = || "the process ends".to_string();
         let (reply, answer) = oneshot::channel();
-        fleet.send((ask, reply)).await.map_err(|_| ending())?;
+        fleet.send((command, reply)).await.map_err(|_| ending())?;
         answer.await.map_err(|_| ending())?
     }
 
-    /// Yes only where a client would really be served.
+    /// Succeeds only if a client would be served now.
     async fn status(&self) -> Reply {
         tokio::time::sleep(SIGNAL_DELIVERY_WAIT).await;
         let phase = *self.phase.borrow();
