--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -1,8 +1,9 @@
 //! The actor that browses for members: unicast DNS over TCP to one server (RFC 6763, RFC 7766).
 //!
-//! It stands in discovery's place and sends the core the same typed lists. It asks for the service's PTR records, then
-//! for each instance's others, and hands on what comes of them as a whole list. It asks again before a record's time to live is over, and at least every
-//! ten seconds; what expires unrenewed, or is no longer named, is gone from the next list.
+//! It replaces discovery and sends the core the same typed lists. It queries the service's PTR records, then the SRV, TXT
+//! and A records of each instance, and sends the resulting members as a full list. It queries again before a record's time
+//! to live ends, and at least every ten seconds. A record that expires without renewal, or that the server no longer
+//! returns, is missing from the next list.
 
 use super::records::RecordCache;
 use crate::clock::Clock;
@@ -21,17 +22,18 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Patience with one question.
+/// Timeout of one query.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Least and most time between two rounds, in us.
+/// Shortest and longest time between two rounds of queries, in us.
 const ROUND_INTERVAL_MIN: Time = 500_000;
 const ROUND_INTERVAL_MAX: Time = 10_000_000;
-/// Records are asked for again this long before they expire, in us.
+/// Records are queried again this long before they expire, in us.
 const RENEW_AHEAD: Time = 1_500_000;
-/// Most instances followed, so that no answer can make the proxy ask without end; one message names no more of them.
+/// Maximum number of instances that are queried, so that no answer can cause unbounded queries. A single DNS message cannot
+/// name more instances than this.
 const INSTANCES_MAX: usize = 4_096;
 
-/// The actor's state.
+/// The browsing actor.
 pub struct Browser {
     server: SocketAddr,
     service: Name,
@@ -40,16 +42,16 @@
     clock: Clock,
     cache: RecordCache,
     numbers: MemberNumbers,
-    told: Option<Vec<ListedMember>>,
-    link: Option<Framed<Socket, LengthDelimitedCodec>>,
-    asked: u16,
+    last_sent: Option<Vec<ListedMember>>,
+    connection: Option<Framed<Socket, LengthDelimitedCodec>>,
+    query_id: u16,
 }
 
 impl Browser {
-    /// One that has not asked yet.
+    /// Creates a browser that has sent no query yet.
     ///
     /// # Errors
-    /// When the service's name is not such as DNS can hold.
+    /// If `service` is not a valid DNS name.
     pub fn new(
         server: SocketAddr,
         service: &str,
@@ -68,124 +70,129 @@
             clock,
             cache: RecordCache::default(),
             numbers,
-            told: None,
-            link: None,
-            asked: 0,
+            last_sent: None,
+            connection: None,
+            query_id: 0,
         })
     }
 
-    /// Runs until the core is gone. The module's asking brings a round, and an answer, at once.
-    pub async fn run(mut self, mut asked: mpsc::Receiver<ListRequest>) {
-        let mut owed = false;
+    /// Runs until the core has ended. A request on `requests` starts a round at once, and is always answered.
+    pub async fn run(mut self, mut requests: mpsc::Receiver<ListRequest>) {
+        let mut answer_due = false;
         loop {
-            let fine = self.round().await.is_some();
-            if !fine {
+            let succeeded = self.query_all().await.is_some();
+            if !succeeded {
                 count(Count::list_failures);
-                self.link = None;
+                self.connection = None;
             }
             let now = self.clock.now();
             self.cache.expire(now);
-            if self.tell(fine, owed).await.is_none() {
+            if self.send_list(succeeded, answer_due).await.is_none() {
                 return;
             }
-            // A record that is not renewed in time must be gone from the list in time too.
-            let until = self.cache.next_expiry().map_or(ROUND_INTERVAL_MAX, |t| t.saturating_sub(now));
-            let pause = if until > RENEW_AHEAD + ROUND_INTERVAL_MIN { until - RENEW_AHEAD } else { until };
-            let pause = pause.clamp(ROUND_INTERVAL_MIN, if fine { ROUND_INTERVAL_MAX } else { RENEW_AHEAD });
+            // A record that is not renewed must also leave the list when it expires.
+            let until_expiry = self.cache.next_expiry().map_or(ROUND_INTERVAL_MAX, |t| t.saturating_sub(now));
+            let pause = if until_expiry > RENEW_AHEAD + ROUND_INTERVAL_MIN {
+                until_expiry - RENEW_AHEAD
+            } else {
+                until_expiry
+            };
+            let pause =
+                pause.clamp(ROUND_INTERVAL_MIN, if succeeded { ROUND_INTERVAL_MAX } else { RENEW_AHEAD });
             tokio::select! {
-                asks = asked.recv() => match asks {
-                    Some(ListRequest) => owed = true,
+                request = requests.recv() => match request {
+                    Some(ListRequest) => answer_due = true,
                     None => return,
                 },
-                () = tokio::time::sleep(Duration::from_micros(pause)) => owed = false,
+                () = tokio::time::sleep(Duration::from_micros(pause)) => answer_due = false,
             }
         }
     }
 
-    /// Hands on the list if it has changed or an answer is owed.
-    async fn tell(&mut self, fine: bool, owed: bool) -> Option<()> {
+    /// Sends the list to the core if it has changed or a request is to be answered.
+    async fn send_list(&mut self, succeeded: bool, answer_due: bool) -> Option<()> {
         let members = self.cache.members(&self.service, &self.zones, &mut self.numbers);
         self.numbers
             .release_departed(|id| members.iter().all(|m| m.member.id != id), tokio::time::Instant::now());
-        let known = self.told.as_ref() == Some(&members);
-        let list = match (fine, known) {
+        let unchanged = self.last_sent.as_ref() == Some(&members);
+        let list = match (succeeded, unchanged) {
             (true, false) => Input::List(ListKind::Full, members.clone()),
-            // An empty list that comes of a failure before the first answer says nothing.
-            (false, false) if self.told.is_some() => Input::List(ListKind::Full, members.clone()),
-            _ if !owed => return Some(()),
+            // After a failure before the first list the cache is incomplete and must not be sent.
+            (false, false) if self.last_sent.is_some() => Input::List(ListKind::Full, members.clone()),
+            _ if !answer_due => return Some(()),
             (true, true) => Input::List(ListKind::Changes, Vec::new()),
             (false, _) => return self.core.send(Input::List(ListKind::Failed, Vec::new())).await.ok(),
         };
         count(Count::list_answers);
-        self.told = Some(members);
+        self.last_sent = Some(members);
         self.core.send(list).await.ok()
     }
 
-    /// Asks for everything once.
-    async fn round(&mut self) -> Option<()> {
-        self.ask(self.service.clone(), RecordType::PTR).await?;
+    /// Runs one round: queries all records once.
+    async fn query_all(&mut self) -> Option<()> {
+        self.query(self.service.clone(), RecordType::PTR).await?;
         for instance in self.cache.instances(&self.service).into_iter().take(INSTANCES_MAX) {
-            self.ask(instance.clone(), RecordType::SRV).await?;
-            self.ask(instance.clone(), RecordType::TXT).await?;
+            self.query(instance.clone(), RecordType::SRV).await?;
+            self.query(instance.clone(), RecordType::TXT).await?;
             for host in self.cache.targets(&instance) {
-                self.ask(host, RecordType::A).await?;
+                self.query(host, RecordType::A).await?;
             }
         }
         Some(())
     }
 
-    /// One question; none if it was not answered.
-    async fn ask(&mut self, name: Name, kind: RecordType) -> Option<()> {
-        self.asked = self.asked.wrapping_add(1);
-        let mut question = Message::new(self.asked, MessageType::Query, OpCode::Query);
-        question.add_query(Query::query(name.clone(), kind));
-        let question = Bytes::from(question.to_vec().ok()?);
-        let answer = tokio::time::timeout(QUERY_TIMEOUT, self.exchange(question)).await.ok()??;
+    /// Sends one query and caches the answer. `None` if it was not answered.
+    async fn query(&mut self, name: Name, kind: RecordType) -> Option<()> {
+        self.query_id = self.query_id.wrapping_add(1);
+        let mut query = Message::new(self.query_id, MessageType::Query, OpCode::Query);
+        query.add_query(Query::query(name.clone(), kind));
+        let query = Bytes::from(query.to_vec().ok()?);
+        let answer = tokio::time::timeout(QUERY_TIMEOUT, self.exchange(query)).await.ok()??;
         match answer.metadata.response_code {
             ResponseCode::NoError => {
                 let now = self.clock.now();
-                let (own, more) = (&answer.answers, &answer.additionals);
-                if own.iter().any(|r| r.name == name && r.record_type() == kind) {
-                    let all: Vec<_> = own.iter().chain(more).cloned().collect();
-                    self.cache.store_answer(&name, kind, &all, now);
+                let (answers, additionals) = (&answer.answers, &answer.additionals);
+                if answers.iter().any(|r| r.name == name && r.record_type() == kind) {
+                    let records: Vec<_> = answers.iter().chain(additionals).cloned().collect();
+                    self.cache.store_answer(&name, kind, &records, now);
                 } else {
                     self.cache.remove(&name, kind);
                 }
             }
             ResponseCode::NXDomain => self.cache.remove_name(&name),
-            // Refused or out of order: what is held stays until it expires.
+            // The server refuses the query or has failed: cached records stay until they expire.
             code => {
-                log::warn!("the DNS server answers {code} for {name}");
+                log::warn!("the DNS server answered {code} to the query for {name}");
                 return None;
             }
         }
         Some(())
     }
 
-    async fn exchange(&mut self, question: Bytes) -> Option<Message> {
-        let mut link = match self.link.take() {
-            Some(link) => link,
+    async fn exchange(&mut self, query: Bytes) -> Option<Message> {
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => {
                 let stream = transient::connect(self.server).await.ok()?;
-                // Each message follows its length in two bytes.
+                // Each message is preceded by its length in two bytes.
                 LengthDelimitedCodec::builder().length_field_type::<u16>().new_framed(Socket::new(stream))
             }
         };
-        link.send(question).await.ok()?;
+        connection.send(query).await.ok()?;
         loop {
-            let bytes: BytesMut = link.next().await?.ok()?;
+            let bytes: BytesMut = connection.next().await?.ok()?;
             let answer = match Message::from_vec(&bytes) {
                 Ok(answer) => answer,
                 Err(e) => {
                     count(Count::dnssd_skipped);
-                    log::warn!("a DNS answer cannot be read: {e}");
+                    log::warn!("a DNS answer cannot be decoded: {e}");
                     return None;
                 }
             };
-            let ours =
-                answer.metadata.id == self.asked && answer.metadata.message_type == MessageType::Response;
-            if ours {
-                self.link = Some(link);
+            let matches_query =
+                answer.metadata.id == self.query_id && answer.metadata.message_type == MessageType::Response;
+            if matches_query {
+                self.connection = Some(connection);
                 return Some(answer);
             }
         }
