--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -1,5 +1,5 @@
-//! Reads the operators' file strictly: known blocks and names alone, each once, each value of its kind. All faults are
-//! gathered, each with its place, before any is told. It does no I/O.
+//! Strict parser of the operators' file: only known blocks and names are allowed, each at most once, and each value must
+//! have its type. All faults are collected with their locations and reported together. It does no I/O.
 
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Body, Structure};
@@ -9,58 +9,59 @@
 use std::fmt::{self, Display};
 use std::ops::Range;
 
-/// What is wrong with the file, and where.
+/// A fault in the file and its location.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigFault {
     /// Line and column, from 1.
-    pub place: (usize, usize),
-    /// What.
+    pub location: (usize, usize),
+    /// Description of the fault.
     pub what: String,
 }
 
 impl Display for ConfigFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.place.0, self.place.1, self.what)
+        write!(f, "{}:{}: {}", self.location.0, self.location.1, self.what)
     }
 }
 
-/// The file, with the faults found so far.
+/// The parsed file and the faults found so far.
 pub struct Reader<'a> {
     text: &'a str,
     blocks: BTreeMap<String, Body>,
     faults: Vec<ConfigFault>,
 }
 
-/// A block being read: what is left of it is what nobody knows.
+/// A block that is being read. Names in it that have not been read when it is finished are unknown and thus faults.
 pub struct Block<'r, 'a> {
     reader: &'r mut Reader<'a>,
     name: &'static str,
     body: Option<Body>,
-    known: BTreeSet<&'static str>,
+    names_read: BTreeSet<&'static str>,
 }
 
-fn place(text: &str, span: Option<Range<usize>>) -> (usize, usize) {
+/// Line and column of the start of a span, from 1.
+fn location(text: &str, span: Option<Range<usize>>) -> (usize, usize) {
     let before = text.get(..span.map_or(0, |s| s.start)).unwrap_or(text);
     let line = before.rsplit('\n').next().unwrap_or_default();
     (before.matches('\n').count() + 1, line.chars().count() + 1)
 }
 
 impl<'a> Reader<'a> {
-    /// Takes the file apart; none of its values is looked at yet.
+    /// Splits the file into its blocks; no value is checked yet.
     pub fn new(text: &'a str) -> Self {
         let mut reader = Reader { text, blocks: BTreeMap::new(), faults: Vec::new() };
         match hcl_edit::parser::parse_body(text) {
             Err(e) => {
                 let at = e.location();
-                let fault = ConfigFault { place: (at.line(), at.column()), what: e.message().to_string() };
+                let fault = ConfigFault { location: (at.line(), at.column()), what: e.message().to_string() };
                 reader.faults.push(fault);
             }
-            Ok(body) => body.into_iter().for_each(|structure| reader.take(structure)),
+            Ok(body) => body.into_iter().for_each(|structure| reader.add_structure(structure)),
         }
         reader
     }
 
-    fn take(&mut self, structure: Structure) {
+    fn add_structure(&mut self, structure: Structure) {
         match structure {
             Structure::Attribute(a) => {
                 self.fault(a.key.span(), format!("'{}' stands in no block", a.key.as_str()))
@@ -79,17 +80,17 @@
     }
 
     fn fault(&mut self, span: Option<Range<usize>>, what: String) {
-        let place = place(self.text, span);
-        self.faults.push(ConfigFault { place, what });
+        let location = location(self.text, span);
+        self.faults.push(ConfigFault { location, what });
     }
 
-    /// A block by its name; one that is not there has only defaults.
+    /// Returns a block by name. In a block that is not in the file all values have their defaults.
     pub fn block<'r>(&'r mut self, name: &'static str) -> Block<'r, 'a> {
         let body = self.blocks.remove(name);
-        Block { reader: self, name, body, known: BTreeSet::new() }
+        Block { reader: self, name, body, names_read: BTreeSet::new() }
     }
 
-    /// All that is wrong, in the order of the file, once all blocks have been read.
+    /// Returns all faults in the order of the file, once all blocks have been read. Blocks that were not read are faults.
     pub fn finish(mut self) -> Vec<ConfigFault> {
         for (name, body) in std::mem::take(&mut self.blocks) {
             self.fault(body.span(), format!("there is no block '{name}'"));
@@ -100,7 +101,7 @@
 }
 
 impl Block<'_, '_> {
-    /// A value, or its default where the file leaves it out.
+    /// Reads a value with `read`; returns the default `or` if it is missing or invalid. `what` describes valid values.
     pub fn read<T>(
         &mut self,
         name: &'static str,
@@ -108,7 +109,7 @@
         what: &str,
         read: impl Fn(&Expression) -> Option<T>,
     ) -> T {
-        self.known.insert(name);
+        self.names_read.insert(name);
         let Some(attribute) = self.body.as_ref().and_then(|b| b.get_attribute(name)) else { return or };
         match read(&attribute.value) {
             Some(value) => value,
@@ -122,29 +123,29 @@
         }
     }
 
-    /// Whether the file says anything of this.
+    /// Whether the file contains a value of this name.
     pub fn is_set(&self, name: &str) -> bool {
         self.body.as_ref().is_some_and(|b| b.get_attribute(name).is_some())
     }
 
-    /// Whether something is on.
+    /// A Boolean; false if it is missing.
     pub fn flag(&mut self, name: &'static str) -> bool {
         self.read(name, false, "true or false", Expression::as_bool)
     }
 
-    /// A whole number within a range.
+    /// An integer within a range.
     pub fn number(&mut self, name: &'static str, or: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
         let what = format!("a whole number from {} to {}", range.start(), range.end());
         self.read(name, or, &what, |e| e.as_number()?.as_u64().filter(|n| range.contains(n)))
     }
 
-    /// A text that is not empty.
+    /// A string that is not empty.
     pub fn text(&mut self, name: &'static str, or: &str) -> String {
         let text = |e: &Expression| e.as_str().filter(|s| !s.is_empty()).map(str::to_string);
         self.read(name, or.to_string(), "a text", text)
     }
 
-    /// One of a few words.
+    /// One of several words, each with its value; the first is the default.
     pub fn choice<T: Copy>(&mut self, name: &'static str, words: &[(&str, T)]) -> T {
         let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
         let what = format!("one of {}", all.join(", "));
@@ -152,22 +153,22 @@
         self.read(name, words[0].1, &what, value)
     }
 
-    /// A fault of several values together, at the place of one of them or of the block.
+    /// Adds a fault that concerns several values, at the location of one of them or else of the block.
     pub fn add_fault(&mut self, name: &str, what: String) {
         let at =
             self.body.as_ref().and_then(|b| b.get_attribute(name).map(|a| a.value.span()).or(Some(b.span())));
         self.reader.fault(at.flatten(), what);
     }
 
-    /// Ends the block: whatever is in it that was not asked for is a fault.
+    /// Finishes the block: every name in it that was not read is a fault.
     pub fn finish(self) {
-        let Block { reader, name, body, known } = self;
+        let Block { reader, name, body, names_read } = self;
         let mut seen = BTreeSet::new();
         for structure in body.into_iter().flatten() {
             match structure {
                 Structure::Attribute(a) => {
                     let key = a.key.as_str().to_string();
-                    if !known.contains(&key[..]) {
+                    if !names_read.contains(&key[..]) {
                         reader.fault(a.key.span(), format!("{name} has no '{key}'"));
                     } else if !seen.insert(key.clone()) {
                         reader.fault(a.key.span(), format!("{name}.{key} stands here a second time"));
@@ -198,7 +199,7 @@
     }
 
     #[test]
-    fn what_is_left_out_has_its_default_and_what_is_there_is_read() {
+    fn a_missing_value_has_its_default_and_a_present_one_is_read() {
         assert_eq!(faults(""), Vec::<String>::new());
         let mut reader = Reader::new("odata {\n enabled = true\n mode = \"fast\"\n port = 3\n}");
         let mut block = reader.block("odata");
@@ -210,7 +211,7 @@
     }
 
     #[test]
-    fn all_faults_are_told_at_once_each_with_its_place() {
+    fn all_faults_are_reported_together_each_with_its_location() {
         let text = "top = 1\nodata {\n  enabled = 3\n  port = 12\n  mode = \"loud\"\n  name = \"\"\n  tea = 1\n  cup {}\n}\n\
             odata {}\nlunch {\n}\nteas \"x\" {}";
         assert_eq!(
@@ -231,9 +232,9 @@
     }
 
     #[test]
-    fn what_cannot_be_parsed_is_one_fault_with_its_place() {
-        let told = faults("odata {\n  enabled = \n}");
-        assert_eq!(told.len(), 1);
-        assert!(told[0].starts_with("2:"), "{told:?}");
+    fn a_syntax_error_is_one_fault_with_its_location() {
+        let faults = faults("odata {\n  enabled = \n}");
+        assert_eq!(faults.len(), 1);
+        assert!(faults[0].starts_with("2:"), "{faults:?}");
     }
 }
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,5 +1,6 @@
-//! The operators' file, `deploy/linentrail.hcl`: all that linentrail does beside the platform's protocol. What it leaves
-//! out has its default, and by default all of it is off. Nothing of it can be turned on by the environment alone.
+//! The operators' file, `deploy/linentrail.hcl`: the settings of all features outside the platform's protocol. A setting
+//! that is left out has its default, and by default all these features are off. None of them can be turned on by an
+//! environment variable alone.
 
 pub mod agreement;
 pub mod hcl;
@@ -12,118 +13,120 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where the file lies, from the root of the repository.
+/// Default path of the file, relative to the root of the repository.
 pub const DEFAULT_FILE: &str = "deploy/linentrail.hcl";
-/// Names another one.
+/// Environment variable with another path.
 pub const FILE_VARIABLE: &str = "LINENTRAIL_FILE";
-/// What it took the place of.
+/// The former file, which is no longer read, and the variable that named it.
 const LEGACY_FILE: &str = "deploy/fronts.toml";
 const LEGACY_FILE_VARIABLE: &str = "LINENTRAIL_FRONTS";
 
-/// The OData front.
+/// Settings of the OData front.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OdataConfig {
-    /// Whether it is served.
+    /// Whether the front is served.
     pub enabled: bool,
-    /// Where it listens.
+    /// Address on which it listens.
     pub listen: SocketAddr,
-    /// How long ids of bookings are remembered, in us.
+    /// How long repeat ids of bookings are kept, in us.
     pub repeat_id_lifetime: Time,
-    /// How many ids are remembered.
+    /// Maximum number of repeat ids that are kept.
     pub repeat_ids: usize,
-    /// How many bytes their answers may take.
+    /// Maximum size of the answers stored with them, in bytes.
     pub repeat_bytes: usize,
 }
 
-/// DNS-SD.
+/// Settings of DNS-SD.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DnsSdConfig {
-    /// Whether members are browsed for.
+    /// Whether members are discovered by browsing.
     pub browse: bool,
-    /// The DNS server.
+    /// Address of the DNS server.
     pub server: SocketAddr,
-    /// The service type and domain of members.
+    /// Service type and domain of the members.
     pub service: String,
-    /// The domain in which the OData front is registered.
+    /// Domain in which the OData front is registered.
     pub domain: String,
-    /// Its instance name there.
+    /// Instance name of the OData front in that domain.
     pub instance: String,
 }
 
-/// When what is stored is forced onto the disk.
+/// When stored data is synced to disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fsync {
-    /// The operators' word before its yes, and snapshots.
+    /// Commands of the operators before they are acknowledged, and snapshots.
     Always,
-    /// Never: it outlasts the process, not the machine.
+    /// Never: stored data survives a crash of the process, but not of the machine.
     Never,
 }
 
-/// What a start does that cannot read its configuration, but has stored one that held.
+/// What to do at startup if the configuration cannot be used, but a previously valid one is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnBrokenConfig {
-    /// It takes the stored one.
+    /// Use the stored configuration.
     UseStored,
-    /// It does not start.
+    /// Refuse to start.
     Refuse,
 }
 
-/// What is stored.
+/// Settings of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreConfig {
-    /// Whether anything is.
+    /// Whether anything is stored.
     pub enabled: bool,
-    /// Where; each proxy has a folder of its own name in it.
+    /// The store's folder; each proxy has a subfolder with its name.
     pub folder: PathBuf,
-    /// When it is forced onto the disk.
+    /// When stored data is synced to disk.
     pub fsync: Fsync,
-    /// Most bytes that it takes.
+    /// Maximum size of the store, in bytes.
     pub max_bytes: u64,
-    /// Least time between two snapshots.
+    /// Minimum time between two snapshots.
     pub snapshot_interval: Duration,
-    /// What becomes of a configuration that cannot be read.
+    /// What to do if the configuration cannot be used.
     pub on_broken_config: OnBrokenConfig,
-    /// Where the operators' word may have been lost: for so long after a start `STATUS` is no, unless they say
-    /// `CONFIRM`.
+    /// If suspensions may have been lost: how long after startup `STATUS` reports that the process is not ready, unless
+    /// the operators send `CONFIRM`.
     pub confirm_timeout: Duration,
 }
 
-/// The whole file.
+/// The contents of the operators' file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorsFile {
-    /// New clients are still taken for so long after SIGTERM: whoever deals them out takes a while to notice.
+    /// How long new clients are still accepted after SIGTERM, as whatever distributes clients among proxies notices
+    /// the shutdown late.
     pub accept_after_sigterm: Duration,
-    /// The OData front.
+    /// Settings of the OData front.
     pub odata: OdataConfig,
-    /// DNS-SD.
+    /// Settings of DNS-SD.
     pub dnssd: DnsSdConfig,
-    /// What outlasts the process.
+    /// Settings of the store, whose data survives the process.
     pub store: StoreConfig,
-    /// What the proxies of a fleet agree on.
+    /// Settings of the agreement between the proxies of a fleet.
     pub agreement: AgreementConfig,
 }
 
-/// An address on this machine alone.
-fn loopback(e: &Expression) -> Option<SocketAddr> {
+/// Parses an address that is reachable only from this machine.
+fn loopback_address(e: &Expression) -> Option<SocketAddr> {
     e.as_str()?.parse().ok().filter(|a: &SocketAddr| a.ip().is_loopback())
 }
 
-const LOCAL: &str = "an address and port on this machine, as \"127.0.0.1:8080\"";
+/// How an error message describes a loopback address.
+const LOOPBACK_ADDRESS: &str = "an address and port on this machine, as \"127.0.0.1:8080\"";
 
-fn local(port: u16) -> SocketAddr {
+fn localhost(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Reads the file's text.
+/// Parses the text of the file.
 ///
 /// # Errors
-/// With all that is wrong with it, each with its place.
+/// With all faults of the file, each with its location.
 pub fn read(text: &str) -> Result<OperatorsFile, Vec<ConfigFault>> {
     let mut file = Reader::new(text);
     let mut block = file.block("odata");
     let odata = OdataConfig {
         enabled: block.flag("enabled"),
-        listen: block.read("listen", local(8080), LOCAL, loopback),
+        listen: block.read("listen", localhost(8080), LOOPBACK_ADDRESS, loopback_address),
         repeat_id_lifetime: block.number("repeat_span_s", 600, 1..=1_000_000) * 1_000_000,
         repeat_ids: block.number("repeat_ids", 20_000, 1..=1_000_000) as usize,
         repeat_bytes: block.number("repeat_mib", 32, 1..=65_536) as usize * 1024 * 1024,
@@ -132,7 +135,7 @@
     let mut block = file.block("dnssd");
     let dnssd = DnsSdConfig {
         browse: block.flag("browse"),
-        server: block.read("server", local(8053), LOCAL, loopback),
+        server: block.read("server", localhost(8053), LOOPBACK_ADDRESS, loopback_address),
         service: block.text("service", "_postgresql._tcp.members.luzon-skip-hub.internal."),
         domain: block.text("domain", "luzon-skip-hub.internal."),
         instance: block.text("instance", "linentrail"),
@@ -170,27 +173,28 @@
     }
 }
 
-/// Refuses by its name what this file took the place of.
+/// Rejects the former file, or the variable that named it, with a message that contains its name.
 ///
 /// # Errors
-/// Where the former file, or the variable that named one, is still there.
-pub fn reject_legacy_file(variable: Option<&str>, there: bool) -> Result<(), String> {
-    let moved = |what: &str| {
+/// If the former file exists or its variable is set.
+pub fn reject_legacy_file(variable: Option<&str>, exists: bool) -> Result<(), String> {
+    let legacy = |what: &str| {
         Err(format!(
             "{what} is no longer read: its settings stand in {DEFAULT_FILE}, or where {FILE_VARIABLE} says"
         ))
     };
-    match (variable, there) {
-        (Some(_), _) => moved(LEGACY_FILE_VARIABLE),
-        (None, true) => moved(LEGACY_FILE),
+    match (variable, exists) {
+        (Some(_), _) => legacy(LEGACY_FILE_VARIABLE),
+        (None, true) => legacy(LEGACY_FILE),
         (None, false) => Ok(()),
     }
 }
 
-/// Reads the file that `LINENTRAIL_FILE` names, or the one in its usual place; with none there, all is off.
+/// Reads the file that `LINENTRAIL_FILE` names, or the one at the default path; if that does not exist, all features are
+/// off.
 ///
 /// # Errors
-/// With all that is wrong, on one line.
+/// With all faults, on one line.
 pub fn load() -> Result<OperatorsFile, String> {
     reject_legacy_file(std::env::var(LEGACY_FILE_VARIABLE).ok().as_deref(), Path::new(LEGACY_FILE).exists())?;
     let named = std::env::var(FILE_VARIABLE).ok();
@@ -211,16 +215,16 @@
     use super::*;
 
     #[test]
-    fn the_shipped_file_is_sound_and_says_what_no_file_says() {
-        let shipped = read(include_str!("../../deploy/linentrail.hcl")).expect("it is sound");
-        let none = read("").expect("nothing is sound");
+    fn the_shipped_file_is_valid_and_equals_the_defaults() {
+        let shipped = read(include_str!("../../deploy/linentrail.hcl")).expect("valid");
+        let none = read("").expect("an empty file is valid");
         assert!(!none.odata.enabled && !none.dnssd.browse && !none.store.enabled);
         assert!(!none.agreement.enabled);
         assert_eq!(shipped, none);
     }
 
     #[test]
-    fn addresses_off_this_machine_and_stores_without_a_place_are_refused() {
+    fn addresses_off_this_machine_and_stores_without_a_folder_are_refused() {
         for (text, word) in [
             ("odata {\n listen = \"0.0.0.0:80\"\n}", "odata.listen"),
             ("dnssd {\n server = \"192.0.2.1:53\"\n}", "dnssd.server"),
@@ -232,11 +236,11 @@
         ] {
             let faults = read(text).expect_err(text);
             assert_eq!(faults.len(), 1, "{faults:?}");
-            let told = faults[0].to_string();
-            assert!(told.contains(word) && !told.contains('\n'), "{told}");
+            let message = faults[0].to_string();
+            assert!(message.contains(word) && !message.contains('\n'), "{message}");
         }
-        let sound = read("store {\n enabled = true\n folder = \"/var/lib/linentrail\"\n}").expect("sound");
-        assert_eq!(sound.store.folder, PathBuf::from("/var/lib/linentrail"));
+        let valid = read("store {\n enabled = true\n folder = \"/var/lib/linentrail\"\n}").expect("valid");
+        assert_eq!(valid.store.folder, PathBuf::from("/var/lib/linentrail"));
     }
 
     #[test]
