--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,10 +1,10 @@
-//! The one clock: Unix time at the start, carried on by the monotonic clock, in microseconds.
+//! The clock of the process: the Unix time at startup plus the monotonic time since then, in microseconds.
 
 use crate::interface::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A clock that never goes back. Copies agree.
+/// A clock that never goes backwards. All copies show the same time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Time,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Set by the system's clock, once.
+    /// Creates a clock that is set once from the system clock.
     pub fn start() -> Self {
         let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Time;
         Clock { base, start: Instant::now() }
@@ -23,7 +23,8 @@
         self.base + self.start.elapsed().as_micros() as Time
     }
 
-    /// When that is, for timers; what has passed is now.
+    /// Converts a time for use in timers. Times before the start become the start, and times more than a day ahead are
+    /// limited to a day from now.
     pub fn instant(&self, at: Time) -> Instant {
         let far = 24 * 3_600_000_000;
         self.start + Duration::from_micros(at.saturating_sub(self.base).min(self.now() - self.base + far))
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,54 +1,54 @@
-//! What the platform tells a proxy: the file that `BALANCER_CONFIG` names, and the variables beside it.
+//! The configuration that the platform gives a proxy: the file that `BALANCER_CONFIG` names, and environment variables.
 
 use crate::interface::Settings;
 use crate::settings::{FlatSettings, Names, SocketTimes};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// All that a proxy is told.
+/// A parsed configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The proxy's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: String,
-    /// Where operators call, if anywhere.
+    /// Address of the console, if there is one.
     pub console: Option<String>,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: String,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Most memory, in bytes.
+    /// Maximum memory, in bytes.
     pub memory: usize,
-    /// The member list as this proxy last held it.
+    /// The member list to start with: the last one that this proxy had.
     pub initial_list: Value,
-    /// The settings, flat.
+    /// The settings, flattened.
     pub settings: FlatSettings,
-    /// Everything but the list, flat.
+    /// All fields of the file except the member list, flattened.
     pub all_fields: FlatSettings,
 }
 
-/// Missing names that are told one by one.
+/// Number of missing fields that an error message names; the others are only counted.
 const MISSING_KEYS_SHOWN: usize = 5;
 
-/// The settings of a configuration, checked whole and ready to hold.
+/// The settings of a configuration, fully validated.
 #[derive(Debug, Clone)]
 pub struct ValidatedConfig {
-    /// Names of classes and tenants, in the settings' order.
+    /// Names of classes and tenants, in the order of the settings.
     pub names: Names,
-    /// For the module.
+    /// Settings of the policy module.
     pub settings: Settings,
-    /// For the members' side.
+    /// Times of the connections to members.
     pub times: SocketTimes,
 }
 
 impl Config {
-    /// The settings, checked whole.
+    /// Validates all settings.
     ///
     /// # Errors
-    /// With all that is wrong with them.
+    /// Describes what is wrong with them.
     pub fn validate(&self) -> Result<ValidatedConfig, String> {
         let names = self.settings.names()?;
         let settings = self.settings.settings(self.seed)?;
@@ -59,65 +59,69 @@
         Ok(ValidatedConfig { names, settings, times: self.settings.socket_times()? })
     }
 
-    /// What a new configuration changes that only a new start can take up.
+    /// Names the fields that differ in a new configuration and take effect only after a restart.
     pub fn changes_requiring_restart(&self, new: &Config) -> Vec<&'static str> {
-        let mut fixed = Vec::new();
-        for (what, differs) in [
+        let mut changed = Vec::new();
+        for (field, differs) in [
             ("listen", self.listen != new.listen),
             ("console", self.console != new.console),
             ("limits.sockets", self.sockets != new.sockets),
             ("limits.memory_mb", self.memory != new.memory),
         ] {
             if differs {
-                fixed.push(what);
+                changed.push(field);
             }
         }
-        fixed
+        changed
     }
 }
 
-/// Reads a configuration that is to take the place of the running one: whole, or not at all.
+/// Parses and validates a configuration that is to replace the running one. It is accepted as a whole or not at all.
 ///
 /// # Errors
-/// With one plain message on all that is wrong with it.
+/// With a single message that says what is wrong with it.
 pub fn parse_replacement(
     text: &[u8],
     running: &Config,
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<(Config, ValidatedConfig), String> {
     let new = parse(text, variable)?;
-    let lacks = new.all_fields.missing_keys(&running.all_fields);
-    if !lacks.is_empty() {
-        let (first, more) = (
-            lacks[..lacks.len().min(MISSING_KEYS_SHOWN)].join(", "),
-            lacks.len().saturating_sub(MISSING_KEYS_SHOWN),
+    let missing = new.all_fields.missing_keys(&running.all_fields);
+    if !missing.is_empty() {
+        let (first, rest) = (
+            missing[..missing.len().min(MISSING_KEYS_SHOWN)].join(", "),
+            missing.len().saturating_sub(MISSING_KEYS_SHOWN),
         );
-        let more = if more > 0 { format!(" and {more} more") } else { String::new() };
+        let more = if rest > 0 { format!(" and {rest} more") } else { String::new() };
         return Err(format!("missing, though the running configuration has them: {first}{more}"));
     }
-    let mut sound = new.validate()?;
-    if running.settings.names().is_ok_and(|names| names.zones != sound.names.zones) {
+    let mut validated = new.validate()?;
+    if running.settings.names().is_ok_and(|names| names.zones != validated.names.zones) {
         return Err("settings: zones cannot change while the process runs".to_string());
     }
-    // The running process goes on with its own random numbers.
-    sound.settings.seed = running.seed;
-    Ok((new, sound))
+    // The running process keeps its seed.
+    validated.settings.seed = running.seed;
+    Ok((new, validated))
 }
 
-/// Reads a configuration; a variable that `variable` knows wins over the file.
+/// Parses a configuration. A value that `variable` returns for an environment variable takes precedence over the file.
 ///
 /// # Errors
-/// With one plain message on what is missing or malformed, as in a file that is only half written.
+/// With a single message on what is missing or malformed, for instance in a file that is only partly written.
 pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let mut json: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let initial_list = json.as_object_mut().and_then(|fields| fields.remove("known")).unwrap_or_default();
-    let text = |name: &str, known_as: &str| {
+    let text = |name: &str, variable_name: &str| {
         let file = || json.get(name).and_then(Value::as_str).filter(|v| !v.is_empty()).map(str::to_string);
-        variable(known_as).or_else(file).ok_or_else(|| format!("neither {known_as} nor '{name}' is given"))
+        variable(variable_name)
+            .or_else(file)
+            .ok_or_else(|| format!("neither {variable_name} nor '{name}' is given"))
     };
     let console = variable("BALANCER_CONSOLE").filter(|v| !v.is_empty());
     let console = console.or_else(|| json.get("console").and_then(Value::as_str).map(str::to_string));
-    let limit = |name: &str, or: u64| json.pointer(name).and_then(Value::as_u64).unwrap_or(or) as usize;
+    let limit = |pointer: &str, default: u64| {
+        json.pointer(pointer).and_then(Value::as_u64).unwrap_or(default) as usize
+    };
     let seed = json.get("seed").and_then(Value::as_str).unwrap_or("0");
     let name = variable("BALANCER_NAME").or_else(|| Some(json.get("name")?.as_str()?.to_string()));
     Ok(Config {
@@ -134,78 +138,79 @@
     })
 }
 
-/// The bytes of the file that `BALANCER_CONFIG` names, and where it lies.
+/// Reads the file that `BALANCER_CONFIG` names and returns its path and contents.
 ///
 /// # Errors
-/// With one plain message.
+/// If the variable is not set or the file cannot be read.
 pub fn read_file() -> Result<(String, Vec<u8>), String> {
     let path = std::env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG is not set".to_string())?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     Ok((path, text))
 }
 
-/// What this variable says, or else this field of the file that `BALANCER_CONFIG` names: also where the file cannot be
-/// used as a configuration.
+/// Returns the value of an environment variable, or else of a field of the file that `BALANCER_CONFIG` names. This works
+/// even if the file is not a valid configuration.
 ///
 /// # Errors
-/// When neither says anything, with one plain message.
+/// If neither has a value.
 pub fn lookup(variable: &str, field: &str) -> Result<String, String> {
-    if let Some(told) = std::env::var(variable).ok().filter(|told| !told.is_empty()) {
-        return Ok(told);
+    if let Some(value) = std::env::var(variable).ok().filter(|value| !value.is_empty()) {
+        return Ok(value);
     }
     let (path, text) = read_file()?;
     let json: Option<Value> = serde_json::from_slice(&text).ok();
-    let told = json.as_ref().and_then(|j| j.get(field)?.as_str()).filter(|told| !told.is_empty());
-    told.map(str::to_string).ok_or_else(|| format!("{path}: it tells no {field}, nor does {variable}"))
+    let value = json.as_ref().and_then(|j| j.get(field)?.as_str()).filter(|value| !value.is_empty());
+    value.map(str::to_string).ok_or_else(|| format!("{path}: it tells no {field}, nor does {variable}"))
 }
 
-/// Where clients connect, before anything else of the file is looked at: a start listens there first.
+/// Returns the address on which clients connect without validating the rest of the file, since startup listens there first.
 ///
 /// # Errors
-/// When neither `BALANCER_LISTEN` nor the file says it, with one plain message.
+/// If neither `BALANCER_LISTEN` nor the file contains it.
 pub fn listen_address() -> Result<String, String> {
     #[derive(Deserialize)]
-    struct Place {
+    struct ListenField {
         listen: String,
     }
-    if let Some(told) = std::env::var("BALANCER_LISTEN").ok().filter(|told| !told.is_empty()) {
-        return Ok(told);
+    if let Some(value) = std::env::var("BALANCER_LISTEN").ok().filter(|value| !value.is_empty()) {
+        return Ok(value);
     }
     let (path, text) = read_file()?;
-    let place: Place = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-    Ok(place.listen)
+    let fields: ListenField = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
+    Ok(fields.listen)
 }
 
-/// Reads the file that `BALANCER_CONFIG` names, and checks it whole.
+/// Reads, parses and validates the file that `BALANCER_CONFIG` names.
 ///
 /// # Errors
-/// With one plain message.
+/// With a single message that begins with the file's path.
 pub fn load() -> Result<(Config, ValidatedConfig, Vec<u8>), String> {
     let (path, text) = read_file()?;
-    let (told, sound) = parse_and_validate(&text).map_err(|e| format!("{path}: {e}"))?;
-    Ok((told, sound, text))
+    let (config, validated) = parse_and_validate(&text).map_err(|e| format!("{path}: {e}"))?;
+    Ok((config, validated, text))
 }
 
-/// Reads a configuration as it is read at a start, and checks it whole.
+/// Parses a configuration as at startup, with the environment's variables, and validates it.
 ///
 /// # Errors
-/// With one plain message.
+/// With a single message.
 pub fn parse_and_validate(text: &[u8]) -> Result<(Config, ValidatedConfig), String> {
-    let told = parse(text, |name| std::env::var(name).ok())?;
-    let sound = told.validate()?;
-    Ok((told, sound))
+    let config = parse(text, |name| std::env::var(name).ok())?;
+    let validated = config.validate()?;
+    Ok((config, validated))
 }
 
-/// Reads that file again while the program runs. Its environment is then as old as its start, so that only the file can
-/// tell where discovery is now.
+/// Reads the file that `BALANCER_CONFIG` names again while the process runs. The environment is as old as the process, so
+/// the address of discovery is taken from the file alone.
 ///
 /// # Errors
 /// As [`parse_replacement`].
 pub fn reload(running: &Config) -> Result<(Config, ValidatedConfig, Vec<u8>), String> {
     let (path, text) = read_file()?;
     let variable = |name: &str| std::env::var(name).ok().filter(|_| name != "BALANCER_DISCOVERY");
-    let (told, sound) = parse_replacement(&text, running, variable).map_err(|e| format!("{path}: {e}"))?;
-    Ok((told, sound, text))
+    let (config, validated) =
+        parse_replacement(&text, running, variable).map_err(|e| format!("{path}: {e}"))?;
+    Ok((config, validated, text))
 }
 
 #[cfg(test)]
@@ -215,11 +220,11 @@
     fn running() -> (Value, Config) {
         let settings = linentrail_standins::proxy::settings();
         let json = linentrail_standins::proxy::config("127.0.0.1:9", &[], settings, 1024, 192);
-        let config = parse(json.to_string().as_bytes(), |_| None).expect("it is sound");
+        let config = parse(json.to_string().as_bytes(), |_| None).expect("valid");
         (json, config)
     }
 
-    /// All paths to plain values and to objects and arrays, but for the list's.
+    /// The paths of all values, objects and arrays outside the member list.
     fn paths(json: &Value, at: &str, found: &mut Vec<String>) {
         let below: Vec<(String, &Value)> = match json {
             Value::Object(fields) => fields.iter().map(|(n, v)| (format!("{at}/{n}"), v)).collect(),
@@ -237,7 +242,7 @@
     }
 
     #[test]
-    fn a_file_that_lacks_anything_that_runs_is_refused_and_a_whole_one_is_not() {
+    fn a_file_without_a_field_of_the_running_one_is_refused_and_a_complete_one_is_not() {
         let (json, running) = running();
         assert!(!refused(&json, &running));
         let mut all = Vec::new();
@@ -251,7 +256,7 @@
                 Value::Array(items) => drop(items.remove(name.parse::<usize>().expect("an index"))),
                 _ => panic!("{path}"),
             }
-            // One class or tenant fewer is a change like another, were it not for what belongs to it.
+            // One class or tenant fewer is an ordinary change unless other fields depend on it, as for all classes here.
             let tenant = within == "/settings/tenants"
                 && less.pointer(within).is_some_and(|t| t != &Value::Array(Vec::new()));
             assert_eq!(refused(&less, &running), !tenant, "without {path}");
@@ -259,18 +264,18 @@
     }
 
     #[test]
-    fn a_file_that_is_cut_off_anywhere_is_refused() {
+    fn a_file_truncated_at_any_byte_is_refused() {
         let (json, running) = running();
         let text = json.to_string();
         for end in 0..text.len() {
             assert!(parse_replacement(&text.as_bytes()[..end], &running, |_| None).is_err(), "{end}");
         }
-        let (told, _) = parse_replacement(text.as_bytes(), &running, |_| None).expect("it is whole");
-        assert_eq!(told.all_fields, running.all_fields);
+        let (config, _) = parse_replacement(text.as_bytes(), &running, |_| None).expect("complete");
+        assert_eq!(config.all_fields, running.all_fields);
     }
 
     #[test]
-    fn deadlines_and_attempts_that_are_no_numbers_above_0_are_refused_by_their_place() {
+    fn deadlines_and_attempts_that_are_not_positive_numbers_are_refused() {
         let (json, running) = running();
         let places =
             ["services/0/deadline_us", "services/3/deadline_us", "services/2/aim_us", "limits/max_attempts"];
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,5 +1,5 @@
-//! The log: for people, or as JSON for programs. Either way the names and values that belong to a line follow it, so
-//! that one request can be followed by its id through all that became of it.
+//! The log, as text or as JSON. In both formats a line's structured fields follow its message, so that all lines about
+//! one request can be found by its id.
 
 use crate::cli::LogFormat;
 use env_logger::{Builder, Env};
@@ -17,11 +17,11 @@
     }
 }
 
-/// A line of the log as one JSON object: `time` (RFC 3339, UTC), `level`, `target`, `message`, then its own fields,
-/// none of which takes the place of those.
+/// Formats a log line as one JSON object: `time` (RFC 3339, UTC), `level`, `target`, `message` and the line's structured
+/// fields. A structured field with one of these four names is omitted.
 pub fn json(record: &log::Record, time: &str) -> String {
     let mut fields = Fields(Map::new());
-    // A field that cannot be read is left out; the line is still worth having.
+    // If a field cannot be read, the line is written without it.
     let _ = record.key_values().visit(&mut fields);
     for (name, value) in [
         ("time", Json::from(time)),
@@ -51,7 +51,7 @@
     use super::*;
 
     #[test]
-    fn a_line_holds_its_fields_and_none_of_them_hides_the_line() {
+    fn a_line_contains_its_fields_and_none_replaces_a_standard_field() {
         let pairs: &[(&str, Value)] = &[
             ("id", Value::from(7u64)),
             ("class", Value::from("yard \"board\"")),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The real proxy: wiring, start and shutdown.
-// These panic where the output cannot be written; `cli::print_line` and `cli::print_error_line` do not.
+//! The program `linentrail`: startup, wiring of the actors, shutdown, and the other commands.
+// The macros panic if the output cannot be written; `cli::print_line` and `cli::print_error_line` do not.
 #![deny(clippy::print_stdout, clippy::print_stderr)]
 
 use clap::Parser;
@@ -48,30 +48,30 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 
-/// Counts what the program allocates; never in service.
+/// Counts allocations for measurements; not used in production.
 #[cfg(feature = "meter")]
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// Messages that may wait for the core.
-const MAILBOX: usize = 2048;
-/// Calls of the operators that may wait for it.
-const ORDERS: usize = 64;
-/// Names the descriptor of a listener that the platform holds for this proxy.
-const ACCEPT: &str = "BALANCER_ACCEPT_FD";
-/// For so many tries, some 5 s, a process waits for the last but one to end.
+/// Capacity of the core's mailbox.
+const CORE_MAILBOX_CAPACITY: usize = 2048;
+/// Capacity of each mailbox for calls of the operators.
+const COMMAND_MAILBOX_CAPACITY: usize = 64;
+/// Environment variable with the descriptor of a listener that the platform keeps open for this proxy.
+const INHERITED_LISTENER_VARIABLE: &str = "BALANCER_ACCEPT_FD";
+/// Number of attempts, about 5 s in total, to take one of the two process slots while the process before the last one ends.
 const SLOT_TRIES: usize = 250;
-/// Count clients of each front.
-const PG: Count = Count::pg_connections;
-const ODATA: Count = Count::odata_connections;
+/// The counters of client connections of the two fronts.
+const PG_CONNECTIONS: Count = Count::pg_connections;
+const ODATA_CONNECTIONS: Count = Count::odata_connections;
 
-/// Where the processes of this proxy meet, if the platform has what it takes for two of them to serve.
-fn meeting_place(name: &str, shares_listener: bool) -> Option<PathBuf> {
-    let shared = std::env::var("TMPDIR").ok().filter(|v| shares_listener && !v.is_empty());
-    shared.map(|shared| handover::place(&shared, name))
+/// The folder that the processes of this proxy share, if the platform allows two of them to serve at the same time.
+fn shared_folder_path(name: &str, shares_listener: bool) -> Option<PathBuf> {
+    let folder = std::env::var("TMPDIR").ok().filter(|v| shares_listener && !v.is_empty());
+    folder.map(|folder| handover::place(&folder, name))
 }
 
-/// The folder there; where it cannot be used yet it is joined later.
+/// Joins the shared folder. If it cannot be used yet, it is joined later.
 fn join_folder(place: &Path) -> Result<SharedFolder, String> {
     match Folder::join(place.to_path_buf(), SLOT_TRIES) {
         Ok(Some(folder)) => Ok(SharedFolder::joined(Arc::new(folder))),
@@ -86,8 +86,8 @@
     }
 }
 
-/// Listens where clients are told to come, if that can be told before the rest of the configuration is read; what is wrong
-/// with it otherwise is said when it is read whole.
+/// Listens on the clients' address if that can be determined before the whole configuration is read. Faults of the
+/// configuration are reported when it is read as a whole.
 async fn listen_early(inherited: Option<&str>) -> Result<Option<ClientListener>, String> {
     match (config::listen_address(), inherited) {
         (Ok(address), _) => bind_clients(inherited, &address).await.map(Some),
@@ -97,8 +97,8 @@
 }
 
 async fn bind_clients(inherited: Option<&str>, address: &str) -> Result<ClientListener, String> {
-    let place = if inherited.is_some() { ACCEPT } else { address };
-    ClientListener::bind(inherited, address).await.map_err(|e| format!("{place}: {e}"))
+    let shown = if inherited.is_some() { INHERITED_LISTENER_VARIABLE } else { address };
+    ClientListener::bind(inherited, address).await.map_err(|e| format!("{shown}: {e}"))
 }
 
 async fn bind_odata(odata: &OdataConfig) -> Result<TcpListener, String> {
@@ -106,14 +106,14 @@
     transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
-/// No ids of bookings yet. Answers that are remembered share the memory with all else.
+/// Creates an empty ledger of repeat ids. The answers stored in it share the process's memory, so their size is limited.
 fn repeat_ids(odata: &OdataConfig, memory: usize, clock: Clock) -> RepeatIds {
     let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_id_lifetime, clock)
 }
 
-/// Does a part of the start that may wait for others; where it can, beside the clients that come meanwhile, on a thread that
-/// an ordinary start does not need.
+/// Runs a part of startup that may block. With `waits`, it runs on a separate thread, so that clients that connect in the
+/// meantime are handled; an ordinary startup does not need this thread.
 async fn off_thread<T: Send + 'static>(
     waits: bool,
     work: impl FnOnce() -> Result<T, String> + Send + 'static,
@@ -125,116 +125,122 @@
 }
 
 async fn run(began: Instant) -> Result<(), String> {
-    // Heard from the start: unheard, each of them would end the process, and whoever reads that it serves may send one.
-    let hear = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-    let (hangup, mut usr1) = (hear(SignalKind::hangup())?, hear(SignalKind::user_defined1())?);
-    let (mut term, mut int) = (hear(SignalKind::terminate())?, hear(SignalKind::interrupt())?);
-    let handed = std::env::var(ACCEPT).ok().filter(|v| !v.is_empty());
-    // Before all else, so that whoever connects from now on finds a listener.
-    let early = listen_early(handed.as_deref()).await?;
+    // Handlers are installed first: without a handler each of these signals would end the process, and they may be sent as
+    // soon as the process reports that it serves.
+    let listen_for = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+    let (hangup, mut usr1) = (listen_for(SignalKind::hangup())?, listen_for(SignalKind::user_defined1())?);
+    let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
+    let inherited = std::env::var(INHERITED_LISTENER_VARIABLE).ok().filter(|v| !v.is_empty());
+    // Before everything else, so that clients that connect from now on find a listener.
+    let early_listener = listen_early(inherited.as_deref()).await?;
     log::info!("clients can connect {} us after the start", began.elapsed().as_micros());
-    let file = operators::load()?;
+    let operators_file = operators::load()?;
     let loaded = config::load();
-    let (phase, closing) = watch::channel(ProcessPhase::Starting);
-    let mut accepting = ClientListeners::new(began, closing.clone());
+    let (phase, phase_receiver) = watch::channel(ProcessPhase::Starting);
+    let mut accepting = ClientListeners::new(began, phase_receiver.clone());
     let (mut pg_address, mut odata_address) = (None, None);
-    let early_budget = loaded.as_ref().ok().map(|(told, ..)| Budget::new(told.sockets, told.memory));
-    let odata_listener = match file.odata.enabled {
-        true => Some(bind_odata(&file.odata).await?),
+    let early_budget = loaded.as_ref().ok().map(|(config, ..)| Budget::new(config.sockets, config.memory));
+    let odata_listener = match operators_file.odata.enabled {
+        true => Some(bind_odata(&operators_file.odata).await?),
         false => None,
     };
     let (open_pg, pg_gate) = startup::gate();
     let (open_odata, odata_gate) = startup::gate();
-    // Where another process of this proxy may serve from the same listener, the clients are that one's for now.
-    let (mut pg_waits, mut odata_waits) = (early, odata_listener);
-    if let (Some(budget), None) = (&early_budget, &handed) {
+    // An inherited listener is not accepted on yet: another process of this proxy may still serve its clients.
+    let (mut pg_deferred, mut odata_deferred) = (early_listener, odata_listener);
+    if let (Some(budget), None) = (&early_budget, &inherited) {
         if let Some(listener) =
-            pg_waits.take_if(|l| loaded.as_ref().is_ok_and(|(told, ..)| l.has_address(&told.listen)))
+            pg_deferred.take_if(|l| loaded.as_ref().is_ok_and(|(config, ..)| l.has_address(&config.listen)))
         {
-            pg_address = accepting.add(listener.into_inner(), PG, budget, pg_gate.clone());
+            pg_address = accepting.add(listener.into_inner(), PG_CONNECTIONS, budget, pg_gate.clone());
         }
-        if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.add(listener, ODATA, budget, odata_gate.clone());
+        if let Some(listener) = odata_deferred.take() {
+            odata_address = accepting.add(listener, ODATA_CONNECTIONS, budget, odata_gate.clone());
         }
     }
-    let store_file = file.store.clone();
-    let start = off_thread(file.store.enabled, move || recovery::start(&store_file, loaded));
-    let Start { told, sound, stored, store, memory: votes, own } = start.await?;
+    let store_file = operators_file.store.clone();
+    let start = off_thread(operators_file.store.enabled, move || recovery::start(&store_file, loaded));
+    let Start { told: config, sound, stored, store, memory: votes, own } = start.await?;
     let ValidatedConfig { names, settings, times } = sound;
     let zones = names.zones.clone();
     let mut slots = ClassSlots::default();
-    let (class_table, read_under) = watch::channel(slots.replace(names, settings.classes.clone()));
+    let (class_table, class_table_receiver) = watch::channel(slots.replace(names, settings.classes.clone()));
     tell_classes(&slots.current());
-    let (memory, idle) = (told.memory >> 20, times.keepalive / 1000);
+    let (memory, idle) = (config.memory >> 20, times.keepalive / 1000);
     log::info!(
         "limits: {} descriptors, {memory} MiB; members close what is idle for {idle} ms",
-        told.sockets
+        config.sockets
     );
-    let place = meeting_place(&told.name, handed.is_some());
+    let place = shared_folder_path(&config.name, inherited.is_some());
     let shared_folder = match place.clone() {
         Some(place) => off_thread(true, move || join_folder(&place)).await?,
         None => SharedFolder::default(),
     };
     let clock = Clock::start();
-    let budget = early_budget.unwrap_or_else(|| Budget::new(told.sockets, told.memory));
-    let (mailbox, inbox) = mpsc::channel(MAILBOX);
-    let (orders, ordered) = mpsc::channel(ORDERS);
-    let (follow, asked) = mpsc::channel(1);
-    let wire = pg::member::PgConnector::new(budget.bytes.clone());
-    let fleet = MemberActors::new(mailbox.clone(), follow, budget.clone(), clock, times, wire);
+    let budget = early_budget.unwrap_or_else(|| Budget::new(config.sockets, config.memory));
+    let (core_mailbox, core_inbox) = mpsc::channel(CORE_MAILBOX_CAPACITY);
+    let (commands, command_inbox) = mpsc::channel(COMMAND_MAILBOX_CAPACITY);
+    let (list_requests, list_request_inbox) = mpsc::channel(1);
+    let connector = pg::member::PgConnector::new(budget.bytes.clone());
+    let members =
+        MemberActors::new(core_mailbox.clone(), list_requests, budget.clone(), clock, times, connector);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
     let schedule = CallSchedule::new(settings.seed);
     let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
-    let actor = Actor::new(settings, fleet, clock, (inbox, ordered)).map_err(|e| e.to_string())?;
+    let actor =
+        Actor::new(settings, members, clock, (core_inbox, command_inbox)).map_err(|e| e.to_string())?;
 
     let mut lists = ListReader::new(zones.clone());
-    // Known before the first client comes, and perhaps old.
-    let known = lists.read(&recovery::list(&told.initial_list, store.as_ref().map(|s| &s.1)), None);
-    let (held, known) = known.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
-    mailbox.send(Input::List(ListKind::Disk, known)).await.map_err(|e| e.to_string())?;
+    // The stored list is available before the first client connects; it may be out of date.
+    let initial_list = lists.read(&recovery::list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
+    let (held, initial_list) =
+        initial_list.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
+    core_mailbox.send(Input::List(ListKind::Disk, initial_list)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
     let (discovery, service) =
-        watch::channel(DiscoveryService { address: told.discovery.clone(), proxies, delivery });
+        watch::channel(DiscoveryService { address: config.discovery.clone(), proxies, delivery });
     let mut version = Arc::default();
-    if file.dnssd.browse {
-        let DnsSdConfig { server, service, .. } = &file.dnssd;
-        tokio::spawn(Browser::new(*server, service, lists, mailbox.clone(), clock)?.run(asked));
+    if operators_file.dnssd.browse {
+        let DnsSdConfig { server, service, .. } = &operators_file.dnssd;
+        tokio::spawn(
+            Browser::new(*server, service, lists, core_mailbox.clone(), clock)?.run(list_request_inbox),
+        );
     } else {
-        let discovery = Discovery::new(service, schedule, lists, held, mailbox.clone());
+        let discovery = Discovery::new(service, schedule, lists, held, core_mailbox.clone());
         version = discovery.version.clone();
-        tokio::spawn(discovery.run(asked));
+        tokio::spawn(discovery.run(list_request_inbox));
     }
 
     let scribe = store.as_ref().map(|(scribe, ..)| scribe.clone());
-    let control = ControlHandle::new(orders, shared_folder.clone()).writing(scribe.clone());
+    let control = ControlHandle::new(commands, shared_folder.clone()).writing(scribe.clone());
     let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
     if let Some((scribe, found, text)) = store {
-        recovery::recall(&file.store, found, &control, clock.now()).await;
+        recovery::recall(&operators_file.store, found, &control, clock.now()).await;
         let (holds, settings) = watch::channel(Some(Held { at: clock.now(), text }));
         held = Some(holds);
         let (version, zones) = (version.clone(), zones.clone());
         let gatherer = Gatherer { scribe, control: control.clone(), clock, settings, version, zones };
         let gatherer = Arc::new(gatherer);
         last = Some(gatherer.clone());
-        let every = file.store.snapshot_interval;
+        let every = operators_file.store.snapshot_interval;
         tokio::spawn(async move { gatherer.run(every).await });
     }
     let (mut agreed, mut fleet) = (None, None);
-    if file.agreement.enabled {
-        if file.agreement.on_lease_expiry == OnLeaseExpiry::Refuse {
-            // Before the first client comes: without a word of the voters nothing is sent.
+    if operators_file.agreement.enabled {
+        if operators_file.agreement.on_lease_expiry == OnLeaseExpiry::Refuse {
+            // Before the first client connects: no request may be sent to a member before the voters grant a lease.
             control.send(CoreCommand::ExtendLease(0)).await;
             control.request(|reply| CoreCommand::ApplySettings(Box::new(first), times, reply)).await;
         }
-        let keys = file.agreement.read_keys()?;
-        let (rules, ruled) = mpsc::channel(1);
+        let keys = operators_file.agreement.read_keys()?;
+        let (settings_updates, updates_inbox) = mpsc::channel(1);
         let (own, proposed) = watch::channel(own);
         let dependencies = Dependencies {
-            config: file.agreement.clone(),
+            config: operators_file.agreement.clone(),
             keys,
             control: control.clone(),
-            core: mailbox.clone(),
-            settings_updates: rules,
+            core: core_mailbox.clone(),
+            settings_updates,
             store: scribe,
             list_version: version.clone(),
             zones: zones.clone(),
@@ -242,13 +248,13 @@
             clock,
             seed,
         };
-        let (agreement, asked) = AgreementActor::start(dependencies, votes).await?;
-        let (calls, called) = mpsc::channel(ORDERS);
-        tokio::spawn(agreement.run(called, asked));
-        (agreed, fleet) = (Some((ruled, own)), Some(calls));
+        let (agreement, requests) = AgreementActor::start(dependencies, votes).await?;
+        let (calls, call_inbox) = mpsc::channel(COMMAND_MAILBOX_CAPACITY);
+        tokio::spawn(agreement.run(call_inbox, requests));
+        (agreed, fleet) = (Some((updates_inbox, own)), Some(calls));
     }
     let reload = Reload {
-        running: told.clone(),
+        running: config.clone(),
         zone,
         agreed,
         slots,
@@ -260,13 +266,14 @@
         clock,
     };
     tokio::spawn(reload.run(hangup));
-    if let Some(console) = &told.console {
+    if let Some(console) = &config.console {
         let listener =
             transient::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
         log::info!("operators call at {}", listener.local_addr().map_err(|e| e.to_string())?);
-        tokio::spawn(Console::new(control.clone(), closing.clone(), stored, fleet).run(listener));
+        tokio::spawn(Console::new(control.clone(), phase_receiver.clone(), stored, fleet).run(listener));
     }
-    let repeat_ids = file.odata.enabled.then(|| repeat_ids(&file.odata, told.memory, clock));
+    let repeat_ids =
+        operators_file.odata.enabled.then(|| repeat_ids(&operators_file.odata, config.memory, clock));
     match (shared_folder.get(), place) {
         (Some(folder), _) => {
             let folder = folder.clone();
@@ -276,7 +283,7 @@
             tokio::spawn(handover.run());
         }
         (None, Some(place)) => {
-            // Another process may live that this one cannot see.
+            // There may be another process that this one cannot detect yet.
             repeat_ids.iter().for_each(RepeatIds::expect_peer);
             let (shared, control, budget) = (shared_folder.clone(), control.clone(), budget.clone());
             let joined = Handover::join_late(shared, place, control, budget, clock, repeat_ids.clone());
@@ -286,12 +293,12 @@
     }
     let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
     control.request(|reply| CoreCommand::StartServing(began, reply)).await;
-    let (core, pace) = (Handle::new(mailbox.clone()), ErrorPacer::default());
+    let (core, pace) = (Handle::new(core_mailbox.clone()), ErrorPacer::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
         core: core.clone(),
-        class_table: read_under.clone(),
+        class_table: class_table_receiver.clone(),
         clock,
         clients: clients.clone(),
         bytes: budget.bytes.clone(),
@@ -299,21 +306,21 @@
         answer_limit: answer_limit.clone(),
     }));
     if pg_address.is_none() {
-        let listener = match pg_waits.take().filter(|l| l.has_address(&told.listen)) {
+        let listener = match pg_deferred.take().filter(|l| l.has_address(&config.listen)) {
             Some(listener) => listener,
-            None => bind_clients(handed.as_deref(), &told.listen).await?,
+            None => bind_clients(inherited.as_deref(), &config.listen).await?,
         };
-        pg_address = accepting.add(listener.into_inner(), PG, &budget, pg_gate);
+        pg_address = accepting.add(listener.into_inner(), PG_CONNECTIONS, &budget, pg_gate);
     }
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
         let bookings = Bookings::new(core.clone(), clock, repeat_ids);
-        let (class_table, limit) = (read_under.clone(), answer_limit.clone());
+        let (class_table, limit) = (class_table_receiver.clone(), answer_limit.clone());
         let front =
             odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
         open_odata.open(Arc::new(front));
-        if let Some(listener) = odata_waits.take() {
-            odata_address = accepting.add(listener, ODATA, &budget, odata_gate);
+        if let Some(listener) = odata_deferred.take() {
+            odata_address = accepting.add(listener, ODATA_CONNECTIONS, &budget, odata_gate);
         }
         log::info!("serving OData at {}", odata_address.ok_or("OData has no address")?);
     }
@@ -327,19 +334,19 @@
     }
     let peer_alive = shared_folder.get().is_some_and(|folder| folder.peer_alive());
     let longest_deadline =
-        move || read_under.borrow().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    let last_writing = async {
+        move || class_table_receiver.borrow().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    let final_snapshot = async {
         if let Some(last) = last {
             last.write().await;
         }
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
-    shutdown.run(peer_alive, file.accept_after_sigterm, longest_deadline, last_writing).await;
+    shutdown.run(peer_alive, operators_file.accept_after_sigterm, longest_deadline, final_snapshot).await;
     cli::print_line(format_args!("counters: {}{}", counters::nonzero_line(), meter::counter_fields()));
     Ok(())
 }
 
-/// Prints the records under which the OData front can be found, as a zone file has them.
+/// Prints the DNS-SD records of the OData front in the format of a zone file.
 fn print_records() -> Result<(), String> {
     let file = operators::load()?;
     for record in records::front_records(&file.dnssd.instance, &file.dnssd.domain, file.odata.listen)? {
@@ -367,9 +374,9 @@
 
 fn status(console: Option<&str>) -> ExitCode {
     match console_client::status(console) {
-        Ok(told) => {
-            told.lines.iter().for_each(|line| cli::print_line(format_args!("{line}")));
-            if told.ready {
+        Ok(status) => {
+            status.lines.iter().for_each(|line| cli::print_line(format_args!("{line}")));
+            if status.ready {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
@@ -393,8 +400,8 @@
         Err(help) => help.exit(),
     };
     logs::start(arguments.log_format);
-    let former = arguments.dns_sd_records.then_some(Command::Records);
-    let result = match arguments.command.or(former) {
+    let legacy_command = arguments.dns_sd_records.then_some(Command::Records);
+    let result = match arguments.command.or(legacy_command) {
         None | Some(Command::Serve) => {
             let mut builder = tokio::runtime::Builder::new_current_thread();
             let runtime = builder.enable_all().on_thread_unpark(stall::thread_unparked).build();
--- a/src/meter.rs
+++ b/src/meter.rs
@@ -1,39 +1,39 @@
-//! What the ordinary path costs, counted exactly: allocations, socket calls, wake-ups, bytes copied.
+//! Exact counts of what requests cost: allocations, socket calls, wake-ups and bytes copied.
 //!
-//! Counted only where the feature `meter` is on, for `linentrail-lab cost`; without it nothing here does anything.
-//! Allocations are counted by `stats_alloc`, which the program sets as its allocator then; wake-ups are the times that
-//! the runtime asked the kernel for events.
+//! Costs are counted only if the feature `meter` is enabled, for `linentrail-lab cost`; otherwise this module does nothing.
+//! Allocations are counted by `stats_alloc`, which is then the program's allocator; wake-ups are the number of times that
+//! the runtime polled the kernel for events.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Whether anything is counted.
+/// Whether costs are counted.
 pub const ENABLED: bool = cfg!(feature = "meter");
 
-/// What is counted here.
+/// A cost that is counted here.
 #[derive(Debug, Clone, Copy)]
 pub enum Cost {
     /// Calls that read from a socket.
     Reads,
-    /// Those of them that found nothing to read.
+    /// Read calls that found nothing to read.
     EmptyReads,
     /// Calls that wrote to a socket.
     Writes,
-    /// Looks at a socket that take nothing out.
+    /// Calls that peek at a socket without consuming data.
     Peeks,
-    /// Bytes copied in user space on the way of a request or an answer.
+    /// Bytes copied in user space while a request or an answer is forwarded.
     Copied,
 }
 
 static COSTS: [AtomicU64; 5] = [const { AtomicU64::new(0) }; 5];
 
-/// Adds to a cost; nothing without the feature.
+/// Adds to a cost; does nothing without the feature.
 pub fn add(cost: Cost, n: usize) {
     if ENABLED {
         COSTS[cost as usize].fetch_add(n as u64, Ordering::Relaxed);
     }
 }
 
-/// All costs so far as `name=number` pairs, each behind a space; empty without the feature.
+/// All costs so far as `name=number` pairs, each preceded by a space; empty without the feature.
 pub fn counter_fields() -> String {
     if !ENABLED {
         return String::new();
@@ -52,7 +52,7 @@
     )
 }
 
-/// Calls for memory, those for more of it included, and the bytes that they asked for.
+/// Number of allocations and reallocations, and the bytes allocated.
 #[cfg(feature = "meter")]
 fn allocations() -> (usize, usize) {
     let stats = stats_alloc::INSTRUMENTED_SYSTEM.stats();
