--- a/src/check.rs
+++ b/src/check.rs
@@ -1,22 +1,22 @@
-//! Whether a file can be used, and all that is wrong with it, without starting anything.
+//! Checks whether a file can be used and collects all its faults, without starting anything.
 
 use crate::{config, operators, Router};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What a check has found.
+/// The result of a check.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// It can be used; what it says, in short.
+    /// The file can be used; with a summary of its contents.
     Valid(String),
-    /// It cannot; one line for each fault.
+    /// The file cannot be used; one line for each fault.
     Faults(Vec<String>),
 }
 
-/// Checks a file by its ending: `.json` is a configuration as the platform gives it, `.hcl` the operators' file.
+/// Checks a file according to its extension: `.json` is a configuration of the platform, `.hcl` the operators' file.
 ///
 /// # Errors
-/// When the file cannot be read, or is neither.
+/// If the file cannot be read or is neither.
 pub fn file(path: &Path) -> Result<CheckResult, String> {
     let shown = path.display();
     let text = || std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"));
@@ -29,23 +29,23 @@
 }
 
 fn configuration(text: &str) -> CheckResult {
-    let told = match config::parse(text.as_bytes(), |_| None) {
-        Ok(told) => told,
+    let config = match config::parse(text.as_bytes(), |_| None) {
+        Ok(config) => config,
         Err(e) => return CheckResult::Faults(vec![e]),
     };
     let mut faults = Vec::new();
-    for (name, address) in [("listen", &told.listen), ("discovery", &told.discovery)] {
+    for (name, address) in [("listen", &config.listen), ("discovery", &config.discovery)] {
         if address.parse::<SocketAddr>().is_err() {
             faults.push(format!("{name}: '{address}' is no address with a port"));
         }
     }
-    if told.sockets < 64 {
-        faults.push(format!("limits.sockets: {} leave no room for clients and members", told.sockets));
+    if config.sockets < 64 {
+        faults.push(format!("limits.sockets: {} leave no room for clients and members", config.sockets));
     }
-    let (names, times) = (told.settings.names(), told.settings.socket_times());
+    let (names, times) = (config.settings.names(), config.settings.socket_times());
     faults.extend(names.as_ref().err().cloned());
     faults.extend(times.as_ref().err().cloned());
-    let settings = told.settings.settings(told.seed);
+    let settings = config.settings.settings(config.seed);
     let classes = match settings {
         Ok(settings) => {
             let classes = settings.classes.len();
@@ -60,11 +60,11 @@
     if let Ok(names) = &names {
         faults.extend(names.duplicates());
     }
-    let known = told.initial_list.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
-    let limits = (told.sockets, told.memory >> 20);
-    finding(
+    let members = config.initial_list.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
+    let limits = (config.sockets, config.memory >> 20);
+    result(
         faults,
-        format!("{classes} classes, {known} members known, {} descriptors, {} MiB", limits.0, limits.1),
+        format!("{classes} classes, {members} members known, {} descriptors, {} MiB", limits.0, limits.1),
     )
 }
 
@@ -72,8 +72,8 @@
     match operators::read(text) {
         Err(faults) => CheckResult::Faults(faults.iter().map(ToString::to_string).collect()),
         Ok(file) => {
-            let on = |on: bool| if on { "on" } else { "off" };
-            let (odata, browse) = (on(file.odata.enabled), on(file.dnssd.browse));
+            let on_or_off = |on: bool| if on { "on" } else { "off" };
+            let (odata, browse) = (on_or_off(file.odata.enabled), on_or_off(file.dnssd.browse));
             let store = match file.store.enabled {
                 true => format!("on in {}", file.store.folder.display()),
                 false => "off".to_string(),
@@ -94,9 +94,9 @@
     }
 }
 
-fn finding(faults: Vec<String>, sound: String) -> CheckResult {
+fn result(faults: Vec<String>, summary: String) -> CheckResult {
     if faults.is_empty() {
-        CheckResult::Valid(sound)
+        CheckResult::Valid(summary)
     } else {
         CheckResult::Faults(faults)
     }
@@ -106,14 +106,14 @@
 mod tests {
     use super::*;
 
-    fn sound() -> serde_json::Value {
+    fn valid_configuration() -> serde_json::Value {
         let settings = linentrail_standins::proxy::settings();
         linentrail_standins::proxy::config("127.0.0.1:9", &[], settings, 1024, 192)
     }
 
     #[test]
-    fn a_sound_configuration_is_told_in_short() {
-        let found = configuration(&sound().to_string());
+    fn a_valid_configuration_is_summarized() {
+        let found = configuration(&valid_configuration().to_string());
         assert_eq!(
             found,
             CheckResult::Valid("4 classes, 0 members known, 1024 descriptors, 192 MiB".to_string())
@@ -121,8 +121,8 @@
     }
 
     #[test]
-    fn all_faults_are_told_at_once_each_by_its_name() {
-        let mut bad = sound();
+    fn all_faults_are_reported_together_each_with_its_name() {
+        let mut bad = valid_configuration();
         bad["listen"] = "nowhere".into();
         bad["limits"]["sockets"] = 8.into();
         bad["settings"]["services"][1]["aim_us"] = "soon".into();
@@ -135,7 +135,7 @@
     }
 
     #[test]
-    fn what_cannot_be_read_is_one_fault_and_what_is_no_such_file_is_none() {
+    fn an_unreadable_text_is_one_fault_and_another_kind_of_file_is_an_error() {
         assert!(matches!(configuration("{"), CheckResult::Faults(f) if f.len() == 1));
         assert!(
             matches!(operators("odata {\nlisten = 7\n}"), CheckResult::Faults(f) if f[0].contains("listen"))
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -26,7 +26,7 @@
     /// Converts a time for use in timers. Times before the start become the start, and times more than a day ahead are
     /// limited to a day from now.
     pub fn instant(&self, at: Time) -> Instant {
-        let far = 24 * 3_600_000_000;
-        self.start + Duration::from_micros(at.saturating_sub(self.base).min(self.now() - self.base + far))
+        let one_day = 24 * 3_600_000_000;
+        self.start + Duration::from_micros(at.saturating_sub(self.base).min(self.now() - self.base + one_day))
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a fleet that agrees, through the console of any of its proxies.
+//! The `fleet` commands, which call the console of any proxy of a fleet whose proxies agree on settings and suspensions.
 
 use crate::cli::{self, FleetCommand};
 use crate::console_client::{call, configured_address};
@@ -6,47 +6,49 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Between two looks at a change, and how many times the stated bound one is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-const BOUNDS: u32 = 8;
+/// Interval between queries of a change's state, and the timeout of a change in multiples of its bound.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
+const TIMEOUT_BOUNDS: u32 = 8;
 
-fn said(console: &str, line: &str) -> Result<String, String> {
+/// Sends a line to the console and returns the text of a successful answer.
+fn request(console: &str, line: &str) -> Result<String, String> {
     let answer = call(console, line)?;
     match answer.split_once(' ') {
-        Some(("200", told)) => Ok(told.to_string()),
+        Some(("200", text)) => Ok(text.to_string()),
         Some((_, why)) => Err(why.to_string()),
         None => Err(answer),
     }
 }
 
-fn asked(console: &str, line: &str) -> Result<Value, String> {
-    serde_json::from_str(&said(console, line)?).map_err(|e| format!("console {console}: {e}"))
+fn request_json(console: &str, line: &str) -> Result<Value, String> {
+    serde_json::from_str(&request(console, line)?).map_err(|e| format!("console {console}: {e}"))
 }
 
 fn number(value: &Value) -> String {
     value.as_u64().map_or_else(|| "-".to_string(), |n| n.to_string())
 }
 
-/// One kind's standing on a line.
-fn standing(status: &Value, kind: &str) -> String {
-    let of = &status[kind];
-    let versions: Vec<String> = of["versions"].as_array().into_iter().flatten().map(shown).collect();
-    let waits: Vec<String> = of["waits_for"].as_array().into_iter().flatten().map(number).collect();
+/// The state of one kind of document, `settings` or `hands` (suspensions), on one line.
+fn summary(status: &Value, kind: &str) -> String {
+    let document = &status[kind];
+    let versions: Vec<String> =
+        document["versions"].as_array().into_iter().flatten().map(version_text).collect();
+    let waits: Vec<String> = document["waits_for"].as_array().into_iter().flatten().map(number).collect();
     let waits =
         if waits.is_empty() { String::new() } else { format!("; waits for proxies {}", waits.join(", ")) };
-    let (state, since) = (of["state"].as_str().unwrap_or("?"), number(&of["since_ms"]));
+    let (state, since) = (document["state"].as_str().unwrap_or("?"), number(&document["since_ms"]));
     format!(
         "{kind}: {state} {} (turn {}, for {since} ms{waits})",
         versions.join(" and "),
-        number(&of["turn"])
+        number(&document["turn"])
     )
 }
 
-fn shown(version: &Value) -> String {
+fn version_text(version: &Value) -> String {
     format!("version {} {}", number(&version["number"]), version["hash"].as_str().unwrap_or("?"))
 }
 
-/// The table of a status.
+/// Formats a status as lines of text.
 fn table(status: &Value) -> Vec<String> {
     let lease = match status["lease_ms"].as_u64() {
         Some(ms) => format!("holds for {ms} ms more"),
@@ -58,8 +60,8 @@
             number(&status["me"]),
             number(&status["bound_ms"])
         ),
-        standing(status, "settings"),
-        standing(status, "hands"),
+        summary(status, "settings"),
+        summary(status, "hands"),
         format!("last change proposed here: {}", status["last"].as_str().unwrap_or("?")),
         "proxy  votes  heard ms ago  turns      list     remarks".to_string(),
     ];
@@ -90,65 +92,67 @@
     lines
 }
 
-/// Waits until the version of this kind that was proposed is alone in force, or surely is not.
-fn wait(console: &str, kind: &str, before: u64) -> Result<Vec<String>, String> {
+/// Waits until a version of this kind later than `before` is the only one in force, or until the change has failed.
+fn wait_in_force(console: &str, kind: &str, before: u64) -> Result<Vec<String>, String> {
     let began = Instant::now();
     let mut last = String::new();
     loop {
-        let status = asked(console, "FLEET")?;
-        let of = &status[kind];
-        let told = standing(&status, kind);
-        let words = status["last"].as_str().unwrap_or_default();
-        if of["state"] == "in force" && of["versions"][0]["number"].as_u64() > Some(before) {
-            return Ok(vec![told]);
+        let status = request_json(console, "FLEET")?;
+        let document = &status[kind];
+        let state_line = summary(&status, kind);
+        let last_change = status["last"].as_str().unwrap_or_default();
+        if document["state"] == "in force" && document["versions"][0]["number"].as_u64() > Some(before) {
+            return Ok(vec![state_line]);
         }
-        if words.contains("nothing was changed") {
-            return Err(words.to_string());
+        if last_change.contains("nothing was changed") {
+            return Err(last_change.to_string());
         }
         let bound = Duration::from_millis(status["bound_ms"].as_u64().unwrap_or(2_000));
-        if began.elapsed() > bound * BOUNDS {
-            return Err(format!("it stands still: {told}; ask for the status, or abort"));
+        if began.elapsed() > bound * TIMEOUT_BOUNDS {
+            return Err(format!("it stands still: {state_line}; ask for the status, or abort"));
         }
-        let state = format!("{} {}", of["state"], of["waits_for"]);
+        let state = format!("{} {}", document["state"], document["waits_for"]);
         if state != last {
-            cli::print_error_line(format_args!("{told}"));
+            cli::print_error_line(format_args!("{state_line}"));
             last = state;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(STATUS_INTERVAL);
     }
 }
 
+/// Sends a line that begins a change and waits until the change is in force.
 fn change(console: &str, kind: &str, line: &str) -> Result<Vec<String>, String> {
-    let before = asked(console, "FLEET")?[kind]["versions"][0]["number"].as_u64().unwrap_or(0);
-    let told = said(console, line)?;
-    if told.contains("is so already") {
-        return Ok(vec![told]);
+    let before = request_json(console, "FLEET")?[kind]["versions"][0]["number"].as_u64().unwrap_or(0);
+    let answer = request(console, line)?;
+    if answer.contains("is so already") {
+        return Ok(vec![answer]);
     }
-    cli::print_error_line(format_args!("{told}"));
-    wait(console, kind, before)
+    cli::print_error_line(format_args!("{answer}"));
+    wait_in_force(console, kind, before)
 }
 
-fn done(asks: &FleetCommand, console: &str, json: bool) -> Result<(Vec<String>, bool), String> {
-    let well = |lines| Ok((lines, true));
-    match asks {
+/// Executes a command. Returns the lines to print and whether the command succeeded.
+fn execute(command: &FleetCommand, console: &str, json: bool) -> Result<(Vec<String>, bool), String> {
+    let succeeded = |lines| Ok((lines, true));
+    match command {
         FleetCommand::Status => {
-            let status = asked(console, "FLEET")?;
+            let status = request_json(console, "FLEET")?;
             let lines = if json { vec![status.to_string()] } else { table(&status) };
             Ok((lines, status["lease_ms"].is_u64()))
         }
         FleetCommand::History => {
-            let all = asked(console, "FLEET HISTORY")?;
+            let all = request_json(console, "FLEET HISTORY")?;
             let one = |p: &Value| {
                 let word = |name: &str| p[name].as_str().unwrap_or("?").to_string();
                 format!(
                     "{} {} by {}, in force since {} us",
                     word("kind"),
-                    shown(p),
+                    version_text(p),
                     word("author"),
                     number(&p["since_us"])
                 )
             };
-            well(if json {
+            succeeded(if json {
                 vec![all.to_string()]
             } else {
                 all.as_array().into_iter().flatten().map(one).collect()
@@ -156,28 +160,30 @@
         }
         FleetCommand::Propose { file, author } => {
             let file = file.canonicalize().map_err(|e| format!("{}: {e}", file.display()))?;
-            well(change(console, "settings", &format!("FLEET PROPOSE {} {author}", file.display()))?)
+            succeeded(change(console, "settings", &format!("FLEET PROPOSE {} {author}", file.display()))?)
         }
-        FleetCommand::Abort => well(vec![said(console, "FLEET ABORT")?]),
+        FleetCommand::Abort => succeeded(vec![request(console, "FLEET ABORT")?]),
         FleetCommand::Suspend { member } => {
-            well(change(console, "hands", &format!("FLEET SUSPEND {member}"))?)
+            succeeded(change(console, "hands", &format!("FLEET SUSPEND {member}"))?)
         }
         FleetCommand::Restore { member } => {
-            well(change(console, "hands", &format!("FLEET RESTORE {member}"))?)
+            succeeded(change(console, "hands", &format!("FLEET RESTORE {member}"))?)
+        }
+        FleetCommand::Epoch { number } => {
+            succeeded(vec![request(console, &format!("FLEET EPOCH {number}"))?])
         }
-        FleetCommand::Epoch { number } => well(vec![said(console, &format!("FLEET EPOCH {number}"))?]),
     }
 }
 
-/// Runs one of the commands: 0 where it is so or done, 1 where not, 2 where nobody answers.
-pub fn run(asks: &FleetCommand, console: Option<&str>, json: bool) -> ExitCode {
-    let told = console
+/// Runs a command. The exit code is 0 on success, 1 on failure and 2 if no console answers.
+pub fn run(command: &FleetCommand, console: Option<&str>, json: bool) -> ExitCode {
+    let result = console
         .map_or_else(configured_address, |c| Ok(c.to_string()))
-        .map(|console| done(asks, &console, json));
-    match told {
-        Ok(Ok((lines, well))) => {
+        .map(|console| execute(command, &console, json));
+    match result {
+        Ok(Ok((lines, success))) => {
             lines.iter().for_each(|line| cli::print_line(format_args!("{line}")));
-            if well {
+            if success {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
--- a/src/main.rs
+++ b/src/main.rs
@@ -75,7 +75,9 @@
 fn join_folder(place: &Path) -> Result<SharedFolder, String> {
     match Folder::join(place.to_path_buf(), SLOT_TRIES) {
         Ok(Some(folder)) => Ok(SharedFolder::joined(Arc::new(folder))),
-        Ok(None) => Err(format!("two processes of this proxy live already, by {}", place.display())),
+        Ok(None) => {
+            Err(format!("two processes of this proxy are running already, according to {}", place.display()))
+        }
         Err(e) => {
             log::error!(
                 "{}: {e}; nothing is shared with another process of this proxy for now",
@@ -168,7 +170,7 @@
     tell_classes(&slots.current());
     let (memory, idle) = (config.memory >> 20, times.keepalive / 1000);
     log::info!(
-        "limits: {} descriptors, {memory} MiB; members close what is idle for {idle} ms",
+        "limits: {} descriptors, {memory} MiB; members close connections that are idle for {idle} ms",
         config.sockets
     );
     let place = shared_folder_path(&config.name, inherited.is_some());
