--- a/src/check.rs
+++ b/src/check.rs
@@ -39,8 +39,11 @@
             faults.push(format!("{name}: '{address}' is no address with a port"));
         }
     }
-    if config.sockets < 64 {
-        faults.push(format!("limits.sockets: {} leave no room for clients and members", config.sockets));
+    if config.max_descriptors < 64 {
+        faults.push(format!(
+            "limits.sockets: {} leave no room for clients and members",
+            config.max_descriptors
+        ));
     }
     let (names, times) = (config.settings.names(), config.settings.socket_times());
     faults.extend(names.as_ref().err().cloned());
@@ -61,7 +64,7 @@
         faults.extend(names.duplicates());
     }
     let members = config.initial_list.get("instances").and_then(|i| i.as_array()).map_or(0, Vec::len);
-    let limits = (config.sockets, config.memory >> 20);
+    let limits = (config.max_descriptors, config.max_memory_bytes >> 20);
     result(
         faults,
         format!("{classes} classes, {members} members known, {} descriptors, {} MiB", limits.0, limits.1),
--- a/src/config.rs
+++ b/src/config.rs
@@ -19,9 +19,9 @@
     /// Seed of the random number generator.
     pub seed: u64,
     /// Maximum number of file descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Maximum memory, in bytes.
-    pub memory: usize,
+    pub max_memory_bytes: usize,
     /// The member list to start with: the last one that this proxy had.
     pub initial_list: Value,
     /// The settings, flattened.
@@ -65,8 +65,8 @@
         for (field, differs) in [
             ("listen", self.listen != new.listen),
             ("console", self.console != new.console),
-            ("limits.sockets", self.sockets != new.sockets),
-            ("limits.memory_mb", self.memory != new.memory),
+            ("limits.sockets", self.max_descriptors != new.max_descriptors),
+            ("limits.memory_mb", self.max_memory_bytes != new.max_memory_bytes),
         ] {
             if differs {
                 changed.push(field);
@@ -130,8 +130,8 @@
         console: console.filter(|v| !v.is_empty()),
         discovery: text("discovery", "BALANCER_DISCOVERY")?,
         seed: u64::from_str_radix(seed, 16).map_err(|_| format!("the seed '{seed}' is not hex"))?,
-        sockets: limit("/limits/sockets", 1024),
-        memory: limit("/limits/memory_mb", 192).saturating_mul(1024 * 1024),
+        max_descriptors: limit("/limits/sockets", 1024),
+        max_memory_bytes: limit("/limits/memory_mb", 192).saturating_mul(1024 * 1024),
         initial_list,
         settings: FlatSettings::from_json(json.get("settings").unwrap_or(&Value::Null)),
         all_fields: FlatSettings::from_json(&json),
--- a/src/main.rs
+++ b/src/main.rs
@@ -135,13 +135,14 @@
     let inherited = std::env::var(INHERITED_LISTENER_VARIABLE).ok().filter(|v| !v.is_empty());
     // Before everything else, so that clients that connect from now on find a listener.
     let early_listener = listen_early(inherited.as_deref()).await?;
-    log::info!("clients can connect {} us after the start", began.elapsed().as_micros());
+    log::info!("clients can connect {} us after startup began", began.elapsed().as_micros());
     let operators_file = operators::load()?;
     let loaded = config::load();
     let (phase, phase_receiver) = watch::channel(ProcessPhase::Starting);
     let mut accepting = ClientListeners::new(began, phase_receiver.clone());
     let (mut pg_address, mut odata_address) = (None, None);
-    let early_budget = loaded.as_ref().ok().map(|(config, ..)| Budget::new(config.sockets, config.memory));
+    let early_budget =
+        loaded.as_ref().ok().map(|(config, ..)| Budget::new(config.max_descriptors, config.max_memory_bytes));
     let odata_listener = match operators_file.odata.enabled {
         true => Some(bind_odata(&operators_file.odata).await?),
         false => None,
@@ -168,10 +169,10 @@
     let mut slots = ClassSlots::default();
     let (class_table, class_table_receiver) = watch::channel(slots.replace(names, settings.classes.clone()));
     tell_classes(&slots.current());
-    let (memory, idle) = (config.memory >> 20, times.keepalive / 1000);
+    let (memory, idle) = (config.max_memory_bytes >> 20, times.keepalive / 1000);
     log::info!(
         "limits: {} descriptors, {memory} MiB; members close connections that are idle for {idle} ms",
-        config.sockets
+        config.max_descriptors
     );
     let place = shared_folder_path(&config.name, inherited.is_some());
     let shared_folder = match place.clone() {
@@ -179,7 +180,7 @@
         None => SharedFolder::default(),
     };
     let clock = Clock::start();
-    let budget = early_budget.unwrap_or_else(|| Budget::new(config.sockets, config.memory));
+    let budget = early_budget.unwrap_or_else(|| Budget::new(config.max_descriptors, config.max_memory_bytes));
     let (core_mailbox, core_inbox) = mpsc::channel(CORE_MAILBOX_CAPACITY);
     let (commands, command_inbox) = mpsc::channel(COMMAND_MAILBOX_CAPACITY);
     let (list_requests, list_request_inbox) = mpsc::channel(1);
@@ -193,7 +194,7 @@
         Actor::new(settings, members, clock, (core_inbox, command_inbox)).map_err(|e| e.to_string())?;
 
     let mut lists = ListReader::new(zones.clone());
-    // The stored list is available before the first client connects; it may be out of date.
+    // The list of the configuration or the store is available before the first client connects; it may be out of date.
     let initial_list = lists.read(&recovery::list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
     let (held, initial_list) =
         initial_list.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
@@ -274,8 +275,10 @@
         log::info!("operators call at {}", listener.local_addr().map_err(|e| e.to_string())?);
         tokio::spawn(Console::new(control.clone(), phase_receiver.clone(), stored, fleet).run(listener));
     }
-    let repeat_ids =
-        operators_file.odata.enabled.then(|| repeat_ids(&operators_file.odata, config.memory, clock));
+    let repeat_ids = operators_file
+        .odata
+        .enabled
+        .then(|| repeat_ids(&operators_file.odata, config.max_memory_bytes, clock));
     match (shared_folder.get(), place) {
         (Some(folder), _) => {
             let folder = folder.clone();
--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -52,8 +52,11 @@
         let mut reader = Reader { text, blocks: BTreeMap::new(), faults: Vec::new() };
         match hcl_edit::parser::parse_body(text) {
             Err(e) => {
-                let at = e.location();
-                let fault = ConfigFault { location: (at.line(), at.column()), what: e.message().to_string() };
+                let position = e.location();
+                let fault = ConfigFault {
+                    location: (position.line(), position.column()),
+                    what: e.message().to_string(),
+                };
                 reader.faults.push(fault);
             }
             Ok(body) => body.into_iter().for_each(|structure| reader.add_structure(structure)),
@@ -101,16 +104,16 @@
 }
 
 impl Block<'_, '_> {
-    /// Reads a value with `read`; returns the default `or` if it is missing or invalid. `what` describes valid values.
+    /// Reads a value with `read`; returns `default` if it is missing or invalid. `what` describes valid values.
     pub fn read<T>(
         &mut self,
         name: &'static str,
-        or: T,
+        default: T,
         what: &str,
         read: impl Fn(&Expression) -> Option<T>,
     ) -> T {
         self.names_read.insert(name);
-        let Some(attribute) = self.body.as_ref().and_then(|b| b.get_attribute(name)) else { return or };
+        let Some(attribute) = self.body.as_ref().and_then(|b| b.get_attribute(name)) else { return default };
         match read(&attribute.value) {
             Some(value) => value,
             None => {
@@ -118,7 +121,7 @@
                 let what = format!("{}.{name} must be {what}, not {shown}", self.name);
                 let span = attribute.value.span();
                 self.reader.fault(span, what);
-                or
+                default
             }
         }
     }
@@ -134,15 +137,15 @@
     }
 
     /// An integer within a range.
-    pub fn number(&mut self, name: &'static str, or: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
+    pub fn number(&mut self, name: &'static str, default: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
         let what = format!("a whole number from {} to {}", range.start(), range.end());
-        self.read(name, or, &what, |e| e.as_number()?.as_u64().filter(|n| range.contains(n)))
+        self.read(name, default, &what, |e| e.as_number()?.as_u64().filter(|n| range.contains(n)))
     }
 
     /// A string that is not empty.
-    pub fn text(&mut self, name: &'static str, or: &str) -> String {
+    pub fn text(&mut self, name: &'static str, default: &str) -> String {
         let text = |e: &Expression| e.as_str().filter(|s| !s.is_empty()).map(str::to_string);
-        self.read(name, or.to_string(), "a text", text)
+        self.read(name, default.to_string(), "a text", text)
     }
 
     /// One of several words, each with its value; the first is the default.
