--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration that the platform gives a proxy: the file that `BALANCER_CONFIG` names, and environment variables.
+//! The configuration that the platform gives a proxy: the file that `BALANCER_CONFIG` names, and environment
+//! variables.
 
 use crate::interface::Settings;
 use crate::settings::{FlatSettings, Names, SocketTimes};
@@ -148,8 +149,8 @@
     Ok((path, text))
 }
 
-/// Returns the value of an environment variable, or else of a field of the file that `BALANCER_CONFIG` names. This works
-/// even if the file is not a valid configuration.
+/// Returns the value of an environment variable, or else of a field of the file that `BALANCER_CONFIG` names. This
+/// works even if the file is not a valid configuration.
 ///
 /// # Errors
 /// If neither has a value.
@@ -163,7 +164,8 @@
     value.map(str::to_string).ok_or_else(|| format!("{path}: it tells no {field}, nor does {variable}"))
 }
 
-/// Returns the address on which clients connect without validating the rest of the file, since startup listens there first.
+/// Returns the address on which clients connect without validating the rest of the file, since startup listens there
+/// first.
 ///
 /// # Errors
 /// If neither `BALANCER_LISTEN` nor the file contains it.
@@ -200,8 +202,8 @@
     Ok((config, validated))
 }
 
-/// Reads the file that `BALANCER_CONFIG` names again while the process runs. The environment is as old as the process, so
-/// the address of discovery is taken from the file alone.
+/// Reads the file that `BALANCER_CONFIG` names again while the process runs. The environment is as old as the
+/// process, so the address of discovery is taken from the file alone.
 ///
 /// # Errors
 /// As [`parse_replacement`].
@@ -256,7 +258,8 @@
                 Value::Array(items) => drop(items.remove(name.parse::<usize>().expect("an index"))),
                 _ => panic!("{path}"),
             }
-            // One class or tenant fewer is an ordinary change unless other fields depend on it, as for all classes here.
+            // One class or tenant fewer is an ordinary change unless other fields depend on it, as for all classes
+            // here.
             let tenant = within == "/settings/tenants"
                 && less.pointer(within).is_some_and(|t| t != &Value::Array(Vec::new()));
             assert_eq!(refused(&less, &running), !tenant, "without {path}");
--- a/src/console/line.rs
+++ b/src/console/line.rs
@@ -1,7 +1,7 @@
 //! The line protocol of the console: a caller sends one line with a call and gets one line with the reply.
 //!
-//! A call is executed only if its line is complete. An unterminated line is rejected, since a truncated id may be that of
-//! another member.
+//! A call is executed only if its line is complete. An unterminated line is rejected, since a truncated id may be
+//! that of another member.
 
 use bytes::BytesMut;
 use std::borrow::Cow;
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -1,9 +1,9 @@
 //! The console: a TCP listener for operators. A connection carries one line with a call, and one line with the reply.
 //!
 //! Console connections have a limit and reserved descriptors of their own, and their calls reach the core through a
-//! separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the oldest connection that has
-//! not sent a complete line is closed for a new one: idle connections must not lock out an operator. The console itself
-//! decides nothing; it forwards calls to the core and to the agreement.
+//! separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the oldest connection that
+//! has not sent a complete line is closed for a new one: idle connections must not lock out an operator. The console
+//! itself decides nothing; it forwards calls to the core and to the agreement.
 
 pub mod line;
 
@@ -33,8 +33,8 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// A call that is not finished after this time is reported as not done: a caller must have its reply within a second.
 const EXECUTION_TIMEOUT: Duration = Duration::from_millis(800);
-/// The runtime polls the kernel for events before a timer fires, so that a signal sent before a call has been delivered
-/// after this wait.
+/// The runtime polls the kernel for events before a timer fires, so that a signal sent before a call has been
+/// delivered after this wait.
 const SIGNAL_DELIVERY_WAIT: Duration = Duration::from_millis(1);
 /// Delay after a failed accept, and between checks for a free connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/src/discovery_schedule.rs
+++ b/src/discovery_schedule.rs
@@ -1,32 +1,33 @@
-//! When this proxy calls discovery in the situations in which all proxies may call at the same time: after discovery has
-//! moved to another address, and to start the watch that follows a full list. It does no I/O and reads no clock:
-//! `src/net/discovery.rs` asks it and makes the calls. The policy module (`src/policy`) decides when a first call or a
-//! call after a failure is due.
+//! When this proxy calls discovery in the situations in which all proxies may call at the same time: after discovery
+//! has moved to another address, and to start the watch that follows a full list. It does no I/O and reads no clock:
+//! `src/net/discovery.rs` asks it and makes the calls. The policy module (`src/policy`) decides when a first call or
+//! a call after a failure is due.
 //!
 //! Discovery processes calls one after another, so that serving N proxies takes N times as long as serving one. Every
-//! queued call delays all calls behind it; if each proxy started its watch right after its list, the queue would double
-//! for those that still wait for a list. A proxy sees only how long its own call took. When discovery is congested that
-//! includes time in the queue, so the watch waits longer than necessary; when discovery answers within a few ms, the
-//! delay is negligible.
+//! queued call delays all calls behind it; if each proxy started its watch right after its list, the queue would
+//! double for those that still wait for a list. A proxy sees only how long its own call took. When discovery is
+//! congested that includes time in the queue, so the watch waits longer than necessary; when discovery answers within
+//! a few ms, the delay is negligible.
 
 use crate::interface::{Settings, Time};
 use crate::policy::list_calls::{QUEUE_WAIT_MAX, SPAN_PER_CALLER, UNSPREAD_CALLERS};
 use crate::policy::state::hash_fraction;
 
-/// Longest span over which the proxies' calls after a move are spread, in us. A proxy must learn of a change within 6 s
-/// after discovery had it, and the last of these seconds must leave room to retry a failed call.
+/// Longest span over which the proxies' calls after a move are spread, in us. A proxy must learn of a change within
+/// 6 s after discovery had it, and the last of these seconds must leave room to retry a failed call.
 const MOVE_SPAN_MAX: Time = 2_000_000;
-/// Upper bound for the estimate of how long discovery takes to serve one call of each proxy, in us. A watch starts at most
-/// 1.5 times this long after the list, which still reports changes made after the list within the 6 s.
+/// Upper bound for the estimate of how long discovery takes to serve one call of each proxy, in us. A watch starts at
+/// most 1.5 times this long after the list, which still reports changes made after the list within the 6 s.
 const ROUND_MAX: Time = 2_000_000;
 
 /// How long discovery may hold a watch open before it answers, if lists are queried, in us.
 const WATCH_WAIT: Time = 1_500_000;
-/// Allowance for the answer's transit on top of that, in us. The proxy counts as informed of a change 6 s after discovery
-/// had it, even if its call timed out: within that time the call must have timed out and its immediate retry must have
-/// passed discovery's queue and been answered.
+/// Allowance for the answer's transit on top of that, in us. The proxy counts as informed of a change 6 s after
+/// discovery had it, even if its call timed out: within that time the call must have timed out and its immediate
+/// retry must have passed discovery's queue and been answered.
 const ANSWER_TRANSIT: Time = 100_000;
-/// The same allowance for a renewal, in us. A renewal does not queue at discovery, but its answer may be sent behind others.
+/// The same allowance for a renewal, in us. A renewal does not queue at discovery, but its answer may be sent behind
+/// others.
 const RENEWAL_TRANSIT: Time = 700_000;
 
 /// Shortest wait of a watch if lists are pushed, in us: shorter ones would only cost processor time.
@@ -37,8 +38,8 @@
 pub enum Delivery {
     /// One service answers all proxies, one call after another.
     Queried,
-    /// An agent on the proxy's own machine holds the list that discovery has pushed, and answers at once. The proxy counts
-    /// as informed of a change as soon as the agent holds it, whether or not this process has called.
+    /// An agent on the proxy's own machine holds the list that discovery has pushed, and answers at once. The proxy
+    /// counts as informed of a change as soon as the agent holds it, whether or not this process has called.
     Pushed {
         /// How long after that moment a draining or removed member may still be sent requests, in us.
         drain_grace: Time,
@@ -63,9 +64,9 @@
         }
     }
 
-    /// How long a watch may wait for a change, in us. A renewal does not queue at discovery, so a short wait costs little
-    /// and an unresponsive service is noticed sooner. The proxy counts as informed of what an agent receives at once, so
-    /// an unresponsive agent must be noticed within the drain grace.
+    /// How long a watch may wait for a change, in us. A renewal does not queue at discovery, so a short wait costs
+    /// little and an unresponsive service is noticed sooner. The proxy counts as informed of what an agent receives
+    /// at once, so an unresponsive agent must be noticed within the drain grace.
     fn watch_wait(self) -> Time {
         match self {
             Delivery::Queried => WATCH_WAIT,
@@ -119,9 +120,9 @@
 /// What to do after a call that returned no list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailedCallAction {
-    /// Retry at once. A call without an answer may be broken while discovery itself works, and the pauses after a failed
-    /// call would exceed the time left until the proxy counts as informed. The retries of all proxies do not coincide, as
-    /// calls that lost their answers at the same moment had waited since different moments.
+    /// Retry at once. A call without an answer may be broken while discovery itself works, and the pauses after a
+    /// failed call would exceed the time left until the proxy counts as informed. The retries of all proxies do not
+    /// coincide, as calls that lost their answers at the same moment had waited since different moments.
     RetryNow,
     /// Retry after a short pause: the agent serves this proxy alone, so no other proxy's call queues behind.
     RetryAfterPause,
--- a/src/dnssd/browse.rs
+++ b/src/dnssd/browse.rs
@@ -1,9 +1,9 @@
 //! The actor that browses for members: unicast DNS over TCP to one server (RFC 6763, RFC 7766).
 //!
-//! It replaces discovery and sends the core the same typed lists. It queries the service's PTR records, then the SRV, TXT
-//! and A records of each instance, and sends the resulting members as a full list. It queries again before a record's time
-//! to live ends, and at least every ten seconds. A record that expires without renewal, or that the server no longer
-//! returns, is missing from the next list.
+//! It replaces discovery and sends the core the same typed lists. It queries the service's PTR records, then the SRV,
+//! TXT and A records of each instance, and sends the resulting members as a full list. It queries again before a
+//! record's time to live ends, and at least every ten seconds. A record that expires without renewal, or that the
+//! server no longer returns, is missing from the next list.
 
 use super::records::RecordCache;
 use crate::clock::Clock;
@@ -29,8 +29,8 @@
 const ROUND_INTERVAL_MAX: Time = 10_000_000;
 /// Records are queried again this long before they expire, in us.
 const RENEW_AHEAD: Time = 1_500_000;
-/// Maximum number of instances that are queried, so that no answer can cause unbounded queries. A single DNS message cannot
-/// name more instances than this.
+/// Maximum number of instances that are queried, so that no answer can cause unbounded queries. A single DNS message
+/// cannot name more instances than this.
 const INSTANCES_MAX: usize = 4_096;
 
 /// The browsing actor.
--- a/src/dnssd/records.rs
+++ b/src/dnssd/records.rs
@@ -49,8 +49,8 @@
 }
 
 impl RecordCache {
-    /// Stores the answer to one query. It is complete for `name` and `kind`: cached records that it does not contain are
-    /// removed, as is a record with a time to live of 0. Records for other names or types are added to the cache.
+    /// Stores the answer to one query. It is complete for `name` and `kind`: cached records that it does not contain
+    /// are removed, as is a record with a time to live of 0. Records for other names or types are added to the cache.
     pub fn store_answer(&mut self, name: &Name, kind: RecordType, records: &[Record], now: Time) {
         self.remove(name, kind);
         for record in records {
@@ -126,8 +126,8 @@
         records.into_iter().flatten().map(|((.., target), _)| target.clone()).collect()
     }
 
-    /// The members that the cached records describe. Instances whose records are incomplete or unusable are skipped and
-    /// counted.
+    /// The members that the cached records describe. Instances whose records are incomplete or unusable are skipped
+    /// and counted.
     pub fn members(
         &self,
         service: &Name,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The `fleet` commands, which call the console of any proxy of a fleet whose proxies agree on settings and suspensions.
+//! The `fleet` commands, which call the console of any proxy of a fleet whose proxies agree on settings and
+//! suspensions.
 
 use crate::cli::{self, FleetCommand};
 use crate::console_client::{call, configured_address};
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// Formats a log line as one JSON object: `time` (RFC 3339, UTC), `level`, `target`, `message` and the line's structured
-/// fields. A structured field with one of these four names is omitted.
+/// Formats a log line as one JSON object: `time` (RFC 3339, UTC), `level`, `target`, `message` and the line's
+/// structured fields. A structured field with one of these four names is omitted.
 pub fn json(record: &log::Record, time: &str) -> String {
     let mut fields = Fields(Map::new());
     // If a field cannot be read, the line is written without it.
--- a/src/main.rs
+++ b/src/main.rs
@@ -59,7 +59,8 @@
 const COMMAND_MAILBOX_CAPACITY: usize = 64;
 /// Environment variable with the descriptor of a listener that the platform keeps open for this proxy.
 const INHERITED_LISTENER_VARIABLE: &str = "BALANCER_ACCEPT_FD";
-/// Number of attempts, about 5 s in total, to take one of the two process slots while the process before the last one ends.
+/// Number of attempts, about 5 s in total, to take one of the two process slots while the process before the last one
+/// ends.
 const SLOT_TRIES: usize = 250;
 /// The counters of client connections of the two fronts.
 const PG_CONNECTIONS: Count = Count::pg_connections;
@@ -108,14 +109,15 @@
     transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
-/// Creates an empty ledger of repeat ids. The answers stored in it share the process's memory, so their size is limited.
+/// Creates an empty ledger of repeat ids. The answers stored in it share the process's memory, so their size is
+/// limited.
 fn repeat_ids(odata: &OdataConfig, memory: usize, clock: Clock) -> RepeatIds {
     let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_id_lifetime, clock)
 }
 
-/// Runs a part of startup that may block. With `waits`, it runs on a separate thread, so that clients that connect in the
-/// meantime are handled; an ordinary startup does not need this thread.
+/// Runs a part of startup that may block. With `waits`, it runs on a separate thread, so that clients that connect in
+/// the meantime are handled; an ordinary startup does not need this thread.
 async fn off_thread<T: Send + 'static>(
     waits: bool,
     work: impl FnOnce() -> Result<T, String> + Send + 'static,
@@ -127,8 +129,8 @@
 }
 
 async fn run(began: Instant) -> Result<(), String> {
-    // Handlers are installed first: without a handler each of these signals would end the process, and they may be sent as
-    // soon as the process reports that it serves.
+    // Handlers are installed first: without a handler each of these signals would end the process, and they may be
+    // sent as soon as the process reports that it serves.
     let listen_for = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let (hangup, mut usr1) = (listen_for(SignalKind::hangup())?, listen_for(SignalKind::user_defined1())?);
     let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
--- a/src/meter.rs
+++ b/src/meter.rs
@@ -1,8 +1,8 @@
 //! Exact counts of what requests cost: allocations, socket calls, wake-ups and bytes copied.
 //!
-//! Costs are counted only if the feature `meter` is enabled, for `linentrail-lab cost`; otherwise this module does nothing.
-//! Allocations are counted by `stats_alloc`, which is then the program's allocator; wake-ups are the number of times that
-//! the runtime polled the kernel for events.
+//! Costs are counted only if the feature `meter` is enabled, for `linentrail-lab cost`; otherwise this module does
+//! nothing. Allocations are counted by `stats_alloc`, which is then the program's allocator; wake-ups are the number
+//! of times that the runtime polled the kernel for events.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -1,5 +1,5 @@
-//! Strict parser of the operators' file: only known blocks and names are allowed, each at most once, and each value must
-//! have its type. All faults are collected with their locations and reported together. It does no I/O.
+//! Strict parser of the operators' file: only known blocks and names are allowed, each at most once, and each value
+//! must have its type. All faults are collected with their locations and reported together. It does no I/O.
 
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Body, Structure};
@@ -93,7 +93,8 @@
         Block { reader: self, name, body, names_read: BTreeSet::new() }
     }
 
-    /// Returns all faults in the order of the file, once all blocks have been read. Blocks that were not read are faults.
+    /// Returns all faults in the order of the file, once all blocks have been read. Blocks that were not read are
+    /// faults.
     pub fn finish(mut self) -> Vec<ConfigFault> {
         for (name, body) in std::mem::take(&mut self.blocks) {
             self.fault(body.span(), format!("there is no block '{name}'"));
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' file, `deploy/linentrail.hcl`: the settings of all features outside the platform's protocol. A setting
-//! that is left out has its default, and by default all these features are off. None of them can be turned on by an
-//! environment variable alone.
+//! The operators' file, `deploy/linentrail.hcl`: the settings of all features outside the platform's protocol. A
+//! setting that is left out has its default, and by default all these features are off. None of them can be turned on
+//! by an environment variable alone.
 
 pub mod agreement;
 pub mod hcl;
@@ -84,8 +84,8 @@
     pub snapshot_interval: Duration,
     /// What to do if the configuration cannot be used.
     pub on_broken_config: OnBrokenConfig,
-    /// If suspensions may have been lost: how long after startup `STATUS` reports that the process is not ready, unless
-    /// the operators send `CONFIRM`.
+    /// If suspensions may have been lost: how long after startup `STATUS` reports that the process is not ready,
+    /// unless the operators send `CONFIRM`.
     pub confirm_timeout: Duration,
 }
 
@@ -190,8 +190,8 @@
     }
 }
 
-/// Reads the file that `LINENTRAIL_FILE` names, or the one at the default path; if that does not exist, all features are
-/// off.
+/// Reads the file that `LINENTRAIL_FILE` names, or the one at the default path; if that does not exist, all features
+/// are off.
 ///
 /// # Errors
 /// With all faults, on one line.
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The orderly shutdown of the process: new clients are accepted for a while, then connections are closed between requests,
-//! and every accepted request is answered.
+//! The orderly shutdown of the process: new clients are accepted for a while, then connections are closed between
+//! requests, and every accepted request is answered.
 
 use crate::clock::Clock;
 use crate::interface::Time;
@@ -13,8 +13,8 @@
 
 /// Time beyond the longest deadline that open requests get after new clients are no longer accepted.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// By the platform's protocol a process may be killed this long after SIGTERM plus the longest deadline, in us. The deadline
-/// counts as three seconds at most.
+/// By the platform's protocol a process may be killed this long after SIGTERM plus the longest deadline, in us. The
+/// deadline counts as three seconds at most.
 const KILL_MARGIN: Time = 700_000;
 const DEADLINE_BEFORE_KILL_MAX: Time = 3_000_000;
 /// Answers must have arrived this long before that moment, in us.
