--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -20,7 +20,7 @@
 use crate::interface::{ListKind, Time};
 use crate::net::discovery::{self, ListReader};
 use crate::net::transient;
-use crate::operators::agreement::{Agreement, OnLapse};
+use crate::operators::agreement::{AgreementConfig, OnLeaseExpiry};
 use crate::store::actor::StoreHandle;
 use crate::store::state::RecoveryStatus;
 use bytes::Bytes;
@@ -99,7 +99,7 @@
 /// What the actor depends on.
 pub struct Dependencies {
     /// The block `agreement` of the operators' file.
-    pub config: Agreement,
+    pub config: AgreementConfig,
     /// The keys that the block names.
     pub keys: Keys,
     /// The control channel of the core.
@@ -211,19 +211,19 @@
     ) -> Result<(Self, mpsc::Receiver<FetchRequest>), String> {
         let config = &deps.config;
         let address =
-            config.proxies.get(&config.me).copied().ok_or("agreement.me is not one of agreement.proxies")?;
+            config.proxies.get(&config.own_number).copied().ok_or("agreement.me is not one of agreement.proxies")?;
         let bind_error = |e: std::io::Error| format!("agreement: {address}: {e}");
         let socket = Arc::new(transient::listen_datagrams(address).await.map_err(bind_error)?);
         let listener = transient::listen(address).await.map_err(bind_error)?;
         let now = deps.clock.now();
         let instance_config = InstanceConfig {
-            me: config.me,
+            me: config.own_number,
             incarnation: now,
             voters: config.voters.clone(),
-            timing: config.times,
-            seed: deps.seed ^ u64::from(config.me),
+            timing: config.timing,
+            seed: deps.seed ^ u64::from(config.own_number),
         };
-        let is_voter = config.voters.contains(&config.me);
+        let is_voter = config.voters.contains(&config.own_number);
         let voter = recovered.as_ref().filter(|_| is_voter).map(|recovered| recovered.voter(now));
         let mut instance = Instance::new(instance_config, voter, now);
         let mut documents = BTreeMap::new();
@@ -240,9 +240,11 @@
         let (fetch_requests, fetches) = mpsc::channel(CHANNEL_CAPACITY);
         tokio::spawn(fetch::serve(listener, deps.keys.clone(), fetch_requests));
         let (task_results, finished_tasks) = mpsc::channel(CHANNEL_CAPACITY);
-        let (sender, receiver) =
-            (Sender::new(deps.keys.clone(), config.me, now), Receiver::new(deps.keys.clone(), config.me));
-        log::info!("agreement: proxy {} of {} listens at {address}", config.me, config.proxies.len());
+        let (sender, receiver) = (
+            Sender::new(deps.keys.clone(), config.own_number, now),
+            Receiver::new(deps.keys.clone(), config.own_number),
+        );
+        log::info!("agreement: proxy {} of {} listens at {address}", config.own_number, config.proxies.len());
         let actor = AgreementActor {
             instance,
             socket,
@@ -536,7 +538,7 @@
         let now = self.deps.clock.now();
         let list_version = self.deps.list_version.load(Ordering::Relaxed).max(self.list.0);
         self.instance.set_list_version(list_version);
-        let may_fetch = self.deps.config.lists && !self.list.1;
+        let may_fetch = self.deps.config.exchange_lists && !self.list.1;
         if let Some((_, holder)) = self.instance.newer_list().filter(|_| may_fetch) {
             self.list.1 = true;
             self.fetch(holder, Resource::MemberList, TaskResult::ListFetched);
@@ -544,7 +546,7 @@
         let Some((values, until)) = self.instance.leased_values(now) else {
             if self.lapsed_since.is_none() {
                 self.lapsed_since = Some(now);
-                if self.deps.config.on_lapse == OnLapse::GoOn {
+                if self.deps.config.on_lease_expiry == OnLeaseExpiry::Continue {
                     count(Count::agreement_lapses);
                     log::warn!(
                         "the lease has expired; going on by the last rules, so the bound on changes is not kept"
@@ -565,7 +567,7 @@
         if until > self.lease_until {
             log::debug!(target: "rules", us = now, until = until; "leased");
         }
-        if until > self.lease_until && self.deps.config.on_lapse == OnLapse::Refuse {
+        if until > self.lease_until && self.deps.config.on_lease_expiry == OnLeaseExpiry::Refuse {
             self.deps.control.send(CoreCommand::ExtendLease(until)).await?;
         }
         self.lease_until = until;
@@ -625,9 +627,9 @@
     fn propose_initial(&mut self, settings: ActiveVersions, suspensions: ActiveVersions) {
         let now = self.deps.clock.now();
         let lowest = self.deps.config.voters.iter().min().copied();
-        let waited = self.lapsed_since.is_some_and(|since| now > since + 4 * self.deps.config.times.lease);
-        if !self.deps.config.voters.contains(&self.deps.config.me)
-            || !(waited || lowest == Some(self.deps.config.me))
+        let waited = self.lapsed_since.is_some_and(|since| now > since + 4 * self.deps.config.timing.lease);
+        if !self.deps.config.voters.contains(&self.deps.config.own_number)
+            || !(waited || lowest == Some(self.deps.config.own_number))
         {
             return;
         }
@@ -636,7 +638,7 @@
             [(Kind::Settings, settings, own), (Kind::Suspensions, suspensions, String::new())]
         {
             if active == ActiveVersions::Nothing && self.instance.awaited_voters(kind).is_empty() {
-                let author = format!("the file of proxy {}", self.deps.config.me);
+                let author = format!("the file of proxy {}", self.deps.config.own_number);
                 let _ = self.propose(kind, author, body, (0, Hash::default()));
             }
         }
--- a/src/agreement_io/status.rs
+++ b/src/agreement_io/status.rs
@@ -55,7 +55,7 @@
 impl AgreementActor {
     /// The state of the fleet as seen from this proxy: JSON on one line.
     pub(super) fn status(&self) -> String {
-        let (now, timing) = (self.deps.clock.now(), self.deps.config.times);
+        let (now, timing) = (self.deps.clock.now(), self.deps.config.timing);
         let lease = self.instance.leased_values(now).map(|(_, until)| (until - now) / 1000);
         let revisions = self.applied.map_or([0; 2], |applied| applied.map(|v| v.revision));
         let kind_json = |kind: Kind| {
@@ -69,7 +69,7 @@
         };
         let proxy_json = |number: &u16| {
             let peer = self.instance.peers().get(number).copied().unwrap_or_default();
-            let me = *number == self.deps.config.me;
+            let me = *number == self.deps.config.own_number;
             let ago = |at: Time| now.saturating_sub(at) / 1000;
             json!({"number": number, "votes": self.deps.config.voters.contains(number), "this": me,
                 "heard_ms": if me { Some(0) } else { (peer.last_heard > 0).then(|| ago(peer.last_heard)) },
@@ -77,7 +77,7 @@
                 "forgot": peer.recovering, "drifts": peer.clock_drifts})
         };
         let mut status = json!({
-            "me": self.deps.config.me, "lease_ms": lease, "bound_ms": timing.change_bound() / 1000,
+            "me": self.deps.config.own_number, "lease_ms": lease, "bound_ms": timing.change_bound() / 1000,
             "last": self.last_change, "acts_on": revisions, "votes": self.instance.can_vote(),
             "proxies": self.deps.config.proxies.keys().map(proxy_json).collect::<Vec<_>>(),
         });
--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -1,9 +1,9 @@
-//! The operators' second address: one call a line, one line a connection.
+//! The console: a TCP listener for operators. A connection carries one line with a call, and one line with the reply.
 //!
-//! Callers have seats of their own, for which descriptors are set aside, and their calls reach the core by a mailbox of
-//! their own, so that neither clients nor a core with much to do hold an answer up. When all seats are taken the caller
-//! goes who has been longest without a whole line: callers that keep a connection and say nothing must not keep out
-//! one that has something to say. It knows no decisions.
+//! Console connections have a limit and reserved descriptors of their own, and their calls reach the core through a
+//! separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the oldest connection that
+//! has not sent a complete line is closed for a new one: idle connections must not lock out an operator. The console
+//! itself decides nothing; it forwards calls to the core and to the agreement.
 
 pub mod line;
 
@@ -15,7 +15,7 @@
 use crate::net::socket::Socket;
 use crate::phases;
 use futures_util::{SinkExt, StreamExt};
-use line::{Call, Fleet, Line, Lines, Reply};
+use line::{Call, FleetCall, Line, LineCodec, Reply};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -25,37 +25,39 @@
 use tokio::task::AbortHandle;
 use tokio_util::codec::Framed;
 
-/// Callers at a time.
-pub const SEATS: usize = 12;
-/// How long a caller may take over its line, and to take in its answer.
-const PATIENCE: Duration = Duration::from_secs(15);
-const LAST_WORD: Duration = Duration::from_secs(2);
-/// By then a caller is told that its call was not done: an answer is owed within a second.
-const DONE: Duration = Duration::from_millis(800);
-/// A timer fires only behind a look at what the kernel has to tell: whatever signal came before a call is heard by then.
-const SIGNALS_HEARD: Duration = Duration::from_millis(1);
-/// After a failure to accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of concurrent connections.
+pub const CONNECTIONS_MAX: usize = 12;
+/// How long a caller may take to send its line.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a caller may take to receive its reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// A call that is not finished after this time is reported as not done: a caller must have its reply within a second.
+const EXECUTION_TIMEOUT: Duration = Duration::from_millis(800);
+/// The runtime polls the kernel for events before a timer fires, so that a signal sent before a call has been
+/// delivered after this wait.
+const SIGNAL_DELIVERY_WAIT: Duration = Duration::from_millis(1);
+/// Delay after a failed accept, and between checks for a free connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What every caller needs.
+/// The console; each connection has a copy.
 #[derive(Clone)]
 pub struct Console {
     control: ControlHandle,
     phase: PhaseReceiver,
-    /// The configuration was not to be read, and a stored one holds.
+    /// The configuration could not be read, and a stored one is in use.
     stored: Arc<AtomicBool>,
-    /// Where the proxies of a fleet agree.
+    /// Mailbox of the agreement, if the fleet has one.
     fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
 }
 
 struct Caller {
     task: AbortHandle,
-    /// Its line has come.
-    whole: Arc<AtomicBool>,
+    /// A complete line has arrived.
+    line_complete: Arc<AtomicBool>,
 }
 
 impl Console {
-    /// One that hands its calls to the control.
+    /// Creates a console that sends its calls to `control` and, for the fleet, to `fleet`.
     pub fn new(
         control: ControlHandle,
         phase: PhaseReceiver,
@@ -65,7 +67,7 @@
         Console { control, phase, stored, fleet }
     }
 
-    /// Takes callers until the process ends.
+    /// Accepts callers until the process ends.
     pub async fn run(self, listener: TcpListener) {
         let mut callers: VecDeque<Caller> = VecDeque::new();
         loop {
@@ -73,80 +75,85 @@
                 Ok((stream, _)) => stream,
                 Err(e) => {
                     log::warn!("a caller of the console could not be accepted: {e}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             callers.retain(|c| !c.task.is_finished());
-            while callers.len() >= SEATS {
-                let silent = callers.iter().position(|c| !c.whole.load(Ordering::Relaxed));
-                match silent.and_then(|at| callers.remove(at)) {
+            while callers.len() >= CONNECTIONS_MAX {
+                let incomplete = callers.iter().position(|c| !c.line_complete.load(Ordering::Relaxed));
+                match incomplete.and_then(|at| callers.remove(at)) {
                     Some(caller) => {
                         count(Count::console_made_room);
                         caller.task.abort();
                     }
-                    // All are being answered, which takes no longer than an answer may.
-                    None => tokio::time::sleep(PAUSE).await,
+                    // All connections have a call in progress, which ends within its timeout.
+                    None => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
                 callers.retain(|c| !c.task.is_finished());
             }
             count(Count::console_connections);
-            let whole = Arc::new(AtomicBool::new(false));
-            let (console, told) = (self.clone(), whole.clone());
-            let task = tokio::spawn(async move { console.serve(stream, &told).await });
-            callers.push_back(Caller { task: task.abort_handle(), whole });
-            // It reads what it has sent already before the next caller can push it out.
+            let line_complete = Arc::new(AtomicBool::new(false));
+            let (console, complete) = (self.clone(), line_complete.clone());
+            let task = tokio::spawn(async move { console.serve(stream, &complete).await });
+            callers.push_back(Caller { task: task.abort_handle(), line_complete });
+            // Lets the task read a line that has already arrived before the next caller can evict it.
             tokio::task::yield_now().await;
         }
     }
 
-    async fn serve(&self, stream: TcpStream, whole: &AtomicBool) {
-        let mut conn = Framed::with_capacity(Socket::new(stream), Lines::default(), line::LONGEST);
-        let Ok(Some(Ok(said))) = tokio::time::timeout(PATIENCE, conn.next()).await else { return };
-        whole.store(true, Ordering::Relaxed);
+    async fn serve(&self, stream: TcpStream, line_complete: &AtomicBool) {
+        let mut conn = Framed::with_capacity(Socket::new(stream), LineCodec::default(), line::LINE_BYTES_MAX);
+        let Ok(Some(Ok(line))) = tokio::time::timeout(CALL_TIMEOUT, conn.next()).await else { return };
+        line_complete.store(true, Ordering::Relaxed);
         count(Count::console_calls);
-        let reply = match said {
+        let reply = match line {
             Line::Call(call) => {
-                let reply = match tokio::time::timeout(DONE, self.answer(&call)).await {
+                let reply = match tokio::time::timeout(EXECUTION_TIMEOUT, self.answer(&call)).await {
                     Ok(reply) => reply,
-                    Err(_) => Reply::No("not done in time; ask again".to_string()),
+                    Err(_) => Reply::Failure("not done in time; ask again".to_string()),
                 };
-                if !matches!(call, Call::Status | Call::Phase | Call::Fleet(Fleet::Status | Fleet::History)) {
+                if !matches!(
+                    call,
+                    Call::Status | Call::Phase | Call::Fleet(FleetCall::Status | FleetCall::History)
+                ) {
                     log::info!("the operators ask {call:?}: {reply}");
                 }
                 reply
             }
-            Line::Wrong(why) => Reply::No(why),
+            Line::Invalid(why) => Reply::Failure(why),
         };
-        if matches!(reply, Reply::No(_)) {
+        if matches!(reply, Reply::Failure(_)) {
             count(Count::console_refused);
         }
-        let last_word = async {
+        let send_reply = async {
             conn.send(reply).await?;
             crate::net::client_close::shutdown_and_drain(conn.into_inner()).await
         };
-        let _ = tokio::time::timeout(LAST_WORD, last_word).await;
+        let _ = tokio::time::timeout(REPLY_TIMEOUT, send_reply).await;
     }
 
     async fn answer(&self, call: &Call) -> Reply {
-        let (told, done) = match call {
+        let (result, done) = match call {
             Call::Status => return self.status().await,
             Call::Phase => {
                 return match self.control.request(CoreCommand::QueryStartup).await {
-                    Some(told) if told.phase == phases::Phase::Full => Reply::Yes(told.to_string().into()),
-                    Some(told) => Reply::No(told.to_string()),
-                    None => Reply::No("ending".to_string()),
+                    Some(startup) if startup.phase == phases::Phase::Full => {
+                        Reply::Success(startup.to_string().into())
+                    }
+                    Some(startup) => Reply::Failure(startup.to_string()),
+                    None => Reply::Failure("ending".to_string()),
                 }
             }
             Call::Confirm => {
                 return match self.control.request(CoreCommand::ConfirmSuspensions).await {
-                    Some(true) => Reply::Yes("confirmed".into()),
-                    Some(false) => Reply::No("nothing waits to be confirmed".to_string()),
-                    None => Reply::No("ending".to_string()),
+                    Some(true) => Reply::Success("confirmed".into()),
+                    Some(false) => Reply::Failure("nothing waits to be confirmed".to_string()),
+                    None => Reply::Failure("ending".to_string()),
                 }
             }
             Call::Fleet(call) => {
-                return self.fleet(call).await.map_or_else(Reply::No, |yes| Reply::Yes(yes.into()))
+                return self.fleet(call).await.map_or_else(Reply::Failure, |yes| Reply::Success(yes.into()))
             }
             Call::Suspend(id) => (
                 self.control
@@ -161,51 +168,53 @@
                 "back",
             ),
         };
-        told.map_or_else(Reply::No, |()| Reply::Yes(done.into()))
+        result.map_or_else(Reply::Failure, |()| Reply::Success(done.into()))
     }
 
-    async fn fleet(&self, call: &Fleet) -> Result<String, String> {
-        let ask = match call {
-            Fleet::Status => OperatorCommand::Status,
-            Fleet::History => OperatorCommand::History,
-            Fleet::Propose(path, author) => {
+    async fn fleet(&self, call: &FleetCall) -> Result<String, String> {
+        let command = match call {
+            FleetCall::Status => OperatorCommand::Status,
+            FleetCall::History => OperatorCommand::History,
+            FleetCall::Propose(path, author) => {
                 OperatorCommand::Propose(author.clone(), agreement_io::read_settings_json(path).await?)
             }
-            Fleet::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
-            Fleet::Abort => OperatorCommand::Abort,
-            Fleet::Epoch(number) => OperatorCommand::BeginEpoch(*number),
+            FleetCall::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
+            FleetCall::Abort => OperatorCommand::Abort,
+            FleetCall::Epoch(number) => OperatorCommand::BeginEpoch(*number),
         };
         let fleet = self.fleet.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
         let ending = || "the process ends".to_string();
         let (reply, answer) = oneshot::channel();
-        fleet.send((ask, reply)).await.map_err(|_| ending())?;
+        fleet.send((command, reply)).await.map_err(|_| ending())?;
         answer.await.map_err(|_| ending())?
     }
 
-    /// Yes only where a client would really be served.
+    /// Succeeds only if a client would be served now.
     async fn status(&self) -> Reply {
-        tokio::time::sleep(SIGNALS_HEARD).await;
+        tokio::time::sleep(SIGNAL_DELIVERY_WAIT).await;
         let phase = *self.phase.borrow();
         match phase {
-            ProcessPhase::Starting => return Reply::No("starting: clients are not taken yet".to_string()),
+            ProcessPhase::Starting => {
+                return Reply::Failure("starting: clients are not taken yet".to_string())
+            }
             ProcessPhase::HandingOver | ProcessPhase::Closing | ProcessPhase::Ended => {
-                return Reply::No("ending".to_string())
+                return Reply::Failure("ending".to_string())
             }
             ProcessPhase::Serving => {}
         }
         match self.control.request(CoreCommand::QueryReadiness).await {
             Some(Readiness::Ready) if self.stored.load(Ordering::Relaxed) => {
-                Reply::Yes("serving, by the last configuration that held".into())
+                Reply::Success("serving, by the last configuration that held".into())
             }
-            Some(Readiness::Ready) => Reply::Yes("serving".into()),
+            Some(Readiness::Ready) => Reply::Success("serving".into()),
             Some(Readiness::NoUsableMember) => {
-                Reply::No("no member is listed that requests could go to".to_string())
+                Reply::Failure("no member is listed that requests could go to".to_string())
             }
             Some(Readiness::SuspensionsUnconfirmed) => {
                 let why = "what was said by hand may be lost; say it again, then CONFIRM";
-                Reply::No(why.to_string())
+                Reply::Failure(why.to_string())
             }
-            None => Reply::No("ending".to_string()),
+            None => Reply::Failure("ending".to_string()),
         }
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 //! polled, it starts when the module requests it; where an agent pushes the lists, it starts with the process.
 //!
 //! Where discovery is polled, failed calls are reported to the module, which decides when to call again; a watch
-//! that timed out is renewed at once (`src/listing.rs`). The current list and its version are kept on failure, as a
+//! that timed out is renewed at once (`src/discovery_schedule.rs`). The current list and its version are kept on failure, as a
 //! whole list costs discovery many times as much as a watch and all proxies of a large fleet may ask at the same
 //! time. Discovery ends a watch that is not renewed within 200 ms of its last answer, so this actor passes each
 //! answer to the core and calls again at once, except for a short pause after an answer that came immediately and
@@ -11,15 +11,15 @@
 //!
 //! When discovery moves, the open call is aborted and the whole list is fetched from the new address: a few seconds
 //! later the proxy is assumed to know that list, whether it has fetched it or not. When all proxies may call at the
-//! same moment, [`Listing`] spreads the calls.
+//! same moment, [`CallSchedule`] spreads the calls.
 
 use super::socket::Socket;
 use super::transient;
 use crate::core::counters::{count, Count};
 use crate::core::{Input, ListedMember};
+use crate::discovery_schedule::{CallSchedule, Delivery, FailedCallAction, ListCall};
 use crate::http::{Headers, HttpClient, HttpRequest};
 use crate::interface::*;
-use crate::listing::{Call, Delivery, Listing, Next};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::{json, Value as Json};
@@ -234,7 +234,7 @@
     /// The version of the list that is held, for readers outside the actor.
     pub version: Arc<AtomicU64>,
     service: watch::Receiver<DiscoveryService>,
-    listing: Listing,
+    listing: CallSchedule,
     /// Delay before the next call.
     pause: Duration,
     lists: ListReader,
@@ -256,7 +256,7 @@
     /// counts as a move, even an equal one.
     pub fn new(
         service: watch::Receiver<DiscoveryService>,
-        listing: Listing,
+        listing: CallSchedule,
         lists: ListReader,
         held: Option<u64>,
         core: mpsc::Sender<Input>,
@@ -297,7 +297,7 @@
         requests: &mut mpsc::Receiver<ListRequest>,
         service: &mut watch::Receiver<DiscoveryService>,
     ) -> bool {
-        if self.delivery() != Delivery::Asked {
+        if self.delivery() != Delivery::Queried {
             return !self.core.is_closed();
         }
         tokio::select! {
@@ -349,7 +349,7 @@
             // something changes.
             if whole && kind == ListKind::Full {
                 let took = began.elapsed().as_micros() as Time;
-                self.pause = Duration::from_micros(self.listing.listed(self.callers(), took));
+                self.pause = Duration::from_micros(self.listing.delay_after_list(self.callers(), took));
             }
             // A service that answers watches immediately would be called as fast as it answers. The watch survives
             // this pause.
@@ -370,13 +370,13 @@
 
     /// Whether this actor repeats a failed call itself. Waits for the delay before it.
     async fn retries(&mut self, silent: bool) -> bool {
-        match self.delivery().failed(silent) {
-            Next::Again => return !self.core.is_closed(),
-            Next::Soon => tokio::time::sleep(AGENT_RETRY_INTERVAL).await,
-            Next::Told if self.moved_at.is_some_and(|since| since.elapsed() < MOVE_RETRY_PERIOD) => {
+        match self.delivery().after_failure(silent) {
+            FailedCallAction::RetryNow => return !self.core.is_closed(),
+            FailedCallAction::RetryAfterPause => tokio::time::sleep(AGENT_RETRY_INTERVAL).await,
+            FailedCallAction::ReportFailure if self.moved_at.is_some_and(|since| since.elapsed() < MOVE_RETRY_PERIOD) => {
                 tokio::time::sleep(MOVE_RETRY_INTERVAL).await;
             }
-            Next::Told => return false,
+            FailedCallAction::ReportFailure => return false,
         }
         !self.core.is_closed()
     }
@@ -395,7 +395,7 @@
     fn on_move(&mut self) {
         (self.connection, self.held, self.renewing) = (None, None, false);
         let waited = self.unlisted_since.get_or_insert_with(Instant::now).elapsed().as_micros() as Time;
-        self.pause = Duration::from_micros(self.listing.moved(self.callers(), waited));
+        self.pause = Duration::from_micros(self.listing.delay_after_move(self.callers(), waited));
         self.moved_at = Some(Instant::now() + self.pause);
         count(Count::list_moves);
     }
@@ -410,12 +410,12 @@
         }
         let delivery = self.delivery();
         let (target, call) = match self.held {
-            None => ("/api/targets".to_string(), Call::Whole),
+            None => ("/api/targets".to_string(), ListCall::FullList),
             Some(version) => {
                 let call = match (self.confirmed, self.renewing) {
-                    (false, _) => Call::Confirm,
-                    (true, true) => Call::Renewal,
-                    (true, false) => Call::Watch,
+                    (false, _) => ListCall::Confirm,
+                    (true, true) => ListCall::Renewal,
+                    (true, false) => ListCall::Watch,
                 };
                 let wait = delivery.wait(call) / 1000;
                 (format!("/api/targets?after={version}&wait_ms={wait}"), call)
--- a/src/net/discovery_tests.rs
+++ b/src/net/discovery_tests.rs
@@ -37,14 +37,14 @@
         let service_at = |n: usize| DiscoveryService {
             address: addresses[n % services].clone(),
             proxies: 300,
-            delivery: Delivery::Asked,
+            delivery: Delivery::Queried,
         };
         let (moves, service) = watch::channel(service_at(0));
         let (core, mut inputs) = mpsc::channel(8);
         let (requests, receiver) = mpsc::channel(1);
         let lists = ListReader::new(vec!["a".into()]);
         // With this seed the first calls are scheduled late.
-        let discovery = Discovery::new(service, Listing::new(3), lists, Some(3), core);
+        let discovery = Discovery::new(service, CallSchedule::new(3), lists, Some(3), core);
         tokio::spawn(discovery.run(receiver));
         let began = Instant::now();
         for n in 1.. {
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -3,14 +3,14 @@
 
 use crate::agreement_io::RecoveredVotes;
 use crate::clock::Clock;
-use crate::config::{self, Config, Sound};
+use crate::config::{self, Config, ValidatedConfig};
 use crate::core::counters::{count, Count};
 use crate::core::CoreCommand;
 use crate::handover::ControlHandle;
 use crate::interface::Time;
 use crate::knowledge::{Knowledge, TimestampedText};
 use crate::net::discovery;
-use crate::operators::{self, Broken, Fsync};
+use crate::operators::{self, Fsync, OnBrokenConfig};
 use crate::reload::own_settings;
 use crate::store::actor::StoreHandle;
 use crate::store::disk::DiskFolder;
@@ -28,7 +28,7 @@
     /// The configuration in force.
     pub config: Config,
     /// The checked and converted form of `config`.
-    pub checked: Sound,
+    pub checked: ValidatedConfig,
     /// Whether the configuration comes from the store, as the file cannot be used.
     pub from_store: bool,
     /// If a store is enabled: its handle, the recovered state, and the text of the configuration in force.
@@ -46,12 +46,12 @@
 }
 
 /// Opens the store and reads all that it holds. Blocks on the disk.
-fn open_store(file: &operators::Store) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
+fn open_store(file: &operators::StoreConfig) -> Result<(StoreHandle, Recovered, RecoveredVotes), String> {
     let path = crate::handover::proxy_folder(&file.folder.to_string_lossy(), &proxy_name()?);
     let bad = |e: std::io::Error| format!("store {}: {e}", path.display());
-    let folder = DiskFolder::lock(&path, file.fsync == Fsync::Word).map_err(bad)?;
+    let folder = DiskFolder::lock(&path, file.fsync == Fsync::Always).map_err(bad)?;
     let folder = folder.ok_or_else(|| format!("store {}: another process has it", path.display()))?;
-    let (store, found) = Store::open(folder, file.most).map_err(bad)?;
+    let (store, found) = Store::open(folder, file.max_bytes).map_err(bad)?;
     log_recovery(&found);
     let mut records = Vec::new();
     for prefix in RecoveredVotes::NAME_PREFIXES {
@@ -70,14 +70,14 @@
 }
 
 /// The configuration, its checked form and its text, or why it cannot be used.
-pub type Loaded = Result<(Config, Sound, Vec<u8>), String>;
+pub type Loaded = Result<(Config, ValidatedConfig, Vec<u8>), String>;
 
 /// Opens the store and chooses the configuration: the loaded one, or if that cannot be used and the operators' file
 /// allows it, the stored one that was last in force. Blocks on the disk.
 ///
 /// # Errors
 /// When neither can be used, or the store cannot be opened.
-pub fn recover(file: &operators::Store, loaded: Loaded) -> Result<StartupState, String> {
+pub fn recover(file: &operators::StoreConfig, loaded: Loaded) -> Result<StartupState, String> {
     let store = if file.enabled { Some(open_store(file)?) } else { None };
     let (store, votes) = store.map(|(store_handle, found, votes)| ((store_handle, found), votes)).unzip();
     let fault = match loaded {
@@ -95,14 +95,16 @@
         Err(fault) => fault,
     };
     let last = match &store {
-        Some((_, found)) if file.broken == Broken::TakeLast && found.status.settings_usable() => {
+        Some((_, found))
+            if file.on_broken_config == OnBrokenConfig::UseStored && found.status.settings_usable() =>
+        {
             found.knowledge.settings.as_ref().map(|settings| settings.text.as_bytes().to_vec())
         }
         _ => None,
     };
     let Some(text) = last else { return Err(fault) };
     let (config, checked) =
-        config::sound_text(&text).map_err(|e| format!("{fault}; the stored configuration: {e}"))?;
+        config::parse_and_validate(&text).map_err(|e| format!("{fault}; the stored configuration: {e}"))?;
     log::error!("the configuration cannot be used; using the stored one that was last in force: {fault}");
     count(Count::store_settings_taken);
     let own_settings = own_settings(&text);
@@ -132,17 +134,17 @@
 
 /// Passes the stored knowledge to the core, before the first client is accepted.
 pub async fn restore_knowledge(
-    file: &operators::Store,
+    file: &operators::StoreConfig,
     found: Recovered,
     control: &ControlHandle,
     now: Time,
 ) {
-    let must_confirm = found.status.may_lack_suspensions() && !file.confirm.is_zero();
-    let until = if must_confirm { now + file.confirm.as_micros() as Time } else { 0 };
+    let must_confirm = found.status.may_lack_suspensions() && !file.confirm_timeout.is_zero();
+    let until = if must_confirm { now + file.confirm_timeout.as_micros() as Time } else { 0 };
     if must_confirm {
         log::warn!(
             "suspensions by the operators may be lost: STATUS stays negative until CONFIRM, or for {:?}",
-            file.confirm
+            file.confirm_timeout
         );
     }
     control.request(|reply| CoreCommand::RestoreKnowledge(Box::new(found.knowledge), until, reply)).await;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -5,13 +5,13 @@
 use crate::agreement_io::SettingsUpdate;
 use crate::class_table::{ClassSlots, ClassTable};
 use crate::clock::Clock;
-use crate::config::{self, Config, Sound};
+use crate::config::{self, Config, ValidatedConfig};
 use crate::core::counters::{count, Count};
 use crate::core::CoreCommand;
+use crate::discovery_schedule::Delivery;
 use crate::handover::ControlHandle;
 use crate::interface::Settings;
 use crate::knowledge::TimestampedText;
-use crate::listing::Delivery;
 use crate::net::discovery::DiscoveryService;
 use crate::settings::{Names, SocketTimes};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -74,7 +74,7 @@
             }
             let (mut delay, mut until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD);
             let fault = loop {
-                match config::load_again(&self.current) {
+                match config::reload(&self.current) {
                     Ok((config, checked, text)) => {
                         self.apply_file(config, checked, &text).await;
                         self.config_from_store.store(false, Ordering::Relaxed);
@@ -122,8 +122,8 @@
 
     /// Applies the file, which was read and checked. Settings that are agreed on with other proxies are only
     /// proposed.
-    async fn apply_file(&mut self, config: Config, checked: Sound, text: &[u8]) {
-        let Sound { names, settings, times } = checked;
+    async fn apply_file(&mut self, config: Config, checked: ValidatedConfig, text: &[u8]) {
+        let ValidatedConfig { names, settings, times } = checked;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
         match &self.fleet_settings {
             Some((_, proposed)) => {
@@ -138,7 +138,7 @@
         let _ =
             self.discovery.send(DiscoveryService { address: config.discovery.clone(), proxies, delivery });
         count(Count::reloads);
-        let fixed = self.current.fixed(&config);
+        let fixed = self.current.changes_requiring_restart(&config);
         if !fixed.is_empty() {
             log::warn!("taken up only by a new start: {}", fixed.join(", "));
         }
