--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -210,8 +210,11 @@
         recovered: Option<RecoveredVotes>,
     ) -> Result<(Self, mpsc::Receiver<FetchRequest>), String> {
         let config = &deps.config;
-        let address =
-            config.proxies.get(&config.own_number).copied().ok_or("agreement.me is not one of agreement.proxies")?;
+        let address = config
+            .proxies
+            .get(&config.own_number)
+            .copied()
+            .ok_or("agreement.me is not one of agreement.proxies")?;
         let bind_error = |e: std::io::Error| format!("agreement: {address}: {e}");
         let socket = Arc::new(transient::listen_datagrams(address).await.map_err(bind_error)?);
         let listener = transient::listen(address).await.map_err(bind_error)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -165,7 +165,7 @@
     }
     let store_file = operators_file.store.clone();
     let start = off_thread(operators_file.store.enabled, move || recovery::recover(&store_file, loaded));
-    let StartupState { config: told: config, checked: sound, from_store: stored, store, votes, own_settings: own } =
+    let StartupState { config, checked: sound, from_store: stored, store, votes, own_settings: own } =
         start.await?;
     let ValidatedConfig { names, settings, times } = sound;
     let zones = names.zones.clone();
@@ -198,7 +198,8 @@
 
     let mut lists = ListReader::new(zones.clone());
     // The list of the configuration or the store is available before the first client connects; it may be out of date.
-    let initial_list = lists.read(&recovery::initial_list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
+    let initial_list =
+        lists.read(&recovery::initial_list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
     let (held, initial_list) =
         initial_list.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
     core_mailbox.send(Input::List(ListKind::Disk, initial_list)).await.map_err(|e| e.to_string())?;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -373,7 +373,9 @@
         match self.delivery().after_failure(silent) {
             FailedCallAction::RetryNow => return !self.core.is_closed(),
             FailedCallAction::RetryAfterPause => tokio::time::sleep(AGENT_RETRY_INTERVAL).await,
-            FailedCallAction::ReportFailure if self.moved_at.is_some_and(|since| since.elapsed() < MOVE_RETRY_PERIOD) => {
+            FailedCallAction::ReportFailure
+                if self.moved_at.is_some_and(|since| since.elapsed() < MOVE_RETRY_PERIOD) =>
+            {
                 tokio::time::sleep(MOVE_RETRY_INTERVAL).await;
             }
             FailedCallAction::ReportFailure => return false,
--- a/tests/system_faults.rs
+++ b/tests/system_faults.rs
@@ -180,7 +180,8 @@
     fixture.shim.set_call_faults(true).unwrap();
     let mut faults = 0;
     for seed in 0..6 {
-        let shim = Shim::new(&fixture.folder.0, &fixture.folder.0, seed, &[(CallFault::SocketFails, 2)]).unwrap();
+        let shim =
+            Shim::new(&fixture.folder.0, &fixture.folder.0, seed, &[(CallFault::SocketFails, 2)]).unwrap();
         shim.set_call_faults(true).unwrap();
         let setup = Setup { environment: shim.environment(), ..fixture.setup.clone() };
         let started = Proxy::start(&setup);
@@ -200,8 +201,7 @@
     }
     fixture.setup.config["known"]["instances"] = Vec::<String>::new().into();
     fixture.setup.browse = Some(names.start());
-    let shim =
-        Shim::new(&fixture.folder.0, &fixture.folder.0, 7, &[(CallFault::ConnectFails, 1)])
+    let shim = Shim::new(&fixture.folder.0, &fixture.folder.0, 7, &[(CallFault::ConnectFails, 1)])
         .unwrap()
         .limit_faults(3);
     shim.set_call_faults(true).unwrap();
