--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-const SPAN: Time = 600_000_000;
+const RETENTION_WINDOW: Time = 600_000_000;
 const BEGAN: Time = 1_000_000_000;
 const CAPACITY: LedgerSize = LedgerSize { ids: 4, bytes: 1_000 };
 
 fn ledger() -> RepeatLedger<u32> {
-    RepeatLedger::new(CAPACITY, SPAN, BEGAN)
+    RepeatLedger::new(CAPACITY, RETENTION_WINDOW, BEGAN)
 }
 
 fn request(fingerprint: u64, first_sent: Time) -> ClaimRequest {
@@ -30,7 +30,7 @@
 fn an_id_of_another_process_is_neither_new_nor_answered() {
     let mut ledger = ledger();
     let now = BEGAN + 5;
-    let entry = SharedEntry { fingerprint: Some(1), first_sent: now, remaining: SPAN };
+    let entry = SharedEntry { fingerprint: Some(1), first_sent: now, remaining: RETENTION_WINDOW };
     ledger.insert_foreign("a".into(), entry, now);
     ledger.insert_foreign("b".into(), SharedEntry { fingerprint: None, ..entry }, now);
     assert_eq!(ledger.claim("a", request(1, now), now, 7), Claim::ClaimedByPeer);
@@ -45,9 +45,9 @@
 #[test]
 fn an_id_first_sent_before_the_ledger_is_complete_or_too_long_ago_is_unprovable() {
     let mut ledger = ledger();
-    let now = BEGAN + 2 * SPAN;
-    assert_eq!(ledger.claim("a", request(1, now - SPAN - 1), now, 7), Claim::Unprovable);
-    assert_eq!(ledger.claim("a", request(1, now - SPAN), now, 7), Claim::New);
+    let now = BEGAN + 2 * RETENTION_WINDOW;
+    assert_eq!(ledger.claim("a", request(1, now - RETENTION_WINDOW - 1), now, 7), Claim::Unprovable);
+    assert_eq!(ledger.claim("a", request(1, now - RETENTION_WINDOW), now, 7), Claim::New);
     ledger.set_complete_since(now - 10);
     assert_eq!(ledger.claim("b", request(1, now - 11), now, 7), Claim::Unprovable);
     assert_eq!(ledger.claim("b", request(1, now - 10), now, 7), Claim::New);
@@ -63,17 +63,17 @@
     let ahead = BEGAN + 50;
     ledger.insert_foreign(
         "d".into(),
-        SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: SPAN },
+        SharedEntry { fingerprint: Some(1), first_sent: ahead, remaining: RETENTION_WINDOW },
         BEGAN,
     );
     ledger.mark_ended("a");
     ledger.mark_ended("b");
-    assert!(ledger.remove_expired(BEGAN + SPAN).is_empty());
-    assert_eq!(ledger.claim("e", request(1, BEGAN), BEGAN + SPAN, 7), Claim::NoRoom);
-    let mut removed = ledger.remove_expired(BEGAN + SPAN + 1);
+    assert!(ledger.remove_expired(BEGAN + RETENTION_WINDOW).is_empty());
+    assert_eq!(ledger.claim("e", request(1, BEGAN), BEGAN + RETENTION_WINDOW, 7), Claim::NoRoom);
+    let mut removed = ledger.remove_expired(BEGAN + RETENTION_WINDOW + 1);
     removed.sort_unstable();
     assert_eq!(removed, ["a", "b"], "c is still running, and d was first sent later by its client's clock");
-    assert_eq!(ledger.remove_expired(ahead + SPAN + 1), ["d"]);
+    assert_eq!(ledger.remove_expired(ahead + RETENTION_WINDOW + 1), ["d"]);
     assert_eq!(ledger.size(), LedgerSize { ids: 1, bytes: 100 });
 }
 
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -56,7 +56,7 @@
         }
         if let Some(m) = self.members.get_mut(&member) {
             if outcome == Saturated {
-                m.saturated_until = now + SATURATED_PAUSE;
+                m.saturated_until = now + SATURATED_DELAY;
             }
             if (late || outcome == Saturated) && sent >= m.admission_lowered_at {
                 let factor =
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -141,7 +141,7 @@
     pub(super) fn suspect_zone(&mut self, zone: u32, out: &mut Vec<Action>) {
         let (since, probe_interval, next_probe) =
             (self.now, SUSPECT_PROBE_INTERVAL_MAX, self.now + SUSPECT_PROBE_INTERVAL_MAX);
-        let after = since.saturating_sub(ZONE_LOSS_SPAN);
+        let after = since.saturating_sub(ZONE_LOSS_WINDOW);
         let Some(unreachable) = silent_zone(&self.members, zone, after, ZONE_LOSS_MEMBERS) else { return };
         let mut rest = Vec::new();
         let trusted = |m: &MemberState| m.in_service && m.zone == zone && m.suspicion.is_none();
--- a/src/policy/list_calls.rs
+++ b/src/policy/list_calls.rs
@@ -30,13 +30,13 @@
 pub(crate) const SPAN_PER_CALLER: Time = 60_000;
 /// Longest span of the first calls of routers that may all have started at once, in us.
 const FIRST_SPAN_MAX: Time = 2_000_000;
-/// Least pause after a failed call, in us, and the span of the next calls of up to `UNSPREAD_CALLERS`
-/// routers.
-const FAILED_PAUSE: Time = 300_000;
-const FAILED_SPAN: Time = 1_000_000;
-/// Longest span of the calls after a failure: together with the pause before it and the wait of up to
-/// [`QUEUE_WAIT_MAX`] for a call's turn it ends before [`KNOWN_AFTER`].
-const FAILED_SPAN_MAX: Time = 3_700_000;
+/// Minimum delay after a failed call, in us, and the window over which the next calls of up to
+/// `UNSPREAD_CALLERS` routers are spread.
+const FAILED_CALL_DELAY: Time = 300_000;
+const FAILED_CALL_WINDOW: Time = 1_000_000;
+/// Longest window of the calls after a failure, in us: together with the delay before the window and the wait
+/// of up to [`QUEUE_WAIT_MAX`] at discovery, it is shorter than [`KNOWN_AFTER`].
+const FAILED_CALL_WINDOW_MAX: Time = 3_700_000;
 /// A call without a result is repeated after this time, in us; a discovery that does not answer at all counts
 /// as out of reach.
 const CALL_TIMEOUT: Time = 6_000_000;
@@ -76,7 +76,7 @@
     /// The call has failed: discovery is down or has too many callers.
     pub(crate) fn failed(&mut self, now: Time, set: &Settings) {
         *self = ListCalls::default();
-        self.due_in_turn(now + FAILED_PAUSE, FAILED_SPAN, FAILED_SPAN_MAX, set);
+        self.due_in_turn(now + FAILED_CALL_DELAY, FAILED_CALL_WINDOW, FAILED_CALL_WINDOW_MAX, set);
     }
 
     /// Returns whether a call is to be made now, and records it as made.
--- a/src/policy/list_calls_tests.rs
+++ b/src/policy/list_calls_tests.rs
@@ -137,7 +137,7 @@
     failed.failed(made + QUEUE_WAIT_MAX, &set);
     assert!(!failed.blocks_sending(60_000 * MS));
     let again = failed.due().expect("the next call");
-    assert!(again <= made + QUEUE_WAIT_MAX + FAILED_PAUSE + FAILED_SPAN_MAX, "{again}");
+    assert!(again <= made + QUEUE_WAIT_MAX + FAILED_CALL_DELAY + FAILED_CALL_WINDOW_MAX, "{again}");
     let mut answered = calls;
     answered.answered();
     assert!(!answered.blocks_sending(60_000 * MS) && answered.due().is_none());
@@ -156,7 +156,7 @@
             calls.failed(seed * 37 * MS, &set);
             let pause = calls.due().expect("the next call") - seed * 37 * MS;
             assert!(
-                pause >= FAILED_PAUSE && pause + QUEUE_WAIT_MAX <= KNOWN_AFTER,
+                pause >= FAILED_CALL_DELAY && pause + QUEUE_WAIT_MAX <= KNOWN_AFTER,
                 "{routers} {seed}: {pause}"
             );
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -73,13 +73,13 @@
         let burst = self.burst(now, burst_span);
         if !retry {
             self.recent.add(now, burst_span);
-            self.baseline.add(now, BASELINE_SPAN);
+            self.baseline.add(now, BASELINE_WINDOW);
         }
         ArrivalContext { burst, tries_per_request }
     }
 
     fn burst(&self, now: Time, span: Time) -> f64 {
-        let expected = self.baseline.rate(now, BASELINE_SPAN) * span as f64;
+        let expected = self.baseline.rate(now, BASELINE_WINDOW) * span as f64;
         let count = self.recent.rate(now, span) * span as f64;
         // Small counts say little: leaves out what random variation may add to the count.
         let certain = count - count.sqrt() / 3.0;
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -84,7 +84,7 @@
 /// A zone counts as lost when this many of its members went silent ...
 pub(super) const ZONE_LOSS_MEMBERS: usize = 3;
 /// ... within this time, in us, and none of its members was heard since.
-pub(super) const ZONE_LOSS_SPAN: Time = 2_000_000;
+pub(super) const ZONE_LOSS_WINDOW: Time = 2_000_000;
 /// An answer slower than this share of its class's aim indicates congestion at the member, whoever caused it.
 /// Healthy members give few such answers, as the work varies.
 pub(super) const SLOW_SHARE: f64 = 0.45;
@@ -136,7 +136,7 @@
 pub(super) const WAITED_FACTOR: f64 = 0.5;
 /// The usual rate of requests is learned over this time, in us: longer than any burst, and shorter than the
 /// daily cycle.
-pub(super) const BASELINE_SPAN: Time = 60_000_000;
+pub(super) const BASELINE_WINDOW: Time = 60_000_000;
 /// Lower bound of the admission factors, so that they can recover soon.
 pub(super) const ADMISSION_MIN: f64 = 0.08;
 /// Members with the same number of reads in flight are ranked by their admission factor in this many steps.
@@ -162,7 +162,7 @@
 /// While such slots are pending, reads may wait for capacity for this share of the shortest aim.
 pub(super) const FIRST_USE_QUEUE_SHARE: f64 = 0.8;
 /// A member that refused a request as saturated gets nothing for this long, in us.
-pub(super) const SATURATED_PAUSE: Time = 30_000;
+pub(super) const SATURATED_DELAY: Time = 30_000;
 /// A member that was unreachable for at least this long, in us, counts as restarted when it is back.
 pub(super) const RESTART_AFTER: Time = 2_000_000;
 /// Weight of the newest answer in the mean service times.
