--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -125,7 +125,7 @@
 /// What the store held at the start of the process.
 pub struct RecoveredVotes {
     /// The condition of the store.
-    pub finding: RecoveryStatus,
+    pub status: RecoveryStatus,
     /// Stored votes and documents, by name.
     pub records: Vec<(String, Vec<u8>)>,
 }
@@ -138,12 +138,12 @@
     fn voter(&self, now: Time) -> Voter {
         let stored = self.records.iter().find(|(name, _)| name == VOTES);
         let votes = stored.map(|(_, bytes)| decode_votes(bytes));
-        match (votes, self.finding) {
+        match (votes, self.status) {
             (None, RecoveryStatus::Sound | RecoveryStatus::Fresh) => Voter::new(Votes::default()),
             (Some(Some(votes)), RecoveryStatus::Sound) => Voter::new(votes),
-            (votes, finding) => {
+            (votes, status) => {
                 log::warn!(
-                    "votes: {finding:?}; promises may be lost, so the voter recovers from the others first"
+                    "votes: {status:?}; promises may be lost, so the voter recovers from the others first"
                 );
                 Voter::recovering(votes.flatten().unwrap_or_default(), now)
             }
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -57,7 +57,7 @@
     for prefix in RecoveredVotes::NAME_PREFIXES {
         records.extend(store.records_with_prefix(prefix).map_err(bad)?);
     }
-    let votes = RecoveredVotes { finding: found.status, records };
+    let votes = RecoveredVotes { status: found.status, records };
     Ok((StoreHandle::start(store).map_err(bad)?, found, votes))
 }
 
