--- a/src/bin/linentrail-benchlink/main.rs
+++ b/src/bin/linentrail-benchlink/main.rs
@@ -1,4 +1,4 @@
-//! Adapter between the simulator's line protocol and the router. It translates and decides nothing.
+//! Adapter between the simulator's line protocol and the router. It only translates, and makes no decisions.
 
 mod wire;
 
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -7,7 +7,7 @@
 /// its fixed limit. Enough to keep several cores busy between two steps of a router, and few enough that the
 /// last read in the member's queue still meets its aim.
 pub(super) const MEMBER_READ_LIMIT: u32 = 18;
-/// Requests of all routers in flight at the primary from which on reads are no longer sent there.
+/// Reads are no longer sent to a primary once the requests of all routers in flight there reach this number.
 pub(super) const PRIMARY_READ_LIMIT: u32 = 9;
 /// Requests of any kind that all routers together may have in flight at a primary; the most that a hung
 /// primary can hold up.
@@ -29,17 +29,19 @@
 /// Final answers are sent this long before the client's deadline, in us, so that one late step does not lose
 /// them.
 pub(super) const ANSWER_LEAD: Time = 12_000;
-/// A write of which no attempt reached a member is given up this long before half of its time is over, in us:
-/// its client can still retry then, and a later refusal costs more than the chance of success is worth.
+/// A write of which no attempt has reached a member is given up this long before half of the time to its
+/// deadline has passed, in us: the client still has time to retry then, and the remaining chance of success
+/// does not justify a later refusal.
 pub(super) const HALF_TIME_LEAD: Time = 18_000;
-/// Reports may round a position up by less than this, in us; positions in notes are rounded down already.
+/// Positions in reports and those of commits may be rounded up by less than this, in us; positions that come
+/// with answers to reads are rounded down already.
 pub(crate) const REPORT_ROUNDING: Time = 1_000;
-/// A member that checks positions itself is tried on an estimated position no older than this, in us: lag
-/// changes within seconds, but one of hundreds of drivers hears from a member only every few seconds, and a
-/// miss is cheaper than a probe.
+/// A member that checks positions itself may be chosen by an estimated position if the position behind the
+/// estimate is no older than this, in us. Lag changes within seconds, but each of hundreds of
+/// routers gets an answer of a member only every few seconds, and a miss is cheaper than a probe.
 pub(super) const ESTIMATE_MAX_AGE: Time = 10_000_000;
-/// Assumed lag in us of a member that checks positions itself and has not told one yet; more than a healthy
-/// member has.
+/// Assumed lag in us of a member that checks positions itself and has not reported a position yet; more
+/// than a healthy member has.
 pub(super) const DEFAULT_LAG: Time = 50_000;
 /// Least time in us between two probes of a member for a session read or to find a primary: reports are
 /// refreshed a few times a second, so that faster probes learn nothing new.
@@ -60,7 +62,7 @@
 pub(super) const SILENCE_MIN: Time = 300_000;
 /// ... and no later than the longer of this time, in us, ...
 pub(super) const SILENCE_MAX: Time = 500_000;
-/// ... and this many mean service times, as work may take long.
+/// ... and this many mean service times, because the work itself may take long.
 pub(super) const SILENCE_MAX_FACTOR: f64 = 2.5;
 /// If the silent member answers probes, its work is moved only after this multiple of the silence limit,
 /// because it may just be slow.
@@ -92,8 +94,8 @@
 /// lowers it once for all attempts that were in flight at the time; each quick answer raises it by a fixed
 /// step, and it recovers with time.
 pub(super) const ADMISSION_RECOVERY: Time = 15_000_000;
-/// What each answer in time adds to the fleet's admission factor. That factor falls with answers later than
-/// `fleet_limit` of the aim, and stays level when a fifth of the answers are that slow.
+/// Each completed answer within `fleet_limit` times the aim raises the fleet's admission factor by this.
+/// Slower answers and saturated members lower it; it stays level when a fifth of the answers are that slow.
 pub(super) const FLEET_ADMISSION_STEP: f64 = 0.025;
 /// Recovery time of the fleet's admission factor, in us.
 pub(super) const FLEET_ADMISSION_RECOVERY: Time = 30_000_000;
@@ -105,10 +107,11 @@
     unanswered_factor: 0.75,
     quick_step: 0.03,
 };
-/// Steps of the admission factors where a member's even share is a single read. A router then sees few
-/// answers of a member: each one counts for more, and a missing answer for most. The fleet's factor cannot
-/// shorten a queue there and only refuses reads, on the evidence of the few answers that this router sees; so
-/// only answers later than the aim lower it, and it falls only when half of the answers are.
+/// Steps of the admission factors where a router's share of a member is a single read. A router then sees few
+/// answers of a member, so each of them changes the factor more, and a missing answer changes it most. The
+/// fleet's factor cannot shorten a queue in this case and only causes refusals of reads, based on the few
+/// answers that this router sees; so only answers later than the aim lower it, and it falls only when half of
+/// the answers are that late.
 pub(super) const SINGLE_READ_ADMISSION_STEPS: AdmissionSteps = AdmissionSteps {
     fleet_limit: 1.0,
     fleet_factor: 0.97,
@@ -116,7 +119,7 @@
     unanswered_factor: 0.3,
     quick_step: 0.15,
 };
-/// A member in slow start takes clients' retries from this share of its capacity on.
+/// A member in slow start gets clients' retries of reads, other than fresh ones, from this weight on.
 pub(super) const SLOW_START_RETRY_WEIGHT: f64 = 0.5;
 /// Bursts are measured over the budget's span divided by this: a burst has to be recognized before the span
 /// is over.
@@ -127,12 +130,12 @@
 /// Retries are counted over this many of the budget's spans, because a flood of retries lasts and writes are
 /// few.
 pub(super) const RETRY_RATE_SPANS: Time = 3;
-/// All retries of requests for a primary in slow start get at most this share of what the first tries get.
-/// First tries take about three quarters of a warm primary at the group's full load, and the rest of the
+/// All retries of requests for a primary in slow start get at most this share of what the other requests get.
+/// Those take about three quarters of a warm primary's capacity at the group's full load, and the rest of the
 /// budget covers random variation.
 pub(super) const PRIMARY_RETRY_SHARE: f64 = 0.5;
-/// Requests that waited for a new primary get this share of the budget of a primary in slow start: they
-/// arrive within one span, in addition to those that arrive then.
+/// Requests that waited for a new primary get this share of the budget of a primary in slow start: they are
+/// sent within one span of the budget, in addition to the requests that arrive in that time.
 pub(super) const WAITED_FACTOR: f64 = 0.5;
 /// The usual rate of requests is learned over this time, in us: longer than any burst, and shorter than the
 /// daily cycle.
@@ -141,7 +144,8 @@
 pub(super) const ADMISSION_MIN: f64 = 0.08;
 /// Members with the same number of reads in flight are ranked by their admission factor in this many steps.
 pub(super) const SLOW_STEPS: f64 = 5.0;
-/// An attempt counts as lost after this many mean service times, which few successful ones take ...
+/// An attempt counts as lost after this many mean service times, which few successful attempts
+/// exceed ...
 pub(super) const LOST_FACTOR: f64 = 4.0;
 /// ... at a member whose admission factor is at least this: at others, answers are late for lack of capacity.
 pub(super) const LOST_MIN_ADMISSION: f64 = 0.5;
@@ -150,16 +154,17 @@
 /// Idle connections are closed before use once the share of attempts lost on them exceeds that on others by
 /// this.
 pub(super) const IDLE_LOSS_LIMIT: f64 = 0.45;
-/// Routers spread their first use of a member over this time per router, in us ...
+/// Routers spread their first use of a member over this time per router, in us, each at its own slot ...
 pub(super) const FIRST_USE_SPAN_PER_ROUTER: Time = 60_000;
 /// ... but over no more than this in all ...
 pub(super) const FIRST_USE_SPAN_MAX: Time = 3_000_000;
 /// ... and for a group's primary over no more than this share of a write's aim.
 pub(super) const FIRST_USE_AIM_SHARE: f64 = 0.7;
-/// Before its slot, a member is used for the first time this long after another one of its group, in us, and
-/// only for reads that have waited for capacity.
+/// Before its slot, a router uses a member for the first time only this long after the first use of another
+/// member of the group, in us, and only for reads that have waited for capacity.
 pub(super) const FIRST_USE_INTERVAL: Time = 80_000;
-/// While such slots are pending, reads may wait for capacity for this share of the shortest aim.
+/// While a slot of a group's member is still to come, reads may wait for capacity for this share of the
+/// shortest aim.
 pub(super) const FIRST_USE_QUEUE_SHARE: f64 = 0.8;
 /// A member that refused a request as saturated gets nothing for this long, in us.
 pub(super) const SATURATED_DELAY: Time = 30_000;
@@ -169,7 +174,7 @@
 pub(super) const LATENCY_WEIGHT: f64 = 0.05;
 /// A list changes a role only if it is newer than the last answer about that role by this much, in us.
 pub(super) const LISTED_ROLE_LEAD: Time = 6_000_000;
-/// The remembered writes of sessions are folded into one floor after this time, in us.
+/// After this time, in us, the last writes of single sessions are merged into one bound for all sessions.
 pub(super) const SESSION_RETENTION: Time = 30_000_000;
 /// Retry-after advice in us for a write that cannot be sent now: an election takes seconds.
 pub(super) const WRITE_RETRY_AFTER: Time = 500_000;
