--- a/src/core/flow.rs
+++ b/src/core/flow.rs
@@ -1,16 +1,16 @@
-//! A large value, streamed from a member to a client a few chunks at a time, so that it is never held in memory
-//! whole.
+//! A large value, streamed from a member to a client a few chunks at a time, so that the whole value is never
+//! held in memory.
 //!
-//! The member's side sends chunks and waits while the client has not taken them; the front receives them. The value
-//! is complete only if the stream ends with [`Chunk::End`]. A stream that ends without it was cut off, and the front
-//! must make that visible to the client.
+//! The member's side sends chunks and waits while the client has not taken them; the front receives them. The
+//! value is complete only if the stream ends with [`Chunk::End`]. A stream that ends without it was cut off,
+//! and the front must make that visible to the client.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Mutex};
 
-/// Maximum number of queued chunks. With the one being read and the one being written, this bounds the memory per
-/// stream.
+/// Maximum number of queued chunks. With the one being read and the one being written, this bounds the memory
+/// per stream.
 pub const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// An item of a value's stream.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core of the proxy: requests, attempts and outcomes, independent of any wire protocol.
 //!
-//! [`actor`] is the only owner of the [`crate::Router`]. Fronts reach it through a [`Handle`] and get one [`Answer`]
-//! for each request. The connections to the members are behind the [`Members`] trait.
+//! [`actor`] is the only owner of the [`crate::Router`]. Fronts reach it through a [`Handle`] and get one
+//! [`Answer`] for each request. The connections to the members are behind the [`Members`] trait.
 
 pub mod actor;
 pub mod bookings;
@@ -48,7 +48,8 @@
     );
 }
 
-/// What a member has to do. The core does not look inside; the code on the members' side turns it into statements.
+/// What a member has to do. The core passes it on unchanged; the code on the members' side turns it into
+/// statements.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Work {
     /// The client's own statement, which members accept unchanged except for the waiting time.
@@ -105,8 +106,8 @@
     pub group: GroupId,
     /// The session, for writes and session reads.
     pub session: Option<Arc<str>>,
-    /// The session named by the record's key, if it differs from `session`: in the platform's protocol a key names
-    /// one.
+    /// The session named by the record's key, if it differs from `session`: in the platform's protocol a key
+    /// names one.
     pub key_session: Option<Arc<str>>,
     /// The lowest position that the answer must reflect, as sent by the client, by the members' clock.
     pub after: Option<Position>,
@@ -148,7 +149,7 @@
     Served(Value, Option<Position>),
     /// Not done; retrying is harmless. With the time after which the client should retry, if known.
     Refused(Option<Time>),
-    /// The client's id for it belongs to another request that is still open; nothing was sent.
+    /// The client's id for the request belongs to another request that is still open; nothing was sent.
     Taken,
     /// Failed; whether it had an effect is unknown.
     Failed,
@@ -169,19 +170,21 @@
     pub stop_at: Time,
     /// The request may be sent again even if it may have run.
     pub safe: bool,
-    /// The value must be read to its end before any of it is passed on, because a client that retries must get the
-    /// same answer.
+    /// The value must be read to its end before any of it is passed on, because a client that retries must
+    /// get the same answer.
     pub buffer_answer: bool,
-    /// Nothing may be written to a member after this time, when the rules behind the decision no longer apply here.
+    /// Nothing may be written to a member after this time, because the rules behind the decision then no
+    /// longer apply in this process.
     pub rules_until: Time,
-    /// Nothing may be written to a member after this time, when the member may no longer detect a repeat.
+    /// Nothing may be written to a member after this time, because the member may then no longer detect a
+    /// repeat.
     pub dedup_until: Time,
-    /// Nothing may be written to a member after this time, when the data known to be on the member is too old for a
-    /// bounded read.
+    /// Nothing may be written to a member after this time, because the data known to be on the member is then
+    /// too old for a bounded read.
     pub fresh_until: Time,
     /// The request's client, if it has one that may disconnect.
     pub client: Option<Weak<dyn ClientConnection>>,
-    /// The last time at which the client was certainly connected.
+    /// The last time at which the client was known to be connected.
     pub client_seen: Time,
 }
 
@@ -204,7 +207,7 @@
     pub outcome: Outcome,
     /// The value, if the attempt was served.
     pub value: Option<Value>,
-    /// The member's state as told with the answer.
+    /// The member's state as reported with the answer.
     pub note: Option<Note>,
     /// The member's report on itself.
     pub report: Option<Report>,
@@ -212,8 +215,8 @@
     pub spent: Time,
 }
 
-/// Messages in the core's mailbox. The large variants are the most frequent ones: boxing them would cost more than
-/// the space that the small ones waste.
+/// Messages in the core's mailbox. The large variants are the most frequent ones: boxing them would cost more
+/// than the space that the small ones waste.
 #[derive(Debug)]
 #[allow(clippy::large_enum_variant)]
 pub enum Input {
@@ -221,22 +224,23 @@
     Submit(RequestId, Request, oneshot::Sender<Answer>),
     /// The client of a request has disconnected.
     Disconnected(RequestId),
-    /// Nobody waits for the answer any more. Unlike after a disconnect, the request continues if it may have begun.
+    /// Nobody waits for the answer any more. Unlike after a disconnect, the request continues if it may have
+    /// begun.
     Abandoned(RequestId),
     /// An attempt has ended.
     Ended(RequestId, u32, AttemptEnd),
-    /// A probe has ended: the report, or `None` if the member did not answer, and the time since the probe was
-    /// requested.
+    /// A probe has ended: the report, or `None` if the member did not answer, and the time since the probe
+    /// was requested.
     Probed(MemberId, Option<Report>, Time),
-    /// A message from the member list.
+    /// A member list, or a part of one; no entries if a call to discovery has failed.
     List(ListKind, Vec<ListedMember>),
 }
 
 /// Result of suspending or restoring a member.
 pub type SuspensionResult = Result<(), SuspensionError>;
 
-/// The exchange of commits with another process of this proxy. A session's commit must reach that process before the
-/// client that wrote is answered, so neither method may do more than access memory.
+/// The exchange of commits with another process of this proxy. A session's commit must reach that process
+/// before the client that wrote is answered, so neither method may do more than access memory.
 pub trait CommitExchange: Send {
     /// Records a write of a session that was committed through this process.
     fn record_commit(&mut self, session: &str, at: Position);
@@ -268,11 +272,11 @@
 pub enum CoreCommand {
     /// Returns whether this process is ready to serve.
     QueryReadiness(oneshot::Sender<Readiness>),
-    /// Loads what was stored before this process started. Until the given time, or a confirmation by the operators,
-    /// the process does not count as ready.
+    /// Loads what was stored before this process started. Until the given time, or a confirmation by the
+    /// operators, the process does not count as ready.
     RestoreKnowledge(Box<Knowledge>, Time, oneshot::Sender<()>),
-    /// The operators have repeated every suspension that may have been lost. Returns whether a confirmation was
-    /// pending.
+    /// The operators have repeated every suspension that may have been lost. Returns whether a confirmation
+    /// was pending.
     ConfirmSuspensions(oneshot::Sender<bool>),
     /// Clients are accepted from now on. With the time at which the process started.
     StartServing(Time, oneshot::Sender<()>),
@@ -302,8 +306,8 @@
     SetFleetSuspensions(BTreeSet<Arc<str>>, oneshot::Sender<()>),
 }
 
-/// The members' side, as the core sees it. No method may block: other tasks wait for room in the core's mailbox, so
-/// the core must always get back to reading it.
+/// The members' side, as the core sees it. No method may block: other tasks wait for room in the core's
+/// mailbox, so the core must always get back to reading it.
 pub trait Members {
     /// Starts an attempt; false if it cannot be queued.
     fn start_attempt(&mut self, member: MemberId, attempt: Attempt) -> bool;
@@ -327,22 +331,22 @@
 #[derive(Clone)]
 pub struct Handle {
     mailbox: mpsc::Sender<Input>,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl Handle {
     /// Returns a handle that sends to this mailbox.
     pub fn new(mailbox: mpsc::Sender<Input>) -> Self {
-        Handle { mailbox, next: Arc::new(AtomicU64::new(1)) }
+        Handle { mailbox, next_id: Arc::new(AtomicU64::new(1)) }
     }
 
     /// Submits a request. Dropping the returned future tells the core that the client has disconnected.
     pub async fn submit(&self, request: Request) -> Pending {
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
-        // Created before the send: if this call is cancelled half-way, dropping `pending` still reports a disconnect,
-        // which the core ignores for unknown ids.
-        let pending = Pending { id, answer, mailbox: self.mailbox.clone(), over: false };
+        // Created before the send: if this call is cancelled half-way, dropping `pending` still reports a
+        // disconnect, which the core ignores for unknown ids.
+        let pending = Pending { id, answer, mailbox: self.mailbox.clone(), finished: false };
         let _ = self.mailbox.send(Input::Submit(id, request, reply)).await;
         pending
     }
@@ -353,17 +357,17 @@
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     mailbox: mpsc::Sender<Input>,
-    over: bool,
+    finished: bool,
 }
 
 impl Pending {
     /// Gives up waiting: the request is refused if nothing of it can have run, and continues otherwise.
     pub fn abandon(&self) {
-        self.tell(Input::Abandoned(self.id));
+        self.notify_core(Input::Abandoned(self.id));
     }
 
     /// Sends without waiting; if the mailbox is full, a spawned task waits for room.
-    fn tell(&self, input: Input) {
+    fn notify_core(&self, input: Input) {
         let mailbox = self.mailbox.clone();
         if let (Err(mpsc::error::TrySendError::Full(input)), Ok(runtime)) =
             (mailbox.try_send(input), tokio::runtime::Handle::try_current())
@@ -378,7 +382,7 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Answer> {
         Pin::new(&mut self.answer).poll(cx).map(|answer| {
-            self.over = true;
+            self.finished = true;
             answer.unwrap_or(Answer::Failed)
         })
     }
@@ -386,8 +390,8 @@
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        if !self.over {
-            self.tell(Input::Disconnected(self.id));
+        if !self.finished {
+            self.notify_core(Input::Disconnected(self.id));
         }
     }
 }
