--- a/src/core/actor.rs
+++ b/src/core/actor.rs
@@ -1,6 +1,6 @@
-//! The core's actor, the only owner of the [`Router`]. Each turn it drains its mailbox, passes the events to the
-//! router in one step and carries out the resulting actions. It waits only for its mailboxes and its timer, so any
-//! other task may wait for it without a deadlock.
+//! The core's actor, the only owner of the [`Router`]. In each iteration it drains its mailbox, passes the
+//! events to the router in one step and carries out the resulting actions. It waits only for its mailboxes
+//! and its timer, so any other task may wait for it without a deadlock.
 
 use super::counters::{count, counter_value, Count};
 use super::lease::Lease;
@@ -78,9 +78,10 @@
     /// The ids that clients gave to the requests in `live`.
     open_client_ids: HashSet<Bytes>,
     pub(super) sessions: SessionLedger,
-    /// Stored facts about members, kept until a list tells what they may be used for.
+    /// Stored facts about members, kept until a member list shows which of them may be used.
     pub(super) stored_facts: StoredFacts,
-    /// Up to this time, sessions whose reads carry no position may have written without this process knowing it.
+    /// Up to this time, sessions whose reads carry no position may have written without this process knowing
+    /// of it.
     pub(super) unmarked_writes_until: Position,
     /// Until this time, suspensions made by the operators may be missing.
     pub(super) unconfirmed_until: Time,
@@ -88,8 +89,9 @@
     pub(super) startup: StartupTracker,
     /// The lease on the rules, if they are valid by a lease.
     pub(super) lease: Option<Lease>,
-    /// The members' clock, and its offset when the starts in the member lists were last converted.
+    /// The members' clock.
     pub(super) member_clock: MemberClock,
+    /// The offset of the members' clock when the start times in the member lists were last converted.
     pub(super) listed_offset: i64,
     /// Events that followed immediately from actions, for the next step.
     pub(super) next_events: VecDeque<Event>,
@@ -225,7 +227,7 @@
                 if ok {
                     self.startup.member_answered(now);
                 }
-                // A report that cannot be true only shows that the member answers.
+                // An implausible report only shows that the member answers.
                 let localize = |report| self.localize_report(report, spent, now).unwrap_or_default();
                 Some(Event::Probed { member, ok, report: report.map(localize) })
             }
@@ -241,8 +243,8 @@
         }
     }
 
-    /// Withdraws the request's attempts that still wait for a connection, so that they do not begin after the client
-    /// has gone. Attempts that have begun are stopped by the router.
+    /// Withdraws the request's attempts that still wait for a connection, so that they do not begin after the
+    /// client has gone. Attempts that have begun are stopped by the router.
     fn withdraw(&mut self, id: RequestId) {
         for (number, member) in self.live.get(&id).iter().flat_map(|live| live.numbered_attempts()) {
             self.members.withdraw(member, id, number);
@@ -260,26 +262,27 @@
             let _ = reply.send(Answer::Failed);
             return None;
         };
-        // Members identify a request by its id: a second one under the same id could end the first or be taken for
-        // it.
+        // Members identify a request by its id: a second one under the same id could end the first or be
+        // mistaken for it.
         if request.name.as_ref().is_some_and(|name| !self.open_client_ids.insert(name.clone())) {
             count(Count::taken_ids);
             let _ = reply.send(Answer::Taken);
             return None;
         }
-        // The session's last write is the later of what the read carries and what any front has seen the session
-        // commit. Members check only what the read carries; for a later commit the router must choose by proven
-        // positions.
+        // The session's last write is the later of what the read carries and what any front has seen the
+        // session commit. Members check only what the read carries; for a later commit the router must choose
+        // by proven positions.
         if consistency == Consistency::Session {
             self.sync_peer_commits();
         }
         let carried = request.after.map_or(0, |at| self.member_clock.to_local(at));
         let written = sessions(&request).map(|s| self.sessions.written(s)).max().unwrap_or(0);
-        // Where the protocol has no mark for "never wrote", a read without a position may be of a session that wrote
-        // through an earlier process.
+        // Where the protocol has no mark for "never wrote", a read without a position may be of a session
+        // that wrote through an earlier process.
         let unmarked = request.after.is_none() && matches!(request.work, Work::Operation(_));
         let written = if unmarked { written.max(self.unmarked_writes_until) } else { written };
-        let unseen = if consistency == Consistency::Session && written > carried { written } else { 0 };
+        let unchecked_position =
+            if consistency == Consistency::Session && written > carried { written } else { 0 };
         let event = Event::Request {
             id,
             class: request.class,
@@ -289,16 +292,17 @@
             // A position rather than an age, because an age would be cut off at 0 if this clock is behind the
             // members'.
             session_position: (carried > 0).then_some(carried),
-            proven_position: (unseen > 0).then_some(unseen),
+            proven_position: (unchecked_position > 0).then_some(unchecked_position),
             repeat: request.repeat,
         };
         log::debug!(
             target: REQUEST_LOG_TARGET, id = id.0, name:? = request.name,
             class = request.class_table.class_name(request.class), group = request.group,
-            wait_us = request.deadline.saturating_sub(now), repeat = request.repeat, unseen;
+            wait_us = request.deadline.saturating_sub(now), repeat = request.repeat,
+            unseen = unchecked_position;
             "taken"
         );
-        self.live.insert(id, LiveRequest::new(request, now, reply, unseen));
+        self.live.insert(id, LiveRequest::new(request, now, reply, unchecked_position));
         self.startup.request_arrived(now);
         Some(event)
     }
@@ -332,9 +336,9 @@
         Some(Event::Ended { id, attempt, outcome, complete, spent, note, report })
     }
 
-    /// The outcome to report to the router. A member that was wrongly taken for the primary, or for more recent than
-    /// it is, may have served a session read without the session's last write. Such an answer is not passed on, but
-    /// the attempt still counts as run.
+    /// The outcome to report to the router. A member that was wrongly taken for the primary, or whose data
+    /// was believed to be more recent than it is, may have served a session read without the session's last
+    /// write. Such an answer is not passed on, but the attempt still counts as run.
     fn checked_outcome(&self, id: RequestId, attempt: u32, outcome: Outcome, note: Option<Note>) -> Outcome {
         let Some(live) = self.live.get(&id).filter(|_| outcome == Outcome::Completed) else { return outcome };
         if live.reflects_session(attempt, note.as_ref()) {
@@ -421,7 +425,8 @@
 
     fn step(&mut self, now: Time, events: &[Event]) {
         let mut actions = std::mem::take(&mut self.actions);
-        // Checked before each step: after a pause, the process must not decide by rules whose lease has expired.
+        // Checked before each step: after a stall, the process must not decide by rules whose lease has
+        // expired.
         if let Some(settings) = self.lease.as_mut().and_then(|lease| lease.take_change(now)) {
             self.router.step(now, &[Event::Settings(settings)], &mut actions);
         }
