--- a/src/agreement_io/mod.rs
+++ b/src/agreement_io/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the agreement protocol: an actor that owns the [`Instance`], its socket, its documents and its access to
-//! the store, and passes the values in force on to the core and the fronts. All decisions are made by the instance.
-//! Without an enabled block `agreement` in the operators' file nothing of this is started.
+//! Runs the agreement protocol: an actor that owns the [`Instance`], its socket, its documents and its access
+//! to the store, and passes the values in force on to the core and the fronts. All decisions are made by the
+//! instance. Without an enabled block `agreement` in the operators' file nothing of this is started.
 
 pub mod fetch;
 pub mod status;
@@ -41,9 +41,9 @@
 /// The maximum number of documents fetched at the same time.
 const MAX_FETCHES: usize = 4;
 /// The name of the votes in the store.
-const VOTES: &str = "votes";
+const VOTES_NAME: &str = "votes";
 /// The names of documents in the store begin with this.
-const DOCUMENT: &str = "document-";
+const DOCUMENT_PREFIX: &str = "document-";
 /// The longest interval between two checks of the lease and of the member list's version.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 /// The delay before a failed write is retried.
@@ -122,7 +122,7 @@
     pub seed: u64,
 }
 
-/// What the store held at the start of the process.
+/// The votes and documents that the store held when the process started.
 pub struct RecoveredVotes {
     /// The condition of the store.
     pub status: RecoveryStatus,
@@ -132,11 +132,11 @@
 
 impl RecoveredVotes {
     /// The prefixes of the names under which votes and documents are stored.
-    pub const NAME_PREFIXES: [&'static str; 2] = [VOTES, DOCUMENT];
+    pub const NAME_PREFIXES: [&'static str; 2] = [VOTES_NAME, DOCUMENT_PREFIX];
 
     /// Creates the voter, in recovery if votes may have been lost.
     fn voter(&self, now: Time) -> Voter {
-        let stored = self.records.iter().find(|(name, _)| name == VOTES);
+        let stored = self.records.iter().find(|(name, _)| name == VOTES_NAME);
         let votes = stored.map(|(_, bytes)| decode_votes(bytes));
         match (votes, self.status) {
             (None, RecoveryStatus::Sound | RecoveryStatus::Fresh) => Voter::new(Votes::default()),
@@ -187,7 +187,7 @@
     lease_until: Time,
     /// Since when there has been no lease.
     lapsed_since: Option<Time>,
-    /// The version of the last member list taken from another proxy, and whether a list is being fetched.
+    /// The version of the last member list fetched from another proxy, and whether a fetch is in progress.
     list: (u64, bool),
     history: VecDeque<PastVersion>,
     /// The outcome of the last change that was proposed on this proxy.
@@ -200,8 +200,8 @@
 }
 
 impl AgreementActor {
-    /// Binds the address that the operators' file names for this proxy, and starts serving fetch requests of other
-    /// proxies. Returns the actor and the requests that [`AgreementActor::run`] is to answer.
+    /// Binds the address that the operators' file names for this proxy, and starts serving fetch requests of
+    /// other proxies. Returns the actor and the requests that [`AgreementActor::run`] is to answer.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -228,7 +228,8 @@
         let mut instance = Instance::new(instance_config, voter, now);
         let mut documents = BTreeMap::new();
         for (name, bytes) in recovered.into_iter().flat_map(|r| r.records) {
-            let opened = Document::open(&bytes, &deps.keys).ok().filter(|_| name.starts_with(DOCUMENT));
+            let opened =
+                Document::open(&bytes, &deps.keys).ok().filter(|_| name.starts_with(DOCUMENT_PREFIX));
             // Documents are validated before they are stored, so that invalid ones are not expected here.
             let parsed = opened.and_then(|document| Some((document.content().ok()?, document)));
             if let Some((content, document)) = parsed {
@@ -382,8 +383,8 @@
     fn add_document(&mut self, document: Document, content: Content, bytes: Bytes) {
         let hash = document.version().hash;
         if let Content::Settings(new) = &content {
-            // The proposing proxy has checked this already. A voter checks again, so that a faulty proposer cannot
-            // bring about a change between incompatible versions.
+            // The proposing proxy has checked this already. A voter checks again, so that a faulty proposer
+            // cannot bring about a change between incompatible versions.
             for (other, loaded) in &self.documents {
                 if matches!(&loaded.content, Content::Settings(old) if old.meet(new).is_err()) {
                     self.instance.mark_incompatible(*other, hash);
@@ -398,7 +399,7 @@
             let Some(oldest) = unused.min_by_key(|(_, loaded)| age(loaded)).map(|(h, _)| *h) else { break };
             self.documents.remove(&oldest);
             self.instance.document_removed(&oldest);
-            self.write(Duration::ZERO, format!("{DOCUMENT}{}", hex(&oldest)), Vec::new(), |result| {
+            self.write(Duration::ZERO, format!("{DOCUMENT_PREFIX}{}", hex(&oldest)), Vec::new(), |result| {
                 result.map_or_else(TaskResult::WriteFailed, |()| TaskResult::DocumentDeleted)
             });
         }
@@ -412,7 +413,7 @@
     /// Writes a document to the store, unless it has been removed meanwhile.
     fn write_document(&self, hash: Hash, delay: Duration) {
         let Some(loaded) = self.documents.get(&hash) else { return };
-        self.write(delay, format!("{DOCUMENT}{}", hex(&hash)), loaded.bytes.to_vec(), move |result| {
+        self.write(delay, format!("{DOCUMENT_PREFIX}{}", hex(&hash)), loaded.bytes.to_vec(), move |result| {
             match result {
                 Ok(()) => TaskResult::DocumentWritten(hash),
                 Err(error) => TaskResult::DocumentWriteFailed(hash, error),
@@ -426,7 +427,7 @@
             return;
         }
         let retry = votes.clone();
-        self.write(delay, VOTES.into(), votes, move |result| match result {
+        self.write(delay, VOTES_NAME.into(), votes, move |result| match result {
             Ok(()) => TaskResult::RecoveryWritten(number),
             Err(error) => TaskResult::RecoveryWriteFailed(number, retry, error),
         });
@@ -471,7 +472,7 @@
                     let _ = self.socket.try_send_to(&datagram, address);
                 }
                 Action::WriteVotes(number, votes) => {
-                    self.write(Duration::ZERO, VOTES.into(), encode_votes(&votes), move |result| {
+                    self.write(Duration::ZERO, VOTES_NAME.into(), encode_votes(&votes), move |result| {
                         result.map_or_else(TaskResult::WriteFailed, |()| TaskResult::VotesWritten(number))
                     });
                 }
@@ -530,8 +531,8 @@
         }
     }
 
-    /// Applies newly leased values, passes the lease on to the core and fetches a newer member list. Returns `None`
-    /// once the core has ended.
+    /// Applies newly leased values, passes the lease on to the core and fetches a newer member list. Returns
+    /// `None` once the core has ended.
     async fn update(&mut self) -> Option<()> {
         let now = self.deps.clock.now();
         let list_version = self.deps.list_version.load(Ordering::Relaxed).max(self.list.0);
@@ -547,7 +548,7 @@
                 if self.deps.config.on_lapse == OnLapse::GoOn {
                     count(Count::agreement_lapses);
                     log::warn!(
-                        "the lease has expired; going on by the last rules, so the bound on changes is not kept"
+                        "the lease has expired; the last rules still apply, without the time bound on changes"
                     );
                 }
             }
@@ -572,8 +573,8 @@
         Some(())
     }
 
-    /// Makes the core and the fronts act on these values. Returns `Some(false)` if that is not possible yet, for
-    /// instance as a document is missing, and `None` once the core has ended.
+    /// Makes the core and the fronts act on these values. Returns `Some(false)` if that is not possible yet,
+    /// for instance because a document is missing, and `None` once the core has ended.
     async fn apply(&mut self, values: &[RegisterValue; 2]) -> Option<bool> {
         let [settings, suspensions] = values.map(|v| v.active);
         if settings == ActiveVersions::Nothing || suspensions == ActiveVersions::Nothing {
@@ -585,8 +586,8 @@
             let Some(Content::Settings(one)) = self.content(version) else { return Some(false) };
             combined = Some(match combined {
                 None => one.clone(),
-                // The proposing proxy refuses a change between incompatible versions. A proxy that receives such a
-                // change nevertheless keeps the rules that it has.
+                // The proposing proxy refuses a change between incompatible versions. A proxy that receives
+                // such a change nevertheless keeps the rules that it has.
                 Some(other) => match other.meet(one) {
                     Ok(meet) => Box::new(meet),
                     Err(conflicts) => {
@@ -768,8 +769,8 @@
     }
 }
 
-/// Reads settings as JSON text: the field `settings` of a configuration file, or the whole file if it has no such
-/// field.
+/// Reads settings as JSON text: the field `settings` of a configuration file, or the whole file if it has no
+/// such field.
 ///
 /// # Errors
 /// When the file cannot be read or is not JSON.
