--- a/src/agreement/holder.rs
+++ b/src/agreement/holder.rs
@@ -1,12 +1,13 @@
-//! The lease of one proxy: which values it may act on, and until when. The proxy queries the voters at intervals.
-//! When a majority reports the same value of the same ballot in answer to one query, that value was chosen, and no
-//! later value had been chosen when the first of them answered, hence none before the query was sent.
+//! The lease of one proxy: which values it may act on, and until when. The proxy queries the voters at
+//! intervals. When a majority reports the same value of the same ballot in answer to one query, that value
+//! was chosen, and no later value had been chosen when the first of them answered, hence none before the
+//! query was sent.
 
 use super::{majority, AcceptedValue, Kind, ProxyNumber, RegisterValue, Timing, KINDS};
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// Answers are counted for this many of the latest queries.
+/// Only answers to this many of the latest queries count.
 const MAX_OPEN_QUERIES: usize = 8;
 
 #[derive(Debug, Clone)]
@@ -16,7 +17,7 @@
     answers: Vec<(ProxyNumber, [AcceptedValue; 2])>,
 }
 
-/// A lease on a value that was seen chosen.
+/// A lease on a value that this proxy has seen to be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
     /// The value, with the ballot in which it was chosen.
@@ -51,7 +52,8 @@
 }
 
 impl LeaseHolder {
-    /// Creates a holder without leases. Nonces count up from `first_nonce`; no later incarnation may repeat them.
+    /// Creates a holder without leases. Nonces count up from `first_nonce`; no later incarnation may repeat
+    /// them.
     pub fn new(voters: Vec<ProxyNumber>, timing: Timing, first_nonce: u64) -> Self {
         LeaseHolder {
             voters,
@@ -78,9 +80,9 @@
         self.queries.iter().find(|q| q.nonce == nonce).map(|q| q.sent_at)
     }
 
-    /// Handles a voter's answer and returns what the query shows so far, by kind. Returns `None` for an answer that
-    /// does not count: no open query has its nonce, the sender is no voter, or the voter has answered this query
-    /// already.
+    /// Handles a voter's answer and returns what the query shows so far, by kind. Returns `None` for an
+    /// answer that does not count: no open query has its nonce, the sender is no voter, or the voter has
+    /// answered this query already.
     pub fn handle_answer(
         &mut self,
         from: ProxyNumber,
@@ -137,8 +139,8 @@
         self.leases[kind.index()]
     }
 
-    /// The values of both kinds that may be acted on now, and until when. Returns `None` once either lease has
-    /// expired, as both values are acted on together.
+    /// The values of both kinds that may be acted on now, and until when. Returns `None` once either lease
+    /// has expired, as both values are acted on together.
     pub fn leased_values(&self, now: Time) -> Option<([RegisterValue; 2], Time)> {
         let [Some(first), Some(second)] = self.leases else { return None };
         let until = first.until.min(second.until);
--- a/src/agreement/instance.rs
+++ b/src/agreement/instance.rs
@@ -1,6 +1,6 @@
-//! The agreement protocol of one proxy: its lease, its voter if it has one, and its proposers. An [`Instance`] is
-//! sans I/O: it is given received messages and the time, and returns what to send, what to write to disk and which
-//! documents to fetch.
+//! The agreement protocol of one proxy: its lease, its voter if it has one, and its proposers. An
+//! [`Instance`] is sans I/O: it is given received messages and the time, and returns what to send, what to
+//! write to disk and which documents to fetch.
 
 use super::holder::{Lease, LeaseHolder, QueryResult};
 use super::message::Message;
@@ -46,7 +46,7 @@
     ProposalEnded(Kind, Proposal, ProposalEnd),
 }
 
-/// What is known of another proxy.
+/// What this proxy knows about another one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerState {
     /// Its incarnation.
@@ -57,7 +57,7 @@
     pub revisions: [u64; 2],
     /// The version of its member list.
     pub list_version: u64,
-    /// It cannot vote yet, as it may have lost promises.
+    /// It cannot vote yet, because it may have lost promises.
     pub recovering: bool,
     /// Its clock, this proxy's clock and the round-trip time when the clocks were first compared.
     clock_baseline: Option<(Time, Time, Time)>,
@@ -74,8 +74,8 @@
     next_query: Time,
     proposers: [Option<Proposer>; 2],
     highest_ballots: [Ballot; 2],
-    /// A change that was seen chosen and is not finished: its revision, since when, and whether this proxy proposed
-    /// it.
+    /// A change that is chosen but not finished, by kind: its revision, when this proxy saw it chosen, and
+    /// whether this proxy proposed it.
     pending_changes: [Option<(u64, Time, bool)>; 2],
     documents: BTreeSet<Hash>,
     /// Pairs of versions that have no common rules, in both orders.
@@ -116,7 +116,7 @@
         self.holder.last_lease(kind)
     }
 
-    /// What is known of the other proxies.
+    /// What this proxy knows about the others.
     pub fn peers(&self) -> &BTreeMap<ProxyNumber, PeerState> {
         &self.peers
     }
@@ -163,7 +163,8 @@
         }
     }
 
-    /// The newest version of the member list, and a proxy that holds it, if it is newer than this proxy's own.
+    /// The newest version of the member list, and a proxy that holds it, if it is newer than this proxy's
+    /// own.
     pub fn newer_list(&self) -> Option<(u64, ProxyNumber)> {
         Some(self.newest_list)
             .filter(|(version, holder)| *version > self.list_version && *holder != self.config.me)
@@ -187,7 +188,8 @@
 
     fn send(&mut self, to: ProxyNumber, message: Message, now: Time, actions: &mut Vec<Action>) {
         if to == self.config.me {
-            // Messages to itself are handled at once, without the network and without authentication.
+            // A message to this proxy itself is handled at once, without the network and without
+            // authentication.
             self.handle(to, message, now, actions);
         } else {
             actions.push(Action::Send(to, message));
@@ -245,7 +247,8 @@
                 self.respond(from, response, now, actions);
             }
             Message::Accept { kind, ballot, value } => {
-                // A voter accepts only what it could itself act on, and only documents that it can pass on to others.
+                // A voter accepts only what it could itself act on, and only documents that it can pass on to
+                // others.
                 if let ActiveVersions::Transition { from: old, to: new } = value.active {
                     if self.incompatible.contains(&(old.hash, new.hash)) {
                         return;
@@ -382,8 +385,8 @@
         self.voter.iter_mut().for_each(Voter::recovery_written);
     }
 
-    /// Operators begin a new epoch. Returns the write that must come first, or `None` if this proxy is no voter or
-    /// the epoch is not later than the current one.
+    /// Operators begin a new epoch. Returns the write that must come first, or `None` if this proxy is no
+    /// voter or the epoch is not later than the current one.
     pub fn begin_epoch(&mut self, epoch: u32) -> Option<Action> {
         let votes = self.voter.as_mut()?.begin_epoch(epoch)?;
         self.highest_ballots = [Ballot { epoch, ..Ballot::default() }; 2];
@@ -391,7 +394,7 @@
         Some(Action::WriteRecovery(Box::new(votes)))
     }
 
-    /// Handles the passing of time.
+    /// Does what is due at this time: queries the voters, advances proposers and resumes unfinished changes.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         if now >= self.next_query {
@@ -412,8 +415,8 @@
         let timing = self.config.timing;
         let nonce = self.holder.start_query(now);
         // The random part keeps proxies that were started together from sending their queries together.
-        let part = 0.75 + hash_fraction(self.config.seed, now, 7) / 4.0;
-        self.next_query = now + (timing.query_interval() as f64 * part) as Time;
+        let jitter = 0.75 + hash_fraction(self.config.seed, now, 7) / 4.0;
+        self.next_query = now + (timing.query_interval() as f64 * jitter) as Time;
         let revisions =
             KINDS.map(|kind| self.holder.last_lease(kind).map_or(0, |l| l.accepted.value.revision));
         let list_version = self.list_version;
@@ -422,8 +425,9 @@
         }
     }
 
-    /// Resumes what was left unfinished: a change once all leases from before it have expired, or a ballot that was
-    /// abandoned halfway. The proxy that proposed the change goes first; any other voter adds a random delay.
+    /// Resumes what was left unfinished: a change once all leases from before it have expired, or a ballot
+    /// that was abandoned halfway. The proxy that proposed the change goes first; any other voter adds a
+    /// random delay.
     fn resume_unfinished(&mut self, kind: Kind, now: Time) {
         let timing = self.config.timing;
         let random_delay = |n: u64| {
@@ -446,7 +450,7 @@
         }
     }
 
-    /// When it needs the next tick.
+    /// When [`Instance::tick`] must be called next.
     pub fn next_wakeup(&self) -> Time {
         let timing = &self.config.timing;
         let proposers = self.proposers.iter().flatten().map(|proposer| proposer.next_wakeup(timing));
@@ -462,21 +466,21 @@
 }
 
 impl PeerState {
-    /// Compares the rates of its clock and this proxy's. Its clock was read at an unknown time within `round_trip`,
-    /// which is allowed for.
+    /// Compares the rates of its clock and this proxy's. Its clock was read at an unknown time within
+    /// `round_trip`, so the comparison tolerates an error of that size.
     fn compare_clocks(&mut self, theirs: Time, mine: Time, round_trip: Time, timing: &Timing) {
         let Some((their_first, my_first, first_round_trip)) = self.clock_baseline else {
             self.clock_baseline = Some((theirs, mine, round_trip));
             return;
         };
-        let (their_span, my_span) = (theirs.saturating_sub(their_first), mine - my_first);
-        if my_span < MIN_CLOCK_COMPARISON {
+        let (their_elapsed, my_elapsed) = (theirs.saturating_sub(their_first), mine - my_first);
+        if my_elapsed < MIN_CLOCK_COMPARISON {
             return;
         }
         self.clock_drifts =
-            their_span.abs_diff(my_span) > timing.max_drift(my_span) + round_trip + first_round_trip;
-        // Begins a new comparison, so that a clock that has been corrected is seen to be right again.
-        if my_span > 30 * MIN_CLOCK_COMPARISON {
+            their_elapsed.abs_diff(my_elapsed) > timing.max_drift(my_elapsed) + round_trip + first_round_trip;
+        // Begins a new comparison, so that a clock that has been corrected no longer counts as drifting.
+        if my_elapsed > 30 * MIN_CLOCK_COMPARISON {
             self.clock_baseline = Some((theirs, mine, round_trip));
         }
     }
