--- a/src/net/member_protocol.rs
+++ b/src/net/member_protocol.rs
@@ -1,5 +1,5 @@
-//! What member actors need of a protocol to members: opening a connection, running a statement, asking for a
-//! report.
+//! The interface between member actors and a protocol to members: opening a connection, running a statement,
+//! asking for a report.
 
 use crate::core::flow::ChunkSender;
 use crate::core::{Value, Work};
@@ -21,12 +21,12 @@
     pub report: Option<Report>,
     /// Whether the connection can carry another statement.
     pub reusable: bool,
-    /// Set when only the start of the value has arrived; the rest is to be forwarded to it with
-    /// [`MemberConnection::forward_rest`].
+    /// Set if only the start of the value has arrived so far: the channel to pass to
+    /// [`MemberConnection::forward_rest`], which sends the rest of the value through it.
     pub value_rest: Option<ChunkSender>,
 }
 
-/// A statement that was never written.
+/// The result of a statement that was never written.
 impl Default for Exchange {
     fn default() -> Self {
         Exchange {
@@ -43,9 +43,9 @@
 /// Whether data of an earlier answer may still arrive on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StaleInput {
-    /// No: the connection is new, or a fence was answered on it just now.
+    /// No: the connection is new, or its [fence](MemberConnection::fence) has just been answered.
     Excluded,
-    /// Yes: the protocol has to tell such data from the answer.
+    /// Yes: the protocol must distinguish such data from the answer.
     Possible,
 }
 
@@ -54,7 +54,7 @@
 pub enum Confirmation {
     /// Nothing, and the connection can carry another statement.
     Reusable,
-    /// Nothing but copies of the answer, and the connection has closed or cannot carry another statement.
+    /// Nothing except copies of the answer, but the connection has closed or cannot carry another statement.
     NotReusable,
     /// Something else, so that the statement may have run.
     Contradicted,
@@ -62,16 +62,16 @@
 
 /// A connection to a member that runs statements, one at a time.
 pub trait MemberConnection: Send + 'static {
-    /// Whether nothing has arrived since the last answer, neither data nor the end of the connection. This asks the
-    /// socket, as the runtime's view of it is only as recent as its last poll.
+    /// Whether nothing has arrived since the last answer, neither data nor the end of the connection. This
+    /// asks the kernel, because the runtime's view of the socket is only as recent as its last poll.
     fn is_quiet(&self) -> bool;
 
-    /// Proves, in one round trip, that no data of an earlier answer is left. Returns `false` if some is, or if the
-    /// connection cannot be used any more. Runs nothing.
+    /// Proves, in one round trip, that no data of an earlier answer is left. Returns `false` if some is, or
+    /// if the connection cannot be used any more. Runs no statement.
     fn fence(&mut self) -> impl Future<Output = bool> + Send;
 
-    /// Runs one statement; the proxy waits `wait` ms for its answer. `written` is set as soon as the last byte may
-    /// have reached the member's machine.
+    /// Runs one statement; the proxy waits `wait` ms for its answer. `written` is set as soon as the
+    /// statement's last byte may have reached the member's machine.
     fn run(
         &mut self,
         work: &Work,
@@ -80,15 +80,15 @@
         written: &mut bool,
     ) -> impl Future<Output = Exchange> + Send;
 
-    /// Proves, in one round trip, that a complete answer is the only one to its statement. Runs nothing.
+    /// Proves, in one round trip, that a complete answer is the only one to its statement. Runs no statement.
     fn confirm(&mut self) -> impl Future<Output = Confirmation> + Send;
 
-    /// Forwards the rest of a value, no faster than the receiver takes it. Returns whether the connection can carry
-    /// another statement.
+    /// Forwards the rest of a value, no faster than the receiver takes it. Returns whether the connection can
+    /// carry another statement.
     fn forward_rest(&mut self, to: ChunkSender) -> impl Future<Output = bool> + Send;
 
-    /// Asks for the member's report; also returns whether the connection can carry another query. Returns `None` if
-    /// the member does not answer. An unreadable answer shows only that the member is alive.
+    /// Asks for the member's report; also returns whether the connection can carry another query. Returns
+    /// `None` if the member does not answer. An unreadable answer shows only that the member is alive.
     fn probe(&mut self, stale: StaleInput) -> impl Future<Output = Option<(Report, bool)>> + Send;
 }
 
@@ -97,10 +97,11 @@
     /// The type of connections.
     type Connection: MemberConnection;
 
-    /// Opens a connection and waits for the member's welcome.
+    /// Opens a connection and waits until the member is ready for statements.
     ///
     /// # Errors
-    /// Returns `Refused` if that fails, or `Saturated` if the member reports that it has too many connections.
+    /// Returns `Refused` if the connection cannot be opened, or `Saturated` if the member reports that it has
+    /// too many connections.
     fn open(
         &self,
         address: SocketAddr,
--- a/src/net/member_state.rs
+++ b/src/net/member_state.rs
@@ -1,6 +1,6 @@
-//! State that the core must pass to a member's actor without loss or delay: set by `net::member_actors`, read by
-//! the actor and by the tasks that run its attempts. Commands in the actor's mailbox only make the actor look at it
-//! sooner, so a command that is dropped because the mailbox is full loses nothing.
+//! State that the core must pass to a member's actor without loss or delay: set by `net::member_actors`, read
+//! by the actor and by the tasks that run its attempts. Commands in the actor's mailbox only make the actor
+//! look at it sooner, so a command that is dropped because the mailbox is full loses nothing.
 
 use crate::clock::Clock;
 use crate::core::counters::{count, Count};
@@ -17,9 +17,10 @@
     pub gate: BeginGate,
     /// The address at which the member listens.
     pub address: SocketAddr,
-    /// How often the member has moved. Connections from before a move lead to whoever has that address now.
+    /// How often the address has changed. A connection from before a change leads to the old address, which
+    /// another process may use now.
     pub moves: u32,
-    /// How often closing the idle connections was requested.
+    /// How often the actor has been requested to close the idle connections.
     pub idle_closes: u32,
     /// Timeouts of the member's connections.
     pub times: SocketTimes,
@@ -41,7 +42,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the member's address and returns whether it changed. After a move, no pending attempt may begin.
+    /// Sets the member's address and returns whether it changed. If so, all pending attempts are withdrawn.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let mut state = self.lock();
         let moved = state.address != address;
@@ -52,14 +53,15 @@
         moved
     }
 
-    /// Marks an attempt as begun if it still may begin. Called right before its first byte is written, so that
-    /// neither the time it took to get a connection nor a stall of the process leads to an outdated attempt.
+    /// Marks an attempt as begun if it still may begin. Called right before its first byte is written, so
+    /// that an attempt is not sent if it became invalid during the wait for a connection or a stall of the
+    /// process.
     ///
     /// # Errors
     /// The reason why the attempt must not begin.
     pub fn begin(&self, attempt: &Attempt, clock: &Clock) -> Result<(), WithholdReason> {
         let now = clock.now();
-        let moment = BeginContext {
+        let context = BeginContext {
             now,
             rules_until: attempt.rules_until,
             dedup_until: attempt.dedup_until,
@@ -67,18 +69,19 @@
             stop_at: attempt.stop_at,
             client_gone: client_check_due(now, attempt.client_seen) && attempt.client_gone(),
         };
-        let begun = self.lock().gate.begin(attempt.key(), moment);
+        let begun = self.lock().gate.begin(attempt.key(), context);
         if let Err(why) = begun {
             count(withheld_counter(why));
             log::debug!(
-                target: crate::core::REQUEST_LOG_TARGET, id = attempt.id.0, attempt = attempt.number, why:? = why;
+                target: crate::core::REQUEST_LOG_TARGET,
+                id = attempt.id.0, attempt = attempt.number, why:? = why;
                 "withheld"
             );
         }
         begun
     }
 
-    /// Whether the attempt is still to be made.
+    /// Whether the attempt has neither begun nor been withdrawn.
     pub fn is_pending(&self, key: AttemptKey) -> bool {
         self.lock().gate.is_waiting(key)
     }
