--- a/src/pg/codec.rs
+++ b/src/pg/codec.rs
@@ -1,4 +1,5 @@
-//! Codec for client connections, where the proxy acts as the server: decodes client messages, encodes replies.
+//! Codec for client connections, where the proxy acts as the server: decodes client messages, encodes
+//! replies.
 
 use super::frames::{BodyReader, FrameReader, MAX_MESSAGE_LEN};
 use crate::core::Value;
@@ -12,7 +13,8 @@
 
 /// Maximum length of a startup message; PostgreSQL has the same limit.
 const MAX_STARTUP_LEN: usize = 10_000;
-/// Number of bytes of a longer message that must have arrived before the buffer is grown to the length it claims.
+/// Number of bytes of a long message that must have arrived before the buffer is grown to the length that the
+/// message declares.
 const GROW_THRESHOLD: usize = 16 * 1024;
 
 /// A message from a client.
@@ -29,7 +31,7 @@
     CancelRequest,
     /// A simple query.
     Query(Bytes),
-    /// A message for which there is no memory; the codec skips it.
+    /// A message that does not fit into the memory budget; the codec skips it.
     BudgetExhausted,
     /// Synchronisation point of the extended protocol.
     Sync,
@@ -60,7 +62,7 @@
         code: &'static str,
         /// Human-readable message.
         message: Bytes,
-        /// Detail, field D of the ErrorResponse.
+        /// Detail: field D of the ErrorResponse.
         detail: Option<u64>,
     },
 }
@@ -76,7 +78,7 @@
     AwaitSync,
 }
 
-/// The server side of the protocol.
+/// Codec of the server side of the protocol.
 pub struct ServerCodec {
     started: bool,
     frames: FrameReader,
@@ -109,7 +111,7 @@
             _ => None,
         };
         let frame = match self.frames.next(src, true, max_len) {
-            // The message is well-formed and refused; the messages after it can still be found.
+            // The message is refused, but well-formed: its length tells where the next one starts.
             Err(WireError::BudgetExhausted) => return Ok(Some(Frontend::BudgetExhausted)),
             frame => frame?,
         };
@@ -142,6 +144,7 @@
 
 fn parse_startup(mut body: BodyReader) -> Result<Frontend, WireError> {
     match u32::from_be_bytes(body.read_bytes()?) {
+        // SSLRequest and GSSENCRequest.
         80_877_103 | 80_877_104 => Ok(Frontend::EncryptionRequest),
         80_877_102 => Ok(Frontend::CancelRequest),
         version if version >> 16 == 3 => {
@@ -165,11 +168,11 @@
 
 fn write_message(dst: &mut BytesMut, tag: u8, body: impl FnOnce(&mut BytesMut)) {
     dst.put_u8(tag);
-    let at = dst.len();
+    let length_at = dst.len();
     dst.put_u32(0);
     body(dst);
-    let length = (dst.len() - at) as u32;
-    dst[at..at + 4].copy_from_slice(&length.to_be_bytes());
+    let length = (dst.len() - length_at) as u32;
+    dst[length_at..length_at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
 fn write_string(dst: &mut BytesMut, text: &[u8]) {
--- a/src/pg/member_tests.rs
+++ b/src/pg/member_tests.rs
@@ -23,7 +23,7 @@
     Close,
 }
 
-/// Starts a member that sends the given startup response, then one of the answers to each query.
+/// Starts a member that sends the startup response, then answers one query with each of `answers`, in order.
 fn member(startup_response: Vec<u8>, answers: Vec<Vec<u8>>, after: AfterAnswers) -> SocketAddr {
     let script = move |client: &mut TcpStream| {
         for answer in answers {
@@ -54,7 +54,7 @@
     PgConnector::new(budget.bytes).open(address, permit).await
 }
 
-/// Returns the outcome of a statement that a member answers in this way on a new connection.
+/// Returns the outcome of a statement to which a member sends `answer`, on a new connection.
 fn outcome(text: &'static [u8], answer: &[&[u8]]) -> Outcome {
     outcome_with(AfterAnswers::WaitForClose, text, answer)
 }
@@ -133,7 +133,8 @@
 
 #[test]
 fn a_code_that_does_not_fit_the_statement_is_no_proof_that_nothing_ran() {
-    // A read does not need a primary, and a write carries no position that it must see.
+    // 25006 (read only) cannot apply to a read, which needs no primary, nor 72000 (snapshot too old) to a
+    // write, which carries no position that it must see.
     assert_eq!(outcome(READ, &[&error("ERROR", "25006"), READY_FOR_QUERY]), Outcome::Errored);
     assert_eq!(outcome(WRITE, &[&error("ERROR", "72000"), READY_FOR_QUERY]), Outcome::Errored);
 }
@@ -141,19 +142,19 @@
 #[test]
 fn bytes_after_the_startup_response_are_no_answer_to_the_first_statement() {
     let startup_response = [STARTUP_RESPONSE, &error("ERROR", "53300"), READY_FOR_QUERY].concat();
-    // The error was sent before the statement. The proxy must not take it for the answer: the member would still be
-    // running the statement.
+    // The member sends the error before it receives the statement. If the proxy took the error for the
+    // answer, it would conclude that the statement never ran while the member still runs it.
     let address = member(startup_response, vec![Vec::new()], AfterAnswers::WaitForClose);
-    let ran = block_on(async {
+    let outcome = block_on(async {
         let mut connection = connect(address).await?;
         Ok(connection.run(&work(WRITE), 1_000, StaleInput::Excluded, &mut false).await.outcome)
     });
-    assert_eq!(ran, Err(Outcome::Refused), "no statement may be written on this connection");
+    assert_eq!(outcome, Err(Outcome::Refused), "no statement may be written on this connection");
 }
 
 #[test]
 fn a_large_row_after_an_error_is_no_answer() {
-    // Only the first bytes of the row are sent: a large row is handled before it is complete.
+    // The member sends only the start of the row: the proxy handles a large row before it is complete.
     let large = data_row_start(MAX_BUFFERED_VALUE_LEN as u32 + 1);
     assert_eq!(outcome(READ, &[&row_description(), &large]), Outcome::Completed);
     assert_eq!(outcome(READ, &[&row_description(), &error("ERROR", "XX000"), &large]), Outcome::Errored);
