--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -2,13 +2,15 @@
 //!
 //! | state | what ends it |
 //! | --- | --- |
-//! | no request received | the client; `IDLE_TIMEOUT`; others in need of a permit, or the shutdown, both after `MIN_QUIET_TIME` |
-//! | idle between requests | the client; `IDLE_TIMEOUT`; others in need of a permit; the shutdown |
+//! | no request received | the client; `IDLE_TIMEOUT`; eviction or shutdown, both after `MIN_QUIET_TIME` |
+//! | idle between requests | the client; `IDLE_TIMEOUT`; eviction; shutdown |
 //! | request partially received | the rest of the request; `UNFINISHED_REQUEST_TIMEOUT` |
 //! | response pending | only the client |
 //!
-//! Except where the client itself closes, the connection is closed through [`client_close`], which never closes a
-//! connection that has unanswered input.
+//! Eviction closes a connection when its permit is needed elsewhere, or when too many connections are idle.
+//!
+//! Except where the client itself closes, the connection is closed through [`client_close`], which never
+//! closes a connection that has unanswered input.
 
 use super::front::{error_response, Front, MAX_BODY_LEN};
 use super::reply::ODataError;
@@ -34,8 +36,9 @@
 
 /// Maximum number of requests read ahead on a connection while one is executed.
 const MAX_READ_AHEAD: usize = 8;
-/// Time after which an idle connection is closed, and time that the rest of a partially received request may take.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time that the rest of a partially received request may take.
 const UNFINISHED_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit for writing a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -56,10 +59,10 @@
     End(CloseReason),
 }
 
-/// The response to a request, with the state of the input read meanwhile.
+/// The response to a request, and whether reading ahead failed meanwhile.
 struct ResponseReady {
     response: HttpResponse,
-    /// The input after the request cannot be read.
+    /// Set if the input after the request cannot be read.
     read_error: Option<HttpError>,
 }
 
@@ -69,15 +72,15 @@
     conn: Conn,
     /// Requests that were read while another one was executed.
     read_ahead: VecDeque<Incoming>,
-    /// A request was received.
+    /// Whether a request was received.
     request_seen: bool,
-    /// A request is partially received.
+    /// Whether a request is partially received.
     partial: bool,
     /// When the last response was sent, or the connection was opened.
     idle_since: Instant,
     /// Time by which more input has to arrive.
     read_deadline: Instant,
-    /// Input received before the first request is answered may have been sent as early as this.
+    /// Earliest time at which the first request may have been sent, if known; taken when its execution starts.
     waiting_since: Option<std::time::Instant>,
 }
 
@@ -160,8 +163,8 @@
         (self.partial, self.read_deadline) = (true, Instant::now() + UNFINISHED_REQUEST_TIMEOUT);
     }
 
-    /// Waits for the next request, or for a reason to close the connection. Once part of a request has been read, the
-    /// connection is not closed before that request has a response.
+    /// Waits for the next request, or for a reason to close the connection. Once part of a request has been
+    /// read, the connection is not closed before that request has a response.
     async fn wait(&mut self, closing: &mut PhaseReceiver) -> WaitResult {
         if let Some(request) = self.read_ahead.pop_front() {
             return WaitResult::Input(request);
@@ -186,11 +189,12 @@
         }
     }
 
-    /// Executes a request and reads ahead meanwhile, which also shows whether the client has left; when enough is read
-    /// ahead, only a close is watched for. Returns `None` if the client has left.
+    /// Executes a request and reads ahead meanwhile, which also detects that the client has left. Once enough
+    /// has been read ahead, waits only for the client to close the connection. Returns `None` if the client
+    /// has left.
     async fn answer(&mut self, request: &HttpRequest) -> Result<Option<ResponseReady>, HttpError> {
         count(Count::odata_requests);
-        // Input sent before the front started to serve has been waiting since then.
+        // Only the first request may have been sent before this session first read the connection.
         let waited = stall::queued_time(self.waiting_since.take());
         let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
         let mut read_error = None;
@@ -210,8 +214,8 @@
         }
     }
 
-    /// Answers input that cannot be read, after a delay, and closes the connection, because the start of the next
-    /// request is unknown.
+    /// Answers input that cannot be read, after a delay, and closes the connection, because the start of the
+    /// next request is unknown.
     async fn end_with_error(self, error: HttpError) -> Result<ConnectionClosed, HttpError> {
         let over_budget = matches!(error, HttpError::BudgetExhausted);
         let response_error = match error {
@@ -239,8 +243,8 @@
     }
 }
 
-/// Closes the connection unless there is unanswered input. A client that has sent no request gets a refusal, which
-/// answers a request that may be in transit.
+/// Closes the connection unless there is unanswered input. A client that has sent no request gets a refusal,
+/// which answers a request that may be in transit.
 async fn end_if_idle(conn: &mut Conn, reason: CloseReason, request_seen: bool) -> Option<ConnectionClosed> {
     let final_response = (!request_seen).then(|| last_refusal(Refusal::for_close(reason)));
     client_close::close_if_idle(conn, reason, final_response).await
