--- a/src/store/state.rs
+++ b/src/store/state.rs
@@ -1,9 +1,9 @@
-//! The store's state machine over any [`Disk`]: the order of writes, and what a start recovers after a crash at any
-//! moment. It holds no clock.
+//! The store's state machine over any [`Disk`]: the order of writes, and what a start recovers after a crash
+//! at any moment. The store reads no clock.
 //!
-//! A snapshot holds all that the proxy knows; a log holds the suspensions since then. A new snapshot replaces the old
-//! one atomically and starts a new, empty log; only then are the old logs removed. On recovery the snapshot and all
-//! logs are merged, so that a suspension that stands in both counts once.
+//! A snapshot holds all that the proxy knows; a log holds the suspensions since then. A new snapshot replaces
+//! the old one atomically and starts a new, empty log; only then are the old logs removed. On recovery the
+//! snapshot and all logs are merged, so a suspension that is in both counts once.
 
 use super::disk::Disk;
 use super::record::{self, End};
@@ -18,7 +18,7 @@
 const START_NUMBER: &str = "boot";
 const LOG_PREFIX: &str = "words-";
 
-/// How a start has found the store.
+/// The state in which a start found the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveryStatus {
     /// All that was written is intact.
@@ -54,7 +54,7 @@
 pub struct Recovered {
     /// All data that is intact.
     pub knowledge: Knowledge,
-    /// How the store was found.
+    /// The state in which the store was found.
     pub status: RecoveryStatus,
     /// The number of this start, higher than that of any earlier one.
     pub start_number: u64,
@@ -67,10 +67,10 @@
     disk: D,
     start_number: u64,
     /// Whether the start number is on the disk.
-    begun: bool,
+    start_number_written: bool,
     /// Number of the current log.
     log: u64,
-    /// A write to the current log failed, so that nothing may be appended to it any more.
+    /// Whether a write to the current log failed, in which case nothing more may be appended to that log.
     log_failed: bool,
     /// Maximum size in bytes of the snapshot, of the log and of each record.
     max_len: u64,
@@ -83,8 +83,8 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the store at startup. This only reads, so that a proxy does not wait for disk writes before it serves,
-    /// even if all proxies start at the same moment. `max_len` limits the size of each file in bytes.
+    /// Opens the store at startup. This only reads, so that a proxy does not wait for disk writes before it
+    /// serves, even if all proxies start at the same moment. `max_len` limits the size of each file in bytes.
     ///
     /// # Errors
     /// When the disk cannot be read.
@@ -107,7 +107,7 @@
             Some(Err(_)) => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
             None if empty && outer.is_none() => (Knowledge::default(), 0, None, RecoveryStatus::Fresh),
             None if empty => (Knowledge::default(), 0, None, RecoveryStatus::Lost),
-            // A process that ended before its first snapshot.
+            // The earlier process ended before its first snapshot.
             None if logs.len() <= 1 => (Knowledge::default(), 0, None, RecoveryStatus::Sound),
             None => (Knowledge::default(), 0, None, RecoveryStatus::Torn),
         };
@@ -124,10 +124,18 @@
             status = RecoveryStatus::RolledBack;
         }
         let start_number = known.max(outer.unwrap_or(0)) + 1;
-        // Higher than all existing ones, so that nothing is appended to a log that an earlier process left
-        // unfinished.
+        // Higher than the number of any existing log, so that nothing is appended to a log that an earlier
+        // process left unfinished.
         let log = logs.last().copied().unwrap_or(0) + 1;
-        let store = Store { disk, start_number, begun: false, log, log_failed: false, max_len, log_len: 0 };
+        let store = Store {
+            disk,
+            start_number,
+            start_number_written: false,
+            log,
+            log_failed: false,
+            max_len,
+            log_len: 0,
+        };
         Ok((store, Recovered { knowledge, status, start_number, written_at }))
     }
 
@@ -135,23 +143,24 @@
     /// anything have the same number.
     ///
     /// # Errors
-    /// When it cannot be written; the next write retries it first.
+    /// When the start number cannot be written; the next write to the store retries this first.
     pub fn begin(&mut self) -> io::Result<()> {
-        if self.begun {
+        if self.start_number_written {
             return Ok(());
         }
         self.disk.write(START_NUMBER, format!("{}\n", self.start_number).as_bytes())?;
         self.disk.sync(START_NUMBER)?;
         self.disk.set_outer_start_number(self.start_number)?;
-        self.begun = true;
+        self.start_number_written = true;
         Ok(())
     }
 
-    /// Appends the suspension or restore of a member to the log. The operators' call may be confirmed only after this
-    /// succeeds.
+    /// Appends the suspension or restore of a member to the log. The operators' call may be confirmed only
+    /// after this succeeds.
     ///
     /// # Errors
-    /// When it is not certain to be on the disk; nothing more is accepted until the next snapshot.
+    /// When the record is not certain to be on the disk. After a failed write, nothing more is accepted until
+    /// the next snapshot.
     pub fn append_suspension(&mut self, name: &str, suspension: &Suspension) -> io::Result<()> {
         self.begin()?;
         if self.log_failed {
@@ -162,16 +171,17 @@
             return Err(io::Error::other("there is no room for it until the next snapshot"));
         }
         let log = log_name(self.log);
-        let done = self.disk.append(&log, &record).and_then(|()| self.disk.sync(&log));
-        self.log_failed = done.is_err();
+        let result = self.disk.append(&log, &record).and_then(|()| self.disk.sync(&log));
+        self.log_failed = result.is_err();
         self.log_len += record.len() as u64;
-        done
+        result
     }
 
     /// Writes a new snapshot.
     ///
     /// # Errors
-    /// When it cannot be written; the old one then stays.
+    /// When the snapshot cannot be written, in which case the old one stays, or when an old log cannot be
+    /// removed.
     pub fn snapshot(&mut self, knowledge: &Knowledge, at: Time) -> io::Result<()> {
         self.begin()?;
         let bytes = format::write_snapshot(knowledge, at, self.start_number);
@@ -185,17 +195,18 @@
         self.disk.write(SNAPSHOT_TEMPORARY, &bytes)?;
         self.disk.sync(SNAPSHOT_TEMPORARY)?;
         self.disk.replace(SNAPSHOT_TEMPORARY, SNAPSHOT)?;
-        // The snapshot holds all that the logs say. A log that cannot be removed is merged again, which changes
-        // nothing.
+        // The snapshot holds all that the logs say. A log that cannot be removed is merged again, which
+        // changes nothing.
         let old: Vec<String> = self.disk.names()?.into_iter().filter(|n| n.starts_with(LOG_PREFIX)).collect();
         (self.log, self.log_failed, self.log_len) = (self.log + 1, false, 0);
         old.iter().try_for_each(|name| self.disk.remove(name))
     }
 
-    /// Atomically writes a record under a name, next to the snapshot; an empty record removes it.
+    /// Atomically writes a record under `name`, next to the snapshot; if `bytes` is empty, removes the
+    /// record.
     ///
     /// # Errors
-    /// When it is not certain to be on the disk.
+    /// When the record is not certain to be on the disk.
     pub fn put_record(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.begin()?;
         if bytes.is_empty() {
