--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -1,8 +1,9 @@
 //! Exchange of the repeat ids of bookings between the two processes of a proxy.
 //!
-//! A new process asks the running one for its ids by a query file. The running process claims all of its ids in a
-//! shared directory, and from then on each new id before the booking is sent; then it replies by a file with the
-//! query's token. When a process has ended, the other one imports its claims and empties the directory.
+//! A new process asks the running one for its ids with a query file. From then on the running process claims
+//! each new id in a shared directory before it sends the booking. It also claims all ids that it holds, and
+//! then writes a reply file with the query's token. When a process has ended, the other one imports its claims
+//! and empties the directory.
 //!
 //! | file | contents | written by |
 //! | --- | --- | --- |
@@ -25,7 +26,7 @@
 /// Name of the directory of claims.
 const DIRECTORY: &str = "repeat-ids";
 /// Number of claims that are made, read or removed before other tasks may run.
-const BATCH: usize = 64;
+const BATCH_SIZE: usize = 64;
 
 fn query_file(slot: usize) -> String {
     format!("ids-wanted-{slot}")
@@ -55,7 +56,7 @@
 pub struct IdExchange {
     folder: Arc<HandoverFolder>,
     directory: ClaimDirectory,
-    /// None if this process accepts no bookings with ids; it still replies.
+    /// `None` if this process accepts no bookings with ids; it still replies.
     ids: Option<RepeatIds>,
     /// This process's own query, until it is written.
     unsent_query: Option<Query>,
@@ -70,7 +71,7 @@
 }
 
 impl IdExchange {
-    /// For a folder that was joined.
+    /// Creates the exchange for a process that has joined the handover folder.
     pub fn new(folder: Arc<HandoverFolder>, ids: Option<RepeatIds>) -> Self {
         let directory = ClaimDirectory::new(folder.path_of(DIRECTORY));
         let (peer_query_file, peer_reply_file) = (WatchedFile::default(), WatchedFile::default());
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Asks the peer process for its ids if it is running; otherwise imports the claims that earlier processes have
-    /// left. Until that is done no id counts as new.
+    /// Asks the peer process for its ids if it is running; otherwise imports the claims that earlier
+    /// processes have left. Until the ids are known, no id counts as new.
     pub async fn start(&mut self, peer_alive: bool) {
         let Some(ids) = &self.ids else { return };
         ids.expect_peer();
@@ -107,8 +108,8 @@
 
     /// Handles the peer process's query and reply, or the claims that it has left.
     pub async fn poll(&mut self, peer_alive: bool) {
-        let done = if peer_alive { self.poll_peer().await } else { self.import_and_clear().await };
-        if let Err(e) = done {
+        let result = if peer_alive { self.poll_peer().await } else { self.import_and_clear().await };
+        if let Err(e) = result {
             if counter_value(Count::repeat_ids_unshared) == 0 {
                 log::error!("repeat ids cannot be shared with another process of this proxy: {e}");
             }
@@ -142,18 +143,18 @@
     /// Claims all ids, so that the peer process sees them, and writes the reply.
     async fn answer(&mut self, query: &Query) -> io::Result<()> {
         let Some(ids) = self.ids.clone() else {
-            // This process knows nothing of bookings that others have accepted before now.
+            // This process keeps no ids, so it does not know which bookings others have accepted so far.
             let ledger = LedgerSummary { ids: 0, bytes: 0, now: 0, complete_since: 0, span: query.span };
             return self.send_reply(query, ledger);
         };
         let was_alone = ids.is_alone();
-        let done = self.share(&ids, query).await;
-        if done.is_err() && was_alone {
-            // The peer process has received no reply, and treats no id as new.
+        let result = self.share(&ids, query).await;
+        if result.is_err() && was_alone {
+            // The peer process has received no reply and treats no id as new, so sharing can end again.
             self.must_clear = true;
             ids.stop_sharing();
         }
-        done
+        result
     }
 
     async fn share(&mut self, ids: &RepeatIds, query: &Query) -> io::Result<()> {
@@ -161,7 +162,8 @@
         if ids.is_alone() {
             self.clear_claims().await?;
         } else {
-            // These are claims of an ended process, in whose slot the asking process has started.
+            // The directory holds the claims of an ended process, in whose slot the asking process has
+            // started.
             self.import_claims(ids).await?;
         }
         ids.share(self.directory.clone());
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Imports and removes the claims after the peer process has ended, or if there never was one.
+    /// Imports and removes the claims. Called while no peer process is running.
     async fn import_and_clear(&mut self) -> io::Result<()> {
         self.unanswered = None;
         let Some(ids) = self.ids.clone() else { return Ok(()) };
@@ -245,9 +247,9 @@
     parse_or_report(name, contents, |bytes| serde_json::from_slice(bytes))
 }
 
-/// Lets other tasks run after each batch.
+/// Lets other tasks run after each batch; `done` is the number of claims handled before the latest one.
 async fn yield_after_batch(done: usize) {
-    if done % BATCH == BATCH - 1 {
+    if done % BATCH_SIZE == BATCH_SIZE - 1 {
         tokio::task::yield_now().await;
     }
 }
--- a/src/knowledge/evidence.rs
+++ b/src/knowledge/evidence.rs
@@ -1,8 +1,8 @@
-//! Decides what a fact may be used for, from its source and from what the member lists that this process has received
-//! say about the member.
+//! Decides how far a fact about a member may be relied on, from the source of the fact and from what the
+//! member lists that this process has received say about the member.
 //!
-//! The levels are ordered: a fact that may serve as a proof may also serve as a bound, and so on. A decision compares
-//! the level of a fact with the least level that it needs.
+//! The levels of [`Reliance`] are ordered: a fact that may serve as a proof may also serve as a bound, and so
+//! on. A decision compares the level of a fact with the minimum level that the decision needs.
 
 use super::{LearnedFacts, MemberFacts};
 use crate::interface::{Position, Time};
@@ -43,8 +43,9 @@
     Named(Option<Time>),
 }
 
-/// Whether the member has not restarted since the fact was learned. Only a start time that both name proves it: a
-/// member that was replaced at the same address may be listed without one.
+/// Whether it is proved that the member has not restarted since the fact was learned. The proof is a start
+/// time that the fact and the list have in common; without one, the member may have been replaced at the same
+/// address.
 fn same_start(facts: &MemberFacts, listed: ListedStart) -> bool {
     matches!(listed, ListedStart::Named(Some(start)) if facts.start == Some(start))
 }
@@ -64,8 +65,8 @@
     }
 }
 
-/// How far a role may be relied on. A stored one only says which member a write tries first, as a member's role can
-/// change without a restart.
+/// How far a role may be relied on. A stored role is only a hint as to which member a write should try
+/// first, because a member's role can change without a restart.
 pub fn role(facts: &MemberFacts, source: Source, listed: ListedStart) -> Reliance {
     match (source, facts.primary) {
         (_, None) => Reliance::Nothing,
@@ -76,8 +77,8 @@
     }
 }
 
-/// How far the begin of a slow start may be relied on: until the slow start is over it is a bound, whatever its
-/// source.
+/// How far the time at which a slow start began may be relied on: until the slow start is over, that time is
+/// a bound, whatever its source.
 pub fn slow_start(facts: &MemberFacts, now: Time, warm_after: Time) -> Reliance {
     match facts.warm_up_start {
         Some(from) if now < from.saturating_add(warm_after) => Reliance::Bound,
@@ -85,11 +86,11 @@
     }
 }
 
-/// Stored facts about members, kept until a member list tells what they may be used for.
+/// Stored facts about members, kept until a member list shows how far they may be relied on.
 #[derive(Debug, Default)]
 pub struct StoredFacts(LearnedFacts);
 
-/// The stored facts that may be used, once a member list was received.
+/// The stored facts that may be used after a member list was received.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct UsableFacts {
     /// Lower bounds of members' positions.
@@ -109,7 +110,7 @@
         self.0.members.is_empty()
     }
 
-    /// The members that a write may try first, by a list that may be as old as the stored facts.
+    /// The members that a write may try first, according to a list that may be as old as the stored facts.
     pub fn hints(&self, listed: impl Fn(&str) -> ListedStart) -> Vec<Arc<str>> {
         let hint = |facts: &MemberFacts, listed| {
             facts.primary == Some(true) && role(facts, Source::Stored, listed) >= Reliance::Hint
@@ -118,8 +119,8 @@
         members.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes the facts that a list from discovery confirms. All others are dropped, as no later list could confirm
-    /// them.
+    /// Removes all facts and returns those that a list from discovery confirms. The others are dropped, as no
+    /// later list could confirm them.
     pub fn confirm(&mut self, listed: impl Fn(&str) -> ListedStart) -> UsableFacts {
         let mut usable = UsableFacts { primaries: self.hints(&listed), ..UsableFacts::default() };
         for (name, facts) in std::mem::take(&mut self.0.members) {
