--- a/src/net/listen_tests.rs
+++ b/src/net/listen_tests.rs
@@ -93,11 +93,11 @@
     runtime.expect("a runtime").block_on(async {
         let listener = TcpListener::from_std(listener).expect("a listener");
         let listener = Failing { listener, fails, calls: AtomicUsize::new(0) };
-        let (told, phase_rx) = watch::channel(phase);
+        let (phase_tx, phase_rx) = watch::channel(phase);
         let budget = Budget::new(1024, 64 << 20);
         let acceptor =
             Acceptor::new(listener, Instant::now(), Count::pg_connections, budget.clients.clone(), Echo);
-        accept(acceptor, told, phase_rx).await;
+        accept(acceptor, phase_tx, phase_rx).await;
         while !budget.clients.all_permits_free() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -112,7 +112,7 @@
 /// Accepts clients until shutdown begins.
 async fn accept_all(
     acceptor: Acceptor<Echo, Failing>,
-    _told: watch::Sender<ProcessPhase>,
+    _phase_tx: watch::Sender<ProcessPhase>,
     phase_rx: PhaseReceiver,
 ) {
     drop(acceptor.accept_all(phase_rx).await);
@@ -121,7 +121,7 @@
 /// Refuses clients until the process ends.
 async fn refuse_all(
     acceptor: Acceptor<Echo, Failing>,
-    _told: watch::Sender<ProcessPhase>,
+    _phase_tx: watch::Sender<ProcessPhase>,
     phase_rx: PhaseReceiver,
 ) {
     acceptor.refuse_all(phase_rx).await;
@@ -130,11 +130,11 @@
 /// Accepts clients until shutdown begins, then refuses the rest.
 async fn accept_and_refuse_all(
     acceptor: Acceptor<Echo, Failing>,
-    told: watch::Sender<ProcessPhase>,
+    phase_tx: watch::Sender<ProcessPhase>,
     phase_rx: PhaseReceiver,
 ) {
     let acceptor = acceptor.accept_all(phase_rx.clone()).await.expect("no other process takes the clients");
-    told.send_replace(ProcessPhase::Ended);
+    phase_tx.send_replace(ProcessPhase::Ended);
     acceptor.refuse_all(phase_rx).await;
 }
 
