--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -64,8 +64,8 @@
         self.stream.peer_addr().map_or(0, |peer| peer.port())
     }
 
-    /// Reports whether the peer is still connected, for as long as this socket exists.
-    pub fn presence(&self) -> Weak<dyn ClientConnection> {
+    /// Returns a weak handle that reports whether the peer is still connected; it does not keep the socket open.
+    pub fn client_connection(&self) -> Weak<dyn ClientConnection> {
         let stream: Arc<dyn ClientConnection> = self.stream.clone();
         Arc::downgrade(&stream)
     }
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -196,7 +196,7 @@
         count(Count::odata_requests);
         // Only the first request may have been sent before this session first read the connection.
         let waited = stall::queued_time(self.waiting_since.take());
-        let mut answer = pin!(self.front.answer(request, self.conn.get_ref().presence(), waited));
+        let mut answer = pin!(self.front.answer(request, self.conn.get_ref().client_connection(), waited));
         let mut read_error = None;
         loop {
             let may_read = self.read_ahead.len() < MAX_READ_AHEAD && read_error.is_none();
