--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -2,8 +2,8 @@
 //!
 //! A new process asks the running one for its ids with a query file. From then on the running process claims
 //! each new id in a shared directory before it sends the booking. It also claims all ids that it holds, and
-//! then writes a reply file with the query's token. When a process has ended, the other one imports its claims
-//! and empties the directory.
+//! then writes a reply file with the query's token. When a process has ended, the other one imports its
+//! claims and empties the directory.
 //!
 //! | file | contents | written by |
 //! | --- | --- | --- |
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -64,7 +64,8 @@
         self.stream.peer_addr().map_or(0, |peer| peer.port())
     }
 
-    /// Returns a weak handle that reports whether the peer is still connected; it does not keep the socket open.
+    /// Returns a weak handle that reports whether the peer is still connected. The handle does not keep the
+    /// socket open.
     pub fn client_connection(&self) -> Weak<dyn ClientConnection> {
         let stream: Arc<dyn ClientConnection> = self.stream.clone();
         Arc::downgrade(&stream)
--- a/src/odata/session.rs
+++ b/src/odata/session.rs
@@ -80,7 +80,8 @@
     idle_since: Instant,
     /// Time by which more input has to arrive.
     read_deadline: Instant,
-    /// Earliest time at which the first request may have been sent, if known; taken when its execution starts.
+    /// Earliest time at which the first request may have been sent, if known; taken when that request is
+    /// executed.
     waiting_since: Option<std::time::Instant>,
 }
 
--- a/src/pg/member_tests.rs
+++ b/src/pg/member_tests.rs
@@ -133,8 +133,8 @@
 
 #[test]
 fn a_code_that_does_not_fit_the_statement_is_no_proof_that_nothing_ran() {
-    // 25006 (read only) cannot apply to a read, which needs no primary, nor 72000 (snapshot too old) to a
-    // write, which carries no position that it must see.
+    // 25006 (read-only) cannot apply to a read, which needs no primary, and 72000 (position not reached)
+    // cannot apply to a write, which carries no position that it must see.
     assert_eq!(outcome(READ, &[&error("ERROR", "25006"), READY_FOR_QUERY]), Outcome::Errored);
     assert_eq!(outcome(WRITE, &[&error("ERROR", "72000"), READY_FOR_QUERY]), Outcome::Errored);
 }
