--- a/src/main.rs
+++ b/src/main.rs
@@ -59,38 +59,40 @@
 const COMMAND_MAILBOX_CAPACITY: usize = 64;
 /// Environment variable with the descriptor of a listener that the platform keeps open for this proxy.
 const INHERITED_LISTENER_VARIABLE: &str = "BALANCER_ACCEPT_FD";
-/// Number of attempts, about 5 s in total, to take one of the two process slots while the process before the last one
-/// ends.
+/// Number of attempts to take one of the two process slots, about 5 s in total. Both slots can be taken while the
+/// process before the previous one is still ending.
 const SLOT_TRIES: usize = 250;
-/// The counters of client connections of the two fronts.
+/// The counters of client connections, one for each front.
 const PG_CONNECTIONS: Count = Count::pg_connections;
 const ODATA_CONNECTIONS: Count = Count::odata_connections;
 
-/// The folder that the processes of this proxy share, if the platform allows two of them to serve at the same time.
+/// The path of the folder that the processes of this proxy share. `None` unless the platform lets two processes share
+/// a listener and thus serve at the same time.
 fn shared_folder_path(name: &str, shares_listener: bool) -> Option<PathBuf> {
     let folder = std::env::var("TMPDIR").ok().filter(|v| shares_listener && !v.is_empty());
     folder.map(|folder| handover::proxy_folder(&folder, name))
 }
 
-/// Joins the shared folder. If it cannot be used yet, it is joined later.
-fn join_folder(place: &Path) -> Result<SharedFolder, String> {
-    match HandoverFolder::join(place.to_path_buf(), SLOT_TRIES) {
+/// Joins the shared folder. On an I/O error, the error is logged and the folder is left to be joined later. Fails if
+/// two other processes already use the folder.
+fn join_folder(path: &Path) -> Result<SharedFolder, String> {
+    match HandoverFolder::join(path.to_path_buf(), SLOT_TRIES) {
         Ok(Some(folder)) => Ok(SharedFolder::joined(Arc::new(folder))),
         Ok(None) => {
-            Err(format!("two processes of this proxy are running already, according to {}", place.display()))
+            Err(format!("two processes of this proxy are running already, according to {}", path.display()))
         }
         Err(e) => {
             log::error!(
                 "{}: {e}; nothing is shared with another process of this proxy for now",
-                place.display()
+                path.display()
             );
             Ok(SharedFolder::expected())
         }
     }
 }
 
-/// Listens on the clients' address if that can be determined before the whole configuration is read. Faults of the
-/// configuration are reported when it is read as a whole.
+/// Listens on the clients' address if that can be determined before the whole configuration is read. If it cannot, no
+/// error is returned here: faults of the configuration are reported when the whole of it is read.
 async fn listen_early(inherited: Option<&str>) -> Result<Option<ClientListener>, String> {
     match (config::listen_address(), inherited) {
         (Ok(address), _) => bind_clients(inherited, &address).await.map(Some),
@@ -109,20 +111,19 @@
     transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
-/// Creates an empty ledger of repeat ids. The answers stored in it share the process's memory, so their size is
-/// limited.
+/// Creates an empty ledger of repeat ids. The stored answers may take at most an eighth of the process's memory limit.
 fn repeat_ids(odata: &OdataConfig, memory: usize, clock: Clock) -> RepeatIds {
     let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_id_lifetime, clock)
 }
 
-/// Runs a part of startup that may block. With `waits`, it runs on a separate thread, so that clients that connect in
-/// the meantime are handled; an ordinary startup does not need this thread.
+/// Runs a part of startup. If it may block (`may_block`), it runs on a separate thread, so that connecting clients are
+/// handled in the meantime; otherwise no thread is started.
 async fn off_thread<T: Send + 'static>(
-    waits: bool,
+    may_block: bool,
     work: impl FnOnce() -> Result<T, String> + Send + 'static,
 ) -> Result<T, String> {
-    if !waits {
+    if !may_block {
         return work();
     }
     tokio::task::spawn_blocking(work).await.map_err(|e| e.to_string())?
@@ -131,11 +132,13 @@
 async fn run(began: Instant) -> Result<(), String> {
     // Handlers are installed first: without a handler each of these signals would end the process, and they may be
     // sent as soon as the process reports that it serves.
-    let listen_for = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-    let (hangup, mut usr1) = (listen_for(SignalKind::hangup())?, listen_for(SignalKind::user_defined1())?);
-    let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
+    let install_handler = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+    let (hangup, mut usr1) =
+        (install_handler(SignalKind::hangup())?, install_handler(SignalKind::user_defined1())?);
+    let (mut term, mut int) =
+        (install_handler(SignalKind::terminate())?, install_handler(SignalKind::interrupt())?);
     let inherited = std::env::var(INHERITED_LISTENER_VARIABLE).ok().filter(|v| !v.is_empty());
-    // Before everything else, so that clients that connect from now on find a listener.
+    // Before the configuration is read, so that clients that connect in the meantime find a listener.
     let early_listener = listen_early(inherited.as_deref()).await?;
     log::info!("clients can connect {} us after startup began", began.elapsed().as_micros());
     let operators_file = operators::load()?;
@@ -164,10 +167,9 @@
         }
     }
     let store_file = operators_file.store.clone();
-    let start = off_thread(operators_file.store.enabled, move || recovery::recover(&store_file, loaded));
-    let StartupState { config, checked: sound, from_store: stored, store, votes, own_settings: own } =
-        start.await?;
-    let ValidatedConfig { names, settings, times } = sound;
+    let recovery = off_thread(operators_file.store.enabled, move || recovery::recover(&store_file, loaded));
+    let StartupState { config, checked, from_store, store, votes, own_settings } = recovery.await?;
+    let ValidatedConfig { names, settings, times } = checked;
     let zones = names.zones.clone();
     let mut slots = ClassSlots::default();
     let (class_table, class_table_receiver) = watch::channel(slots.replace(names, settings.classes.clone()));
@@ -177,9 +179,9 @@
         "limits: {} descriptors, {memory} MiB; members close connections that are idle for {idle} ms",
         config.max_descriptors
     );
-    let place = shared_folder_path(&config.name, inherited.is_some());
-    let shared_folder = match place.clone() {
-        Some(place) => off_thread(true, move || join_folder(&place)).await?,
+    let folder_path = shared_folder_path(&config.name, inherited.is_some());
+    let shared_folder = match folder_path.clone() {
+        Some(path) => off_thread(true, move || join_folder(&path)).await?,
         None => SharedFolder::default(),
     };
     let clock = Clock::start();
@@ -192,7 +194,7 @@
         MemberActors::new(core_mailbox.clone(), list_requests, budget.clone(), clock, times, connector);
     let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
     let schedule = CallSchedule::new(settings.seed);
-    let (seed, zone, first) = (settings.seed, settings.zone, settings.clone());
+    let (seed, zone, initial_settings) = (settings.seed, settings.zone, settings.clone());
     let actor =
         Actor::new(settings, members, clock, (core_inbox, command_inbox)).map_err(|e| e.to_string())?;
 
@@ -200,49 +202,52 @@
     // The list of the configuration or the store is available before the first client connects; it may be out of date.
     let initial_list =
         lists.read(&recovery::initial_list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
-    let (held, initial_list) =
-        initial_list.map_or_else(Default::default, |(held, _, entries)| (Some(held), entries));
+    let (initial_version, initial_list) =
+        initial_list.map_or_else(Default::default, |(version, _, entries)| (Some(version), entries));
     core_mailbox.send(Input::List(ListKind::Disk, initial_list)).await.map_err(|e| e.to_string())?;
     tokio::spawn(actor.run());
     let (discovery, service) =
         watch::channel(DiscoveryService { address: config.discovery.clone(), proxies, delivery });
-    let mut version = Arc::default();
+    let mut list_version = Arc::default();
     if operators_file.dnssd.browse {
         let DnsSdConfig { server, service, .. } = &operators_file.dnssd;
         tokio::spawn(
             Browser::new(*server, service, lists, core_mailbox.clone(), clock)?.run(list_request_inbox),
         );
     } else {
-        let discovery = Discovery::new(service, schedule, lists, held, core_mailbox.clone());
-        version = discovery.version.clone();
+        let discovery = Discovery::new(service, schedule, lists, initial_version, core_mailbox.clone());
+        list_version = discovery.version.clone();
         tokio::spawn(discovery.run(list_request_inbox));
     }
 
     let store_handle = store.as_ref().map(|(store_handle, ..)| store_handle.clone());
     let control = ControlHandle::new(commands, shared_folder.clone()).with_store(store_handle.clone());
-    let (stored, mut held, mut last) = (Arc::new(AtomicBool::new(stored)), None, None);
-    if let Some((store_handle, found, text)) = store {
-        recovery::restore_knowledge(&operators_file.store, found, &control, clock.now()).await;
-        let (holds, settings) = watch::channel(Some(TimestampedText { at: clock.now(), text }));
-        held = Some(holds);
-        let (version, zones) = (version.clone(), zones.clone());
+    let config_from_store = Arc::new(AtomicBool::new(from_store));
+    let (mut accepted_text, mut snapshot_at_shutdown) = (None, None);
+    if let Some((store_handle, recovered, text)) = store {
+        recovery::restore_knowledge(&operators_file.store, recovered, &control, clock.now()).await;
+        let (text_sender, settings) = watch::channel(Some(TimestampedText { at: clock.now(), text }));
+        accepted_text = Some(text_sender);
+        let (version, zones) = (list_version.clone(), zones.clone());
         let snapshot_task =
             SnapshotTask { store_handle, control: control.clone(), clock, settings, version, zones };
         let snapshot_task = Arc::new(snapshot_task);
-        last = Some(snapshot_task.clone());
-        let every = operators_file.store.snapshot_interval;
-        tokio::spawn(async move { snapshot_task.run(every).await });
+        snapshot_at_shutdown = Some(snapshot_task.clone());
+        let interval = operators_file.store.snapshot_interval;
+        tokio::spawn(async move { snapshot_task.run(interval).await });
     }
-    let (mut agreed, mut fleet) = (None, None);
+    let (mut fleet_settings, mut operator_calls) = (None, None);
     if operators_file.agreement.enabled {
         if operators_file.agreement.on_lease_expiry == OnLeaseExpiry::Refuse {
             // Before the first client connects: no request may be sent to a member before the voters grant a lease.
             control.send(CoreCommand::ExtendLease(0)).await;
-            control.request(|reply| CoreCommand::ApplySettings(Box::new(first), times, reply)).await;
+            control
+                .request(|reply| CoreCommand::ApplySettings(Box::new(initial_settings), times, reply))
+                .await;
         }
         let keys = operators_file.agreement.read_keys()?;
         let (settings_updates, updates_inbox) = mpsc::channel(1);
-        let (own, proposed) = watch::channel(own);
+        let (own_settings_sender, own_settings) = watch::channel(own_settings);
         let dependencies = Dependencies {
             config: operators_file.agreement.clone(),
             keys,
@@ -250,27 +255,27 @@
             core: core_mailbox.clone(),
             settings_updates,
             store: store_handle,
-            list_version: version.clone(),
+            list_version: list_version.clone(),
             zones: zones.clone(),
-            own_settings: proposed,
+            own_settings,
             clock,
             seed,
         };
         let (agreement, requests) = AgreementActor::start(dependencies, votes).await?;
         let (calls, call_inbox) = mpsc::channel(COMMAND_MAILBOX_CAPACITY);
         tokio::spawn(agreement.run(call_inbox, requests));
-        (agreed, fleet) = (Some((updates_inbox, own)), Some(calls));
+        (fleet_settings, operator_calls) = (Some((updates_inbox, own_settings_sender)), Some(calls));
     }
     let reload = Reload {
         current: config.clone(),
         zone,
-        fleet_settings: agreed,
+        fleet_settings,
         slots,
         class_table,
         discovery,
         control: control.clone(),
-        accepted_text: held,
-        config_from_store: stored.clone(),
+        accepted_text,
+        config_from_store: config_from_store.clone(),
         clock,
     };
     tokio::spawn(reload.run(hangup));
@@ -278,13 +283,16 @@
         let listener =
             transient::listen(console.as_str()).await.map_err(|e| format!("console {console}: {e}"))?;
         log::info!("operators call at {}", listener.local_addr().map_err(|e| e.to_string())?);
-        tokio::spawn(Console::new(control.clone(), phase_receiver.clone(), stored, fleet).run(listener));
+        tokio::spawn(
+            Console::new(control.clone(), phase_receiver.clone(), config_from_store, operator_calls)
+                .run(listener),
+        );
     }
     let repeat_ids = operators_file
         .odata
         .enabled
         .then(|| repeat_ids(&operators_file.odata, config.max_memory_bytes, clock));
-    match (shared_folder.get(), place) {
+    match (shared_folder.get(), folder_path) {
         (Some(folder), _) => {
             let folder = folder.clone();
             let mut handover =
@@ -292,18 +300,18 @@
             handover.take_over().await;
             tokio::spawn(handover.run());
         }
-        (None, Some(place)) => {
+        (None, Some(path)) => {
             // There may be another process that this one cannot detect yet.
             repeat_ids.iter().for_each(RepeatIds::expect_peer);
             let (shared, control, budget) = (shared_folder.clone(), control.clone(), budget.clone());
-            let joined = Handover::join_late(shared, place, control, budget, clock, repeat_ids.clone());
-            tokio::spawn(joined);
+            let late_handover = Handover::join_late(shared, path, control, budget, clock, repeat_ids.clone());
+            tokio::spawn(late_handover);
         }
         (None, None) => {}
     }
-    let began = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
-    control.request(|reply| CoreCommand::StartServing(began, reply)).await;
-    let (core, pace) = (Handle::new(core_mailbox.clone()), ErrorPacer::default());
+    let began_at = clock.now().saturating_sub(began.elapsed().as_micros() as Time);
+    control.request(|reply| CoreCommand::StartServing(began_at, reply)).await;
+    let (core, error_pacer) = (Handle::new(core_mailbox.clone()), ErrorPacer::default());
     let answer_limit = AnswerLimit::default();
     let clients = budget.clients.clone();
     open_pg.open(Arc::new(pg::front::Front {
@@ -312,7 +320,7 @@
         clock,
         clients: clients.clone(),
         bytes: budget.bytes.clone(),
-        pace: pace.clone(),
+        pace: error_pacer.clone(),
         answer_limit: answer_limit.clone(),
     }));
     if pg_address.is_none() {
@@ -326,8 +334,14 @@
     if let Some(repeat_ids) = repeat_ids {
         let bookings = Bookings::new(core.clone(), clock, repeat_ids);
         let (class_table, limit) = (class_table_receiver.clone(), answer_limit.clone());
-        let front =
-            odata::front::Front::new(core, bookings, class_table, clock, (budget.clone(), pace), limit);
+        let front = odata::front::Front::new(
+            core,
+            bookings,
+            class_table,
+            clock,
+            (budget.clone(), error_pacer),
+            limit,
+        );
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_deferred.take() {
             odata_address = accepting.add(listener, ODATA_CONNECTIONS, &budget, odata_gate);
@@ -346,8 +360,8 @@
     let longest_deadline =
         move || class_table_receiver.borrow().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     let final_snapshot = async {
-        if let Some(last) = last {
-            last.write().await;
+        if let Some(task) = snapshot_at_shutdown {
+            task.write().await;
         }
     };
     let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
