--- a/src/console/mod.rs
+++ b/src/console/mod.rs
@@ -1,9 +1,11 @@
-//! The console: a TCP listener for operators. A connection carries one line with a call, and one line with the reply.
+//! The console: a TCP listener for operators. A connection carries one line with a call, and one line with
+//! the reply.
 //!
-//! Console connections have a limit and reserved descriptors of their own, and their calls reach the core through a
-//! separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the oldest connection that
-//! has not sent a complete line is closed for a new one: idle connections must not lock out an operator. The console
-//! itself decides nothing; it forwards calls to the core and to the agreement.
+//! Console connections have a limit and reserved descriptors of their own, and their calls reach the core
+//! through a separate mailbox, so that neither clients nor a busy core delay replies. At the limit, the
+//! oldest connection that has not sent a complete line is closed for a new one: idle connections must not
+//! lock out an operator. The console itself decides nothing; it forwards calls to the core and to the
+//! agreement.
 
 pub mod line;
 
@@ -25,18 +27,19 @@
 use tokio::task::AbortHandle;
 use tokio_util::codec::Framed;
 
-/// Maximum number of concurrent connections.
+/// Maximum number of concurrent console connections.
 pub const CONNECTIONS_MAX: usize = 12;
 /// How long a caller may take to send its line.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a caller may take to receive its reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// A call that is not finished after this time is reported as not done: a caller must have its reply within a second.
+/// A call that is not finished after this time is reported as not done: a caller must have its reply within a
+/// second.
 const EXECUTION_TIMEOUT: Duration = Duration::from_millis(800);
-/// The runtime polls the kernel for events before a timer fires, so that a signal sent before a call has been
-/// delivered after this wait.
+/// Delay before the status is determined. The runtime polls the kernel for events before a timer fires, so a
+/// signal sent before the call has been delivered after this delay, and the status reflects it.
 const SIGNAL_DELIVERY_WAIT: Duration = Duration::from_millis(1);
-/// Delay after a failed accept, and between checks for a free connection.
+/// Delay after a failed accept, and between checks whether a connection has ended when all are in use.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The console; each connection has a copy.
@@ -44,27 +47,28 @@
 pub struct Console {
     control: ControlHandle,
     phase: PhaseReceiver,
-    /// The configuration could not be read, and a stored one is in use.
-    stored: Arc<AtomicBool>,
-    /// Mailbox of the agreement, if the fleet has one.
-    fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
+    /// Whether a stored configuration is in use, as the file could not be used at startup.
+    config_from_store: Arc<AtomicBool>,
+    /// Mailbox of the agreement between proxies, if it is enabled.
+    operator_calls: Option<mpsc::Sender<agreement_io::OperatorCall>>,
 }
 
 struct Caller {
     task: AbortHandle,
-    /// A complete line has arrived.
+    /// Whether a complete line has arrived.
     line_complete: Arc<AtomicBool>,
 }
 
 impl Console {
-    /// Creates a console that sends its calls to `control` and, for the fleet, to `fleet`.
+    /// Creates a console that sends calls about this proxy to `control`, and calls about the fleet to
+    /// `operator_calls`.
     pub fn new(
         control: ControlHandle,
         phase: PhaseReceiver,
-        stored: Arc<AtomicBool>,
-        fleet: Option<mpsc::Sender<agreement_io::OperatorCall>>,
+        config_from_store: Arc<AtomicBool>,
+        operator_calls: Option<mpsc::Sender<agreement_io::OperatorCall>>,
     ) -> Self {
-        Console { control, phase, stored, fleet }
+        Console { control, phase, config_from_store, operator_calls }
     }
 
     /// Accepts callers until the process ends.
@@ -82,7 +86,7 @@
             callers.retain(|c| !c.task.is_finished());
             while callers.len() >= CONNECTIONS_MAX {
                 let incomplete = callers.iter().position(|c| !c.line_complete.load(Ordering::Relaxed));
-                match incomplete.and_then(|at| callers.remove(at)) {
+                match incomplete.and_then(|index| callers.remove(index)) {
                     Some(caller) => {
                         count(Count::console_made_room);
                         caller.task.abort();
@@ -134,7 +138,7 @@
     }
 
     async fn answer(&self, call: &Call) -> Reply {
-        let (result, done) = match call {
+        let (result, success_text) = match call {
             Call::Status => return self.status().await,
             Call::Phase => {
                 return match self.control.request(CoreCommand::QueryStartup).await {
@@ -153,7 +157,7 @@
                 }
             }
             Call::Fleet(call) => {
-                return self.fleet(call).await.map_or_else(Reply::Failure, |yes| Reply::Success(yes.into()))
+                return self.fleet(call).await.map_or_else(Reply::Failure, |text| Reply::Success(text.into()))
             }
             Call::Suspend(id) => (
                 self.control
@@ -168,7 +172,7 @@
                 "back",
             ),
         };
-        result.map_or_else(Reply::Failure, |()| Reply::Success(done.into()))
+        result.map_or_else(Reply::Failure, |()| Reply::Success(success_text.into()))
     }
 
     async fn fleet(&self, call: &FleetCall) -> Result<String, String> {
@@ -178,14 +182,15 @@
             FleetCall::Propose(path, author) => {
                 OperatorCommand::Propose(author.clone(), agreement_io::read_settings_json(path).await?)
             }
-            FleetCall::Hand(member, out) => OperatorCommand::SetSuspended(member.clone(), *out),
+            FleetCall::Hand(member, suspended) => OperatorCommand::SetSuspended(member.clone(), *suspended),
             FleetCall::Abort => OperatorCommand::Abort,
             FleetCall::Epoch(number) => OperatorCommand::BeginEpoch(*number),
         };
-        let fleet = self.fleet.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
+        let operator_calls =
+            self.operator_calls.as_ref().ok_or("the operators' file has no agreement that is enabled")?;
         let ending = || "the process ends".to_string();
         let (reply, answer) = oneshot::channel();
-        fleet.send((command, reply)).await.map_err(|_| ending())?;
+        operator_calls.send((command, reply)).await.map_err(|_| ending())?;
         answer.await.map_err(|_| ending())?
     }
 
@@ -203,7 +208,7 @@
             ProcessPhase::Serving => {}
         }
         match self.control.request(CoreCommand::QueryReadiness).await {
-            Some(Readiness::Ready) if self.stored.load(Ordering::Relaxed) => {
+            Some(Readiness::Ready) if self.config_from_store.load(Ordering::Relaxed) => {
                 Reply::Success("serving, by the last configuration that held".into())
             }
             Some(Readiness::Ready) => Reply::Success("serving".into()),
--- a/src/main.rs
+++ b/src/main.rs
@@ -59,22 +59,22 @@
 const COMMAND_MAILBOX_CAPACITY: usize = 64;
 /// Environment variable with the descriptor of a listener that the platform keeps open for this proxy.
 const INHERITED_LISTENER_VARIABLE: &str = "BALANCER_ACCEPT_FD";
-/// Number of attempts to take one of the two process slots, about 5 s in total. Both slots can be taken while the
-/// process before the previous one is still ending.
+/// Number of attempts to take one of the two process slots, about 5 s in total. Both slots can be taken while
+/// the process before the previous one is still ending.
 const SLOT_TRIES: usize = 250;
 /// The counters of client connections, one for each front.
 const PG_CONNECTIONS: Count = Count::pg_connections;
 const ODATA_CONNECTIONS: Count = Count::odata_connections;
 
-/// The path of the folder that the processes of this proxy share. `None` unless the platform lets two processes share
-/// a listener and thus serve at the same time.
+/// The path of the folder that the processes of this proxy share. `None` unless the platform lets two
+/// processes share a listener and thus serve at the same time.
 fn shared_folder_path(name: &str, shares_listener: bool) -> Option<PathBuf> {
     let folder = std::env::var("TMPDIR").ok().filter(|v| shares_listener && !v.is_empty());
     folder.map(|folder| handover::proxy_folder(&folder, name))
 }
 
-/// Joins the shared folder. On an I/O error, the error is logged and the folder is left to be joined later. Fails if
-/// two other processes already use the folder.
+/// Joins the shared folder. On an I/O error, the error is logged and the folder is left to be joined later.
+/// Fails if two other processes already use the folder.
 fn join_folder(path: &Path) -> Result<SharedFolder, String> {
     match HandoverFolder::join(path.to_path_buf(), SLOT_TRIES) {
         Ok(Some(folder)) => Ok(SharedFolder::joined(Arc::new(folder))),
@@ -91,8 +91,8 @@
     }
 }
 
-/// Listens on the clients' address if that can be determined before the whole configuration is read. If it cannot, no
-/// error is returned here: faults of the configuration are reported when the whole of it is read.
+/// Listens on the clients' address if that can be determined before the whole configuration is read. If it
+/// cannot, no error is returned here: faults of the configuration are reported when the whole of it is read.
 async fn listen_early(inherited: Option<&str>) -> Result<Option<ClientListener>, String> {
     match (config::listen_address(), inherited) {
         (Ok(address), _) => bind_clients(inherited, &address).await.map(Some),
@@ -111,14 +111,15 @@
     transient::listen(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
-/// Creates an empty ledger of repeat ids. The stored answers may take at most an eighth of the process's memory limit.
+/// Creates an empty ledger of repeat ids. The stored answers may take at most an eighth of the process's
+/// memory limit.
 fn repeat_ids(odata: &OdataConfig, memory: usize, clock: Clock) -> RepeatIds {
     let limits = LedgerSize { ids: odata.repeat_ids, bytes: odata.repeat_bytes.min(memory / 8) };
     RepeatIds::new(limits, odata.repeat_id_lifetime, clock)
 }
 
-/// Runs a part of startup. If it may block (`may_block`), it runs on a separate thread, so that connecting clients are
-/// handled in the meantime; otherwise no thread is started.
+/// Runs a part of startup. If it may block (`may_block`), it runs on a separate thread, so that connecting
+/// clients are handled in the meantime; otherwise no thread is started.
 async fn off_thread<T: Send + 'static>(
     may_block: bool,
     work: impl FnOnce() -> Result<T, String> + Send + 'static,
@@ -130,8 +131,8 @@
 }
 
 async fn run(began: Instant) -> Result<(), String> {
-    // Handlers are installed first: without a handler each of these signals would end the process, and they may be
-    // sent as soon as the process reports that it serves.
+    // Handlers are installed first: without a handler each of these signals would end the process, and they
+    // may be sent as soon as the process reports that it serves.
     let install_handler = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let (hangup, mut usr1) =
         (install_handler(SignalKind::hangup())?, install_handler(SignalKind::user_defined1())?);
@@ -144,7 +145,7 @@
     let operators_file = operators::load()?;
     let loaded = config::load();
     let (phase, phase_receiver) = watch::channel(ProcessPhase::Starting);
-    let mut accepting = ClientListeners::new(began, phase_receiver.clone());
+    let mut listeners = ClientListeners::new(began, phase_receiver.clone());
     let (mut pg_address, mut odata_address) = (None, None);
     let early_budget =
         loaded.as_ref().ok().map(|(config, ..)| Budget::new(config.max_descriptors, config.max_memory_bytes));
@@ -154,16 +155,17 @@
     };
     let (open_pg, pg_gate) = startup::gate();
     let (open_odata, odata_gate) = startup::gate();
-    // An inherited listener is not accepted on yet: another process of this proxy may still serve its clients.
+    // An inherited listener is not accepted on yet: another process of this proxy may still serve its
+    // clients.
     let (mut pg_deferred, mut odata_deferred) = (early_listener, odata_listener);
     if let (Some(budget), None) = (&early_budget, &inherited) {
         if let Some(listener) =
             pg_deferred.take_if(|l| loaded.as_ref().is_ok_and(|(config, ..)| l.has_address(&config.listen)))
         {
-            pg_address = accepting.add(listener.into_inner(), PG_CONNECTIONS, budget, pg_gate.clone());
+            pg_address = listeners.add(listener.into_inner(), PG_CONNECTIONS, budget, pg_gate.clone());
         }
         if let Some(listener) = odata_deferred.take() {
-            odata_address = accepting.add(listener, ODATA_CONNECTIONS, budget, odata_gate.clone());
+            odata_address = listeners.add(listener, ODATA_CONNECTIONS, budget, odata_gate.clone());
         }
     }
     let store_file = operators_file.store.clone();
@@ -199,7 +201,8 @@
         Actor::new(settings, members, clock, (core_inbox, command_inbox)).map_err(|e| e.to_string())?;
 
     let mut lists = ListReader::new(zones.clone());
-    // The list of the configuration or the store is available before the first client connects; it may be out of date.
+    // The list of the configuration or the store is available before the first client connects; it may be out
+    // of date.
     let initial_list =
         lists.read(&recovery::initial_list(&config.initial_list, store.as_ref().map(|s| &s.1)), None);
     let (initial_version, initial_list) =
@@ -239,7 +242,8 @@
     let (mut fleet_settings, mut operator_calls) = (None, None);
     if operators_file.agreement.enabled {
         if operators_file.agreement.on_lease_expiry == OnLeaseExpiry::Refuse {
-            // Before the first client connects: no request may be sent to a member before the voters grant a lease.
+            // Before the first client connects: no request may be sent to a member before the voters grant a
+            // lease.
             control.send(CoreCommand::ExtendLease(0)).await;
             control
                 .request(|reply| CoreCommand::ApplySettings(Box::new(initial_settings), times, reply))
@@ -328,7 +332,7 @@
             Some(listener) => listener,
             None => bind_clients(inherited.as_deref(), &config.listen).await?,
         };
-        pg_address = accepting.add(listener.into_inner(), PG_CONNECTIONS, &budget, pg_gate);
+        pg_address = listeners.add(listener.into_inner(), PG_CONNECTIONS, &budget, pg_gate);
     }
     log::info!("serving clients at {}", pg_address.ok_or("clients have no address")?);
     if let Some(repeat_ids) = repeat_ids {
@@ -344,7 +348,7 @@
         );
         open_odata.open(Arc::new(front));
         if let Some(listener) = odata_deferred.take() {
-            odata_address = accepting.add(listener, ODATA_CONNECTIONS, &budget, odata_gate);
+            odata_address = listeners.add(listener, ODATA_CONNECTIONS, &budget, odata_gate);
         }
         log::info!("serving OData at {}", odata_address.ok_or("OData has no address")?);
     }
@@ -364,7 +368,7 @@
             task.write().await;
         }
     };
-    let shutdown = Shutdown { clock, phase, accepting, clients, answer_limit };
+    let shutdown = Shutdown { clock, phase, listeners, clients, answer_limit };
     shutdown.run(peer_alive, operators_file.accept_after_sigterm, longest_deadline, final_snapshot).await;
     cli::print_line(format_args!("counters: {}{}", counters::nonzero_line(), meter::counter_fields()));
     Ok(())
