--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration at SIGHUP: the file is read and checked as a whole, then applied as a whole or not at
-//! all.
+//! Reloads the configuration at SIGHUP: the file is read and checked as a whole, then applied as a whole or
+//! not at all.
 
 use crate::agreement::rules::FleetSettings;
 use crate::agreement_io::SettingsUpdate;
@@ -21,12 +21,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// First delay before a file that could not be used is read again, as it may be half written.
+/// Delay before the first retry to read a file that could not be used, as it may be half written.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// For how long after SIGHUP such a file is read again.
+/// For how long after SIGHUP reading such a file is retried.
 const RETRY_PERIOD: Duration = Duration::from_secs(1);
 
-/// The actor that applies new settings, with the channels to all who use them.
+/// The actor that applies new settings and sends them to the parts of the process that use them.
 pub struct Reload {
     /// The configuration in force.
     pub current: Config,
@@ -46,14 +46,15 @@
     pub config_from_store: Arc<AtomicBool>,
     /// The clock that timestamps the text for the store.
     pub clock: Clock,
-    /// Set if the settings are agreed on with the other proxies: receives the settings in force, and passes on
-    /// those of this proxy's own file, which are then only a proposal.
+    /// Set if the settings are agreed on with the other proxies. The receiver delivers the settings in force.
+    /// The sender passes on the settings of this proxy's own file, which may be proposed as the first
+    /// version.
     pub fleet_settings: Option<(mpsc::Receiver<SettingsUpdate>, watch::Sender<Arc<str>>)>,
 }
 
 impl Reload {
-    /// Reads the file again at each SIGHUP. A file that cannot be used may be half written: it is read again with
-    /// increasing delays for a short time, and then ignored until the next SIGHUP.
+    /// Reads the file again at each SIGHUP. A file that cannot be used may be half written: it is read again
+    /// with increasing delays for a short time, and then ignored until the next SIGHUP.
     pub async fn run(mut self, mut hangup: Signal) {
         loop {
             let update = async {
@@ -66,13 +67,13 @@
                 signal = hangup.recv() => if signal.is_none() {
                     return;
                 },
-                Some((settings, done)) = update => {
+                Some((settings, applied)) = update => {
                     self.apply_fleet_settings(*settings).await;
-                    let _ = done.send(());
+                    let _ = applied.send(());
                     continue;
                 }
             }
-            let (mut delay, mut until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD);
+            let (mut delay, mut retry_until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD);
             let fault = loop {
                 match config::reload(&self.current) {
                     Ok((config, checked, text)) => {
@@ -84,12 +85,12 @@
                         }
                         break None;
                     }
-                    Err(fault) if Instant::now() >= until => break Some(fault),
+                    Err(fault) if Instant::now() >= retry_until => break Some(fault),
                     Err(_) => {}
                 }
                 tokio::select! {
                     again = hangup.recv() => match again {
-                        Some(()) => (delay, until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD),
+                        Some(()) => (delay, retry_until) = (RETRY_DELAY, Instant::now() + RETRY_PERIOD),
                         None => return,
                     },
                     () = tokio::time::sleep(delay) => delay *= 2,
@@ -120,8 +121,8 @@
         log_classes(&self.slots.current());
     }
 
-    /// Applies the file, which was read and checked. Settings that are agreed on with other proxies are only
-    /// proposed.
+    /// Applies a file that was read and checked. If the settings are agreed on with other proxies, those of
+    /// the file are not applied; they only replace what this proxy may propose as the first version.
     async fn apply_file(&mut self, config: Config, checked: ValidatedConfig, text: &[u8]) {
         let ValidatedConfig { names, settings, times } = checked;
         let (proxies, delivery) = (settings.instances, Delivery::of(&settings));
@@ -129,7 +130,7 @@
             Some((_, proposed)) => {
                 proposed.send_replace(own_settings(text));
                 log::info!(
-                    "settings are agreed on with the other proxies: this file's apply once they are proposed"
+                    "settings are agreed on with the other proxies: those of this file apply only if proposed"
                 );
             }
             None => self.apply(names, settings, times).await,
@@ -138,9 +139,9 @@
         let _ =
             self.discovery.send(DiscoveryService { address: config.discovery.clone(), proxies, delivery });
         count(Count::reloads);
-        let fixed = self.current.changes_requiring_restart(&config);
-        if !fixed.is_empty() {
-            log::warn!("taken up only by a new start: {}", fixed.join(", "));
+        let restart_required = self.current.changes_requiring_restart(&config);
+        if !restart_required.is_empty() {
+            log::warn!("taken up only by a new start: {}", restart_required.join(", "));
         }
         log::info!(
             "the configuration was read again; discovery is asked at {} from now on",
@@ -159,7 +160,7 @@
     json.get("settings").map(ToString::to_string).unwrap_or_default().into()
 }
 
-/// Logs what applies to new requests of each class.
+/// Logs the settings that apply to new requests of each class.
 pub fn log_classes(class_table: &ClassTable) {
     for (slot, class) in class_table.classes.iter().enumerate() {
         let name = class_table.class_name(slot);
