--- a/crates/standins/src/group.rs
+++ b/crates/standins/src/group.rs
@@ -1,11 +1,12 @@
-//! State shared by the members of a group: the log of writes, and how often each write ran, which must be once at
-//! most.
+//! State shared by the members of a group: the log of writes, and how often each write ran, which must be
+//! once at most.
 
 use bytes::Bytes;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Versions kept of each key. Lagging replicas read old versions; no scenario needs more than these.
+/// Maximum number of versions kept of each key. Lagging replicas read old versions; no scenario needs more of
+/// them.
 const MAX_VERSIONS: usize = 64;
 
 #[derive(Default)]
@@ -15,7 +16,7 @@
     last_commit: u64,
 }
 
-/// The log of a group. Clones share it.
+/// The state of a group. Clones share it.
 #[derive(Clone, Default)]
 pub struct Group(Arc<Mutex<State>>);
 
@@ -24,13 +25,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs a write under a request's id at `now` (Unix ms). Returns its commit, which is never earlier than the
-    /// previous one.
+    /// Runs a write under a request's id at `now` (Unix ms). Returns its commit, which is never earlier than
+    /// the previous one.
     pub fn write(&self, id: &str, key: &str, value: Bytes, now: u64) -> u64 {
         self.write_with(id, key, value, now, || {})
     }
 
-    /// As [`Group::write`]. `on_commit` is called while the log is locked, so before any later commit.
+    /// As [`Group::write`]. `on_commit` is called while the state is locked, thus before any later commit.
     pub fn write_with(&self, id: &str, key: &str, value: Bytes, now: u64, on_commit: impl FnOnce()) -> u64 {
         let mut state = self.state();
         on_commit();
@@ -54,12 +55,12 @@
     pub fn read(&self, key: &str, position: u64) -> Option<Bytes> {
         let state = self.state();
         let versions = state.records.get(key)?;
-        versions.iter().rev().find(|(at, _)| *at <= position).map(|(_, v)| v.clone())
+        versions.iter().rev().find(|(commit, _)| *commit <= position).map(|(_, v)| v.clone())
     }
 
     /// The commit of the last write to a key.
     pub fn committed(&self, key: &str) -> Option<u64> {
-        self.state().records.get(key)?.last().map(|(at, _)| *at)
+        self.state().records.get(key)?.last().map(|(commit, _)| *commit)
     }
 
     /// The number of writes that ran, and the request ids under which more than one ran.
--- a/crates/standins/src/rig/run.rs
+++ b/crates/standins/src/rig/run.rs
@@ -16,10 +16,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The share of good answers before the fault is measured only after this initial part of a run.
+/// Initial part of a run that is left out when the share of good answers before the fault is measured.
 pub const SETTLING_TIME: Micros = 1_000_000;
 
-/// How much longer the load goes on when changes of the rules were in progress at the end of the scenario.
+/// How much longer the load goes on if steps that change what the proxies agree on are still in progress at
+/// the end of the scenario.
 const LOAD_AFTER_CHANGES: Duration = Duration::from_secs(2);
 
 /// The results of a run.
@@ -31,29 +32,30 @@
     pub recovery: Option<Recovery>,
     /// Sums of the counters of the proxies that ran at the end.
     pub counters: BTreeMap<String, u64>,
-    /// Each proxy's time to full service after its last start, as its clients saw it and as the proxy reports it,
-    /// where both are available.
+    /// Each proxy's time to full service after its last start, as its clients saw it and as the proxy reports
+    /// it, where both are available.
     pub full_service_times: BTreeMap<u32, (Micros, Micros)>,
     /// All events of the run.
     pub events: Vec<Event>,
 }
 
-/// Keeps the steps that change the same process in their order, however long each takes on a busy machine.
+/// Runs the steps that change the same process in the order of the script, however long each takes on a busy
+/// machine. Holds, for each proxy, a receiver that is disconnected when the last step on it ends.
 #[derive(Default)]
 struct StepOrder(BTreeMap<u32, Receiver<()>>);
 
 /// The place of one step in the order. Dropping it lets the next steps run.
 struct StepGuard {
-    before: Vec<Receiver<()>>,
+    earlier_steps: Vec<Receiver<()>>,
     _done: Vec<Sender<()>>,
 }
 
 impl StepOrder {
     fn next(&mut self, proxies: &[u32]) -> StepGuard {
-        let mut guard = StepGuard { before: Vec::new(), _done: Vec::new() };
+        let mut guard = StepGuard { earlier_steps: Vec::new(), _done: Vec::new() };
         for proxy in proxies {
-            let (done, after) = channel();
-            guard.before.extend(self.0.insert(*proxy, after));
+            let (done, ended) = channel();
+            guard.earlier_steps.extend(self.0.insert(*proxy, ended));
             guard._done.push(done);
         }
         guard
@@ -63,15 +65,15 @@
 impl StepGuard {
     /// Blocks until the earlier steps on the same processes have ended.
     fn wait(&self) {
-        for before in &self.before {
+        for earlier_step in &self.earlier_steps {
             // Nothing is ever sent: `recv` returns when the sender is dropped with its step.
-            let _ = before.recv();
+            let _ = earlier_step.recv();
         }
     }
 }
 
-/// Runs a scenario with this program. `progress` is called with a line about each step, and `adjust_setup` may change
-/// the setup of each proxy. Setting `stop` ends the run early.
+/// Runs a scenario with this program. `progress` is called with a line about each step, and `adjust_setup`
+/// may change the setup of each proxy. Setting `stop` ends the run early.
 ///
 /// # Errors
 /// If the world cannot be set up or a step fails.
@@ -108,7 +110,8 @@
                 break;
             }
             progress(&format!("{:6} ms  {step:?}", at.as_millis()));
-            // The order matters only in scenarios that damage folders, as that requires that the process has ended.
+            // The order matters only in scenarios that damage folders, as a proxy's folder may be damaged
+            // only after its process has ended.
             let processes = if damages_stores { world.processes_changed_by(step) } else { Vec::new() };
             let (world, guard) = (&world, order.next(&processes));
             let handle = scope.spawn(move || {
@@ -153,27 +156,27 @@
             );
         }
     }
-    // The load starts when the proxies serve.
-    let served = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
-    let back = recovery(&events, served + SETTLING_TIME);
-    if let (Some(limit), Some(back)) = (script.full_service_max, &back) {
-        let late = back.time_to_full.is_none_or(|full| full > limit.as_micros() as Micros);
-        if late {
-            let what = format!(
+    // The load starts when the proxies serve, so the first request marks the start of service.
+    let service_began = events.iter().find(|e| matches!(e.what, EventKind::Asked { .. })).map_or(0, |e| e.at);
+    let recovery = recovery(&events, service_began + SETTLING_TIME);
+    if let (Some(limit), Some(recovery)) = (script.full_service_max, &recovery) {
+        let too_late = recovery.time_to_full.is_none_or(|full| full > limit.as_micros() as Micros);
+        if too_late {
+            let message = format!(
                 "full service after {:?} ms, {} allowed",
-                back.time_to_full.map(|t| t / 1000),
+                recovery.time_to_full.map(|t| t / 1000),
                 limit.as_millis()
             );
-            verdict.add_breach(Rule::Full, back.began, what);
+            verdict.add_breach(Rule::Full, recovery.began, message);
         }
     }
     let reported = |p: &u32| {
         let counters = by_proxy.get(p).filter(|c| c.contains_key("full_service"))?;
         Some(counters.get("full_service_ms").copied().unwrap_or(0) * 1000)
     };
-    let each = times_to_full_service(&events)
+    let full_service_times = times_to_full_service(&events)
         .into_iter()
         .filter_map(|(p, seen)| Some((p, (seen, reported(&p)?))))
         .collect();
-    Ok(Outcome { verdict, recovery: back, counters, full_service_times: each, events })
+    Ok(Outcome { verdict, recovery, counters, full_service_times, events })
 }
