--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,8 +70,8 @@
 }
 
 impl RouterDriver {
-    /// Knows a primary (1) and two replicas (2, 3) from a list alone, received 4 s ago, so that first connections
-    /// to them are no longer spread over time.
+    /// Creates a router that knows a primary (1) and two replicas (2, 3), only from a member list. The list
+    /// was received 4 s ago, so first connections to the members are no longer spread over time.
     pub fn new(settings: Settings) -> Self {
         let mut driver = RouterDriver::without_members(settings);
         driver.list(ListKind::Disk, vec![member(1, true), member(2, false), member(3, false)]);
@@ -79,7 +79,7 @@
         driver
     }
 
-    /// Knows no members.
+    /// Creates a router that knows no members.
     pub fn without_members(settings: Settings) -> Self {
         let router = Router::new(settings).expect("settings");
         RouterDriver { router, now: 100_000 * MS, next: 0 }
