--- a/src/main.rs
+++ b/src/main.rs
@@ -225,8 +225,8 @@
 
     let store_handle = store.as_ref().map(|(store_handle, ..)| store_handle.clone());
     let control = ControlHandle::new(commands, shared_folder.clone()).with_store(store_handle.clone());
-    let config_from_store = Arc::new(AtomicBool::new(from_store));
-    let (mut accepted_text, mut snapshot_at_shutdown) = (None, None);
+    let (config_from_store, mut accepted_text, mut snapshot_at_shutdown) =
+        (Arc::new(AtomicBool::new(from_store)), None, None);
     if let Some((store_handle, recovered, text)) = store {
         recovery::restore_knowledge(&operators_file.store, recovered, &control, clock.now()).await;
         let (text_sender, settings) = watch::channel(Some(TimestampedText { at: clock.now(), text }));
