--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -1,5 +1,5 @@
-//! The checker: judges a run by its event log alone, independently of how the proxies are implemented. It makes one
-//! pass over the events in order and reports the breaches of the rules, with some measurements.
+//! The checker: judges a run by its event log alone, independently of how the proxies are implemented. It
+//! makes one pass over the events in order and reports the breaches of the rules, with some measurements.
 
 use super::events::{Effect, Event, EventKind, Micros, ReadGuarantee, RequestEnd};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -12,15 +12,15 @@
 pub const COLD_SPAN: Micros = 1_500_000;
 /// Statements that a cold member may get in a window whatever its rate, so that single trial requests pass.
 const COLD_ALLOWANCE: f64 = 4.0;
-/// After a stall of this length, time limits have expired through no fault of any party, and a connection that breaks
-/// without an answer is no breach.
+/// After a stall of this length, time limits have expired through no fault of any party, and a connection
+/// that breaks without an answer is no breach.
 const LONG_STALL_MIN: Micros = 1_000_000;
 /// Maximum difference between the clocks of processes on one machine.
 const CLOCK_TOLERANCE: Micros = 10_000;
 /// Maximum time that a statement travels from a proxy to a member.
 const TRANSIT_MAX: Micros = 150_000;
 /// An attempt may start at most this long after its client has closed the connection.
-const LEFT_MAX: Micros = 100_000;
+const ATTEMPT_AFTER_LEAVING_MAX: Micros = 100_000;
 /// The time limit in a statement may exceed the time that its client has left by this much.
 const DEADLINE_SLACK: Micros = 150_000;
 /// A client that does not complete a message gets an error or a close within this time.
@@ -43,7 +43,8 @@
     pub descriptors_exhausted: bool,
     /// A member's suspension outlasts the process that accepted it.
     pub suspensions_kept: bool,
-    /// Added to all time limits that no other bound sets, to allow for slow machines.
+    /// Allowance for slow machines, added to the time limits of the rules `Left`, `Deadline` and
+    /// `Unfinished`, and to the time for which a keyed request may be sent again.
     pub machine_slack: Micros,
     /// A cold member gets at most this multiple of what it can process.
     pub cold: f64,
@@ -80,8 +81,8 @@
 pub enum Rule {
     /// Each request gets exactly one final answer, in time.
     Answer,
-    /// No request runs more often than its class allows, and none is reported as refused if it may have run and a
-    /// retry would do harm.
+    /// No request runs more often than its class allows, and none is reported as refused if it may have run
+    /// and a retry would do harm.
     Once,
     /// No read returns older data than its class allows.
     Stale,
@@ -182,12 +183,12 @@
     /// When its last byte was written.
     sent: Option<Micros>,
     /// It is the first request on its connection.
-    first: bool,
+    first_on_connection: bool,
     /// When its client disconnected.
     left: Option<Micros>,
     ended: Option<Micros>,
     /// A member has received it, which proves that its proxy has read it.
-    given: bool,
+    reached_member: bool,
     /// The effect of a repeat; `None` where the log lacks it.
     effect: Option<Effect>,
     /// Attempts that members have received and not refused, in order.
@@ -244,10 +245,11 @@
     gaps: Vec<Gap>,
     /// Calls of the current process for the whole list.
     whole: u64,
-    /// Members whose link holds back what is sent, with the time when it stopped doing so (`None`: it still does).
+    /// Members whose link holds back what is sent, with the time when it stopped doing so (`None`: it still
+    /// does).
     held: HashMap<u32, Option<Micros>>,
-    /// The versions it applies, by kind of document, and since when.
-    acts: BTreeMap<String, (Vec<String>, Micros)>,
+    /// The versions that the proxy applies, by kind of document, and since when.
+    applied: BTreeMap<String, (Vec<String>, Micros)>,
     /// Draining members, with the time when that was reported.
     draining: HashMap<u32, Micros>,
     /// Suspended members, with the time of the suspension.
@@ -257,10 +259,14 @@
 /// A member that is still cold.
 struct Cold {
     since: Micros,
+    /// Share of its capacity at the start.
     share: f64,
+    /// How long until it is warm.
     warm: Micros,
+    /// Statements per second when warm.
     rate: f64,
-    given: VecDeque<Micros>,
+    /// When it received the statements of the last `COLD_SPAN`.
+    received: VecDeque<Micros>,
     /// The current excess was already reported.
     reported: bool,
 }
@@ -283,8 +289,8 @@
 }
 
 impl KeyHistory {
-    /// The number of commits that a read sent at `since` must reflect, given the acknowledged writes that `counts`
-    /// selects.
+    /// The number of commits that a read sent at `since` must reflect, given the acknowledged writes that
+    /// `counts` selects.
     fn commits_due(&self, since: Micros, counts: impl Fn(&Acknowledged) -> bool) -> usize {
         let before = self.acknowledged.iter().filter(|write| write.at < since && counts(write));
         before.map(|write| write.commit + 1).max().unwrap_or(0)
@@ -320,19 +326,21 @@
     exceeded: HashSet<(Rule, u32)>,
     faulted: bool,
     /// Spans in which a proxy applied versions, with or without a lease: kind, proxy, versions, from, to.
-    acted: Vec<(String, u32, Vec<String>, Micros, Micros)>,
+    applied_spans: Vec<(String, u32, Vec<String>, Micros, Micros)>,
     /// Lease spans that each proxy has reported, merged so that they do not touch.
     leases: HashMap<u32, Vec<(Micros, Micros)>>,
-    /// Bad clients that must still get a close: their proxy, and since when.
+    /// Bad clients, which do not complete a message, whose connections must still be closed: their proxy, and
+    /// since when.
     unfinished: HashMap<u64, (u32, Micros)>,
     /// Stalls of the machine: from, to.
     stalls: Vec<(Micros, Micros)>,
-    /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not scheduled.
-    /// The spans of a party do not overlap.
+    /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not
+    /// scheduled. The spans of a party do not overlap.
     delays: HashMap<Option<u32>, Vec<(Micros, Micros)>>,
 }
 
-/// The delays of each party. A delay that reaches back into an earlier one is counted from the end of that one.
+/// The delays of each party. A delay that reaches back into an earlier one is counted from the end of that
+/// one.
 fn delays(events: &[Event]) -> HashMap<Option<u32>, Vec<(Micros, Micros)>> {
     let mut delays: HashMap<Option<u32>, Vec<(Micros, Micros)>> = HashMap::new();
     for event in events {
@@ -357,7 +365,8 @@
 
 /// Judges a whole run; `lost` is the number of events that did not fit in the log.
 pub fn judge(events: &[Event], lost: u64, bounds: &Bounds) -> Verdict {
-    // Stalls are collected first: after a stall, a party may record events before the rig records the stall itself.
+    // Stalls are collected first: after a stall, a party may record events before the rig records the stall
+    // itself.
     let stall = |e: &Event| match e.what {
         EventKind::Stall { us } => Some((e.at.saturating_sub(us), e.at)),
         _ => None,
@@ -367,7 +376,8 @@
         delays: delays(events),
         ..Checker::default()
     };
-    // Leases too: the thread that reads a process's log may record a lease after a member recorded its use.
+    // Leases are also collected first: the thread that reads a process's log may record a lease only after a
+    // member has recorded a statement that was sent under it.
     for event in events {
         if let EventKind::Leased { proxy, from, until } = event.what {
             let spans = checker.leases.entry(proxy).or_default();
@@ -407,10 +417,10 @@
                     shows: *shows,
                     wait: *wait,
                     sent: None,
-                    first: false,
+                    first_on_connection: false,
                     left: None,
                     ended: None,
-                    given: false,
+                    reached_member: false,
                     effect: *effect,
                     may_have_run: Vec::new(),
                     refused: false,
@@ -421,7 +431,9 @@
             }
             EventKind::Sent { id, first } => {
                 let asked = self.asked.get_mut(id);
-                asked.into_iter().for_each(|asked| (asked.sent, asked.first) = (Some(at), *first));
+                asked
+                    .into_iter()
+                    .for_each(|asked| (asked.sent, asked.first_on_connection) = (Some(at), *first));
             }
             EventKind::Left { id } => {
                 self.asked
@@ -464,7 +476,7 @@
             EventKind::Cold { member, share, warm, rate } => {
                 let (share, rate) = (*share as f64 / 1e3, *rate as f64);
                 let cold =
-                    Cold { since: at, share, warm: *warm, rate, given: VecDeque::new(), reported: false };
+                    Cold { since: at, share, warm: *warm, rate, received: VecDeque::new(), reported: false };
                 self.cold.insert(*member, cold);
             }
             EventKind::Called { proxy, whole } => {
@@ -505,7 +517,7 @@
                 let of = self.proxies.entry(*proxy).or_default();
                 of.began = at;
                 of.whole = 0;
-                of.acts = BTreeMap::new();
+                of.applied = BTreeMap::new();
                 // Discovery reports draining members to each new process again.
                 of.draining.clear();
                 if !bounds.suspensions_kept {
@@ -526,7 +538,7 @@
             EventKind::Acts { proxy, kind, versions, since } => {
                 self.end_version_spans(*proxy, Some(kind), *since);
                 let of = self.proxies.entry(*proxy).or_default();
-                of.acts.insert(kind.clone(), (versions.clone(), *since));
+                of.applied.insert(kind.clone(), (versions.clone(), *since));
             }
             EventKind::Resumed { proxy } => {
                 let gaps = &mut self.proxies.entry(*proxy).or_default().gaps;
@@ -552,14 +564,14 @@
         }
     }
 
-    /// A process that received SIGTERM was killed or has ended. Requests that were sent more than `TAKEN_AFTER_END`
-    /// after SIGTERM, and that it has read, must have had their answers.
+    /// A process that received SIGTERM was killed or has ended. Requests that were sent more than
+    /// `ANSWER_DUE_AFTER_TERM` after SIGTERM, and that the process has read, must have had their answers.
     fn check_shutdown(&mut self, at: Micros, proxy: u32) {
         let Some(of) = self.proxies.get_mut(&proxy) else { return };
         let Some(term) = of.ending.take() else { return };
         of.ended.push((term, at));
         let late = |a: &RequestState| {
-            (a.given || a.first)
+            (a.reached_member || a.first_on_connection)
                 && a.ended.is_none()
                 && a.sent.is_some_and(|sent| sent > term + ANSWER_DUE_AFTER_TERM)
         };
@@ -579,8 +591,8 @@
         }
     }
 
-    /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only after
-    /// the count was within it.
+    /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only
+    /// after the count was within it.
     fn check_count(
         &mut self,
         rule: Rule,
@@ -628,11 +640,11 @@
             let what = format!("request {id} at proxy {proxy} was reported as refused: {run}");
             self.verdict.add_breach(Rule::Once, at, what);
         }
-        // A process that shuts down or lacks descriptors may close a connection between requests without answering;
-        // the client then retries. That does not cover a request that reached a member, as the proxy has read it,
-        // nor the first request of a connection, as it does not follow another one.
+        // A process that shuts down or lacks descriptors may close a connection between requests without
+        // answering; the client then retries. That does not cover a request that reached a member, as the
+        // proxy has read it, nor the first request of a connection, as it does not follow another one.
         let shutting_down = self.proxies.get(&proxy).is_some_and(|p| p.shuts_down_within(since, at));
-        let between_requests = !asked.given && !asked.first;
+        let between_requests = !asked.reached_member && !asked.first_on_connection;
         let unread =
             how == RequestEnd::Broken && between_requests && (shutting_down || bounds.descriptors_exhausted);
         let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
@@ -687,9 +699,9 @@
     fn end_version_spans(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
         let of = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
-            of.acts.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
+            of.applied.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
         {
-            self.acted.push((name.clone(), proxy, versions.clone(), *since, at));
+            self.applied_spans.push((name.clone(), proxy, versions.clone(), *since, at));
             *since = at;
         }
     }
@@ -699,18 +711,18 @@
         let proxies: Vec<u32> = self.proxies.keys().copied().collect();
         proxies.into_iter().for_each(|proxy| self.end_version_spans(proxy, None, Micros::MAX));
         // Without a lease a proxy applies no version.
-        let mut acted = Vec::new();
-        for (kind, proxy, versions, from, to) in std::mem::take(&mut self.acted) {
+        let mut applied = Vec::new();
+        for (kind, proxy, versions, from, to) in std::mem::take(&mut self.applied_spans) {
             for (lease_start, until) in self.leases.get(&proxy).into_iter().flatten() {
                 let (from, to) = (from.max(*lease_start), to.min(*until));
                 if from < to {
-                    acted.push((kind.clone(), proxy, versions.clone(), from, to));
+                    applied.push((kind.clone(), proxy, versions.clone(), from, to));
                 }
             }
         }
-        acted.sort_by_key(|(_, _, _, from, _)| *from);
-        for (n, (kind, proxy, versions, from, to)) in acted.iter().enumerate() {
-            let then = acted[n + 1..].iter().take_while(|other| other.3 + CLOCK_TOLERANCE < *to);
+        applied.sort_by_key(|(_, _, _, from, _)| *from);
+        for (n, (kind, proxy, versions, from, to)) in applied.iter().enumerate() {
+            let then = applied[n + 1..].iter().take_while(|other| other.3 + CLOCK_TOLERANCE < *to);
             for (_, other, theirs, since, _) in then.filter(|other| other.0 == *kind && other.1 != *proxy) {
                 if !versions.iter().any(|v| theirs.contains(v)) {
                     let span = (*to - since.max(from)) / 1000;
@@ -733,7 +745,7 @@
             );
             return;
         };
-        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.given = true);
+        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.reached_member = true);
         self.check_attempt(at, member, id, bounds.machine_slack);
         self.check_client_present(at, member, id, bounds.machine_slack);
         let stalled = self.stalled(at.saturating_sub(bounds.drain), at);
@@ -763,23 +775,24 @@
             self.cold.remove(&member);
             return;
         }
-        cold.given.push_back(at);
-        while cold.given.front().is_some_and(|t| *t + COLD_SPAN <= at) {
-            cold.given.pop_front();
+        cold.received.push_back(at);
+        while cold.received.front().is_some_and(|t| *t + COLD_SPAN <= at) {
+            cold.received.pop_front();
         }
         let warmth = cold.share + (1.0 - cold.share) * age as f64 / cold.warm as f64;
         let can = cold.rate * warmth * age.min(COLD_SPAN) as f64 / 1e6;
-        let given = cold.given.len();
-        let over = given as f64 > bounds.cold * can + COLD_ALLOWANCE;
+        let received = cold.received.len();
+        let over = received as f64 > bounds.cold * can + COLD_ALLOWANCE;
         if over && !cold.reported {
             let what =
-                format!("cold member {member} got {given} statements in 1.5 s and can process {can:.1}");
+                format!("cold member {member} got {received} statements in 1.5 s and can process {can:.1}");
             self.verdict.add_breach(Rule::Cold, at, what);
         }
         cold.reported = over;
     }
 
-    /// Checks whether the earlier attempts and answers of a request allow that a member receives it.
+    /// Checks that the earlier attempts and the answer of a request permit a further attempt, and records the
+    /// attempt.
     fn check_attempt(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
         let Some(asked) = self.asked.get(&id) else { return };
         let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
@@ -794,7 +807,8 @@
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some(first)) => {
-                // The window starts when the first attempt is sent, and each attempt may be in transit for a while.
+                // The window starts when the first attempt is sent, and each attempt may be in transit for a
+                // while.
                 let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + self.stalled(first.at, at);
                 at > first.at + window + slack && !self.link_holds_back(proxy, member, first.at)
             }
@@ -807,14 +821,14 @@
         self.asked.get_mut(&id).into_iter().for_each(|asked| asked.may_have_run.push(attempt));
     }
 
-    /// A member has run an attempt that it received.
+    /// Marks an attempt as run by the member that received it.
     fn mark_run(&mut self, member: u32, id: u64) {
         let attempts = self.asked.get_mut(&id).map(|asked| &mut asked.may_have_run);
         let attempt = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
         attempt.into_iter().for_each(|attempt| attempt.ran = true);
     }
 
-    /// A member has refused an attempt, which therefore never ran.
+    /// Removes an attempt that its member refused and therefore never ran.
     fn remove_attempt(&mut self, member: u32, id: u64) {
         let Some(asked) = self.asked.get_mut(&id) else { return };
         if let Some(n) = asked.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
@@ -826,7 +840,7 @@
     fn check_client_present(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
         let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
-        let allowed = LEFT_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
+        let allowed = ATTEMPT_AFTER_LEAVING_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
         let held = self.link_holds_back(proxy, member, left);
         if late > allowed && !held && !unavailable(self.proxies.get(&proxy), left, at) {
             let what = format!(
@@ -837,7 +851,8 @@
         }
     }
 
-    /// Whether the link between them may have held back what was sent at or after `since`.
+    /// Whether the link between the proxy and the member may have held back what was sent at or after
+    /// `since`.
     fn link_holds_back(&self, proxy: u32, member: u32, since: Micros) -> bool {
         let held = self.proxies.get(&proxy).and_then(|p| p.held.get(&member));
         held.is_some_and(|until| until.is_none_or(|t| t >= since))
@@ -850,8 +865,8 @@
         let left = (sent + asked.wait).saturating_sub(at);
         let delayed = self.delayed(proxy, sent, at);
         let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + delayed;
-        let links = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
-        if wait > left + slack && !links && !unavailable(self.proxies.get(&proxy), sent, at) {
+        let had_link_faults = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
+        if wait > left + slack && !had_link_faults && !unavailable(self.proxies.get(&proxy), sent, at) {
             let [wait, left, delayed] = [wait, left, delayed].map(|us| us / 1000);
             let what =
                 format!("request {id} has a time limit of {wait} ms, its client {left} ms left; delayed for {delayed} ms");
@@ -859,7 +874,7 @@
         }
     }
 
-    /// Checks that a bad client got its error or close in time.
+    /// Checks that a bad client got an error or a close in time.
     fn check_close(&mut self, at: Micros, id: u64, machine_slack: Micros) {
         let Some((proxy, since)) = self.unfinished.remove(&id) else { return };
         let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + machine_slack + self.stalled(since, at);
