--- a/crates/standins/src/rig/events.rs
+++ b/crates/standins/src/rig/events.rs
@@ -1,5 +1,6 @@
-//! The event log of a run. Clients, members, discovery and the fault injection all record in it what they themselves
-//! saw or did. The log is written and read as JSON lines, so that the checker can judge a recorded run again.
+//! The event log of a run. Clients, members, discovery and the fault injection all record in it what they
+//! themselves saw or did. The log is written and read as JSON lines, so that the checker can judge a recorded
+//! run again.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -11,8 +12,8 @@
 /// Microseconds since the start of the log.
 pub type Micros = u64;
 
-/// Maximum number of events in one run: enough for 200 proxies over some minutes. Further events are only counted,
-/// and a run that lost events fails the `Log` rule.
+/// Maximum number of events in one run: enough for 200 proxies over some minutes. Further events are only
+/// counted, and a run that lost events fails the `Log` rule.
 const EVENTS_MAX: usize = 8_000_000;
 
 /// How a request ended, as seen by its client.
@@ -92,7 +93,8 @@
         writes: Option<u64>,
         /// How recent the data of a read must be.
         shows: ReadGuarantee,
-        /// The effect of a repeat. `None` in logs that lack this field: only the runs of writes are judged then.
+        /// The effect of a repeat. `None` in logs that lack this field: only the runs of writes are judged
+        /// then.
         #[serde(default)]
         effect: Option<Effect>,
         /// Target latency: a later answer does not count as good.
@@ -100,13 +102,13 @@
         /// How long the client waits for the answer.
         wait: Micros,
     },
-    /// The last byte of the request has been written to a connection that the kernel of the proxy's machine has
-    /// accepted.
+    /// The last byte of the request has been written to a connection that the kernel of the proxy's machine
+    /// has accepted.
     Sent {
         /// The request's id.
         id: u64,
-        /// It is the first request of its connection. A close then never counts as an answer, even if the proxy has
-        /// read nothing.
+        /// It is the first request of its connection. A close then never counts as an answer, even if the
+        /// proxy has read nothing.
         #[serde(default)]
         first: bool,
     },
@@ -115,8 +117,8 @@
         /// The request's id.
         id: u64,
     },
-    /// A bad client has started a message or handshake that it does not complete. The proxy must answer with an
-    /// error or close the connection.
+    /// A bad client has started a message or handshake that it does not complete. The proxy must answer with
+    /// an error or close the connection.
     Begun {
         /// The client's number, from the same range as request ids.
         id: u64,
@@ -227,8 +229,8 @@
         /// `true`: suspended; `false`: restored.
         out: bool,
     },
-    /// A proxy has received SIGTERM and will be killed later. Clients go on using the connections they have open to
-    /// it.
+    /// A proxy has received SIGTERM and will be killed later. Clients go on using the connections they have
+    /// open to it.
     Ending {
         /// The proxy.
         proxy: u32,
@@ -243,7 +245,8 @@
         /// The proxy.
         proxy: u32,
     },
-    /// A proxy was killed, terminated, or stopped for a while. Its open requests may get a late answer or none.
+    /// A proxy was killed, terminated, or stopped for a while. Its open requests may get a late answer or
+    /// none.
     Down {
         /// The proxy.
         proxy: u32,
@@ -255,7 +258,7 @@
         /// For how long.
         us: Micros,
     },
-    /// A process was ready to run, and the machine did not schedule it, since the last check.
+    /// Since the last check, a process has been ready to run for some time without being scheduled.
     Delayed {
         /// The proxy; `None` for a thread of the rig.
         proxy: Option<u32>,
@@ -277,7 +280,8 @@
         proxy: u32,
         /// The kind of document.
         kind: String,
-        /// The versions. With several, each decision satisfies all of them; with none, nothing agreed is applied.
+        /// The versions. With several, each decision satisfies all of them; with none, nothing agreed is
+        /// applied.
         versions: Vec<String>,
         /// The start of this state.
         since: Micros,
@@ -395,7 +399,8 @@
         else {
             return;
         };
-        // The line has `version 3 (hash)` or `between version 3 (hash) and 4 (hash)`; the hash identifies a version.
+        // The line has `version 3 (hash)` or `between version 3 (hash) and 4 (hash)`; the hash identifies a
+        // version.
         let versions = report.split(['(', ')']).skip(1).step_by(2).map(str::to_string).collect();
         self.record(EventKind::Acts { proxy, kind: kind.to_string(), versions, since: self.log_time(us) });
     }
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -1,5 +1,6 @@
-//! The world of a scenario: members, discovery, real proxy processes, and relays wherever the scenario injects faults
-//! between them. The world executes the steps of the time line and records them in the event log.
+//! The world of a scenario: members, discovery, real proxy processes, and relays wherever the scenario
+//! injects faults between them. The world executes the steps of the time line and records them in the event
+//! log.
 
 use super::events::{Effect, EventKind, EventLog, KeyScope};
 use super::relay::{Fault, Relay};
@@ -18,15 +19,15 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a proposal is retried that temporarily finds no majority.
+/// How long a proposal is retried after transient failures.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Answers after which a proposal is retried because the cause passes soon.
+/// Fragments of the answers that report a transient failure, after which a proposal is retried.
 const RETRY_ANSWERS: [&str; 3] = ["no majority", "ask again", "nothing is agreed"];
 /// The same, including the answer that another change is in progress.
 const RETRY_ANSWERS_IN_TURN: [&str; 4] = ["no majority", "ask again", "nothing is agreed", "is under way"];
 /// Time between two attempts of a call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a proposal waits for the end of other changes.
+/// How long proposals and `FLEET` calls are retried while other changes are in progress.
 const IN_TURN_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a proposed change may take to come into force before it is proposed again.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -37,7 +38,7 @@
 /// The signals that may follow SIGTERM.
 const LATE_SIGNALS: [&str; 4] = ["HUP", "USR1", "TERM", "INT"];
 /// Maximum number of requests that wait at a member for a slot.
-const QUEUE: usize = 4096;
+const QUEUE_MAX: usize = 4096;
 
 /// A proxy, whether it runs or not.
 struct ProxyHandle {
@@ -68,8 +69,8 @@
     /// The most recently proposed settings.
     proposed: Mutex<Value>,
     handles: Vec<Mutex<ProxyHandle>>,
-    /// The address of each proxy for clients. It is stored outside the handle, whose lock is held while a process
-    /// starts or ends.
+    /// The address of each proxy for clients. It is stored outside the handle, whose lock is held while a
+    /// process starts or ends.
     fronts: Vec<SocketAddr>,
     folder: PathBuf,
 }
@@ -83,8 +84,8 @@
     }
 }
 
-/// A loopback address that nothing else uses, derived from the process id and the number of the world, so that a
-/// restarted proxy finds its port free.
+/// A loopback address that nothing else uses, derived from the process id and the number of the world, so
+/// that a restarted proxy finds its port free.
 fn address(world: u8, n: u32) -> Result<SocketAddr> {
     let ip = [127, 10 + (std::process::id() % 200) as u8, world, 1 + n as u8];
     TcpListener::bind((std::net::Ipv4Addr::from(ip), 0))?.local_addr()
@@ -154,8 +155,8 @@
 }
 
 impl World {
-    /// Starts the members, discovery, the relays and then the proxies, which run `program`. `adjust_setup` adjusts
-    /// the setup of each proxy.
+    /// Starts the members, discovery, the relays and then the proxies, which run `program`. `adjust_setup`
+    /// adjusts the setup of each proxy.
     ///
     /// # Errors
     /// If a process does not start.
@@ -170,7 +171,7 @@
         let groups: Vec<Group> = (0..member_setup.groups).map(|_| Group::default()).collect();
         let capacity = Capacity {
             slots: member_setup.slots,
-            queue: QUEUE,
+            queue: QUEUE_MAX,
             service_time: member_setup.work,
             cold: member_setup.cold,
             handshake: member_setup.handshake,
@@ -324,7 +325,8 @@
         &self.0.log
     }
 
-    /// Starts those of the proxies that are down, each at a random time within the span, and waits until they serve.
+    /// Starts those of the proxies that are down, each at a random time within the span, and waits until they
+    /// serve.
     fn start_all(&self, which: &[u32], span: Duration) -> Result<()> {
         let one = |n: u32| -> Result<()> {
             std::thread::sleep(self.delay_within(n, span));
@@ -365,8 +367,8 @@
         self.proxies(who).into_iter().filter_map(id).collect()
     }
 
-    /// Sends a signal to each process at a random time within the span, or to all at once if the span is zero.
-    /// Processes that another fault has ended meanwhile are skipped.
+    /// Sends a signal to each process at a random time within the span, or to all at once if the span is
+    /// zero. Processes that another fault has ended meanwhile are skipped.
     fn signal(&self, of: &[(u32, u32)], which: &str, span: Duration) {
         if span.is_zero() {
             let _ = signal_all(&of.iter().map(|(_, id)| *id).collect::<Vec<_>>(), which);
@@ -382,15 +384,15 @@
         });
     }
 
-    /// The proxies that ended without being told to.
+    /// The proxies whose process ended although no step of the scenario ended it.
     pub fn crashed(&self) -> Vec<u32> {
         let ended = |n: &u32| self.handle(*n).running.as_mut().is_some_and(Proxy::ended);
         (1..=self.0.script.proxies).filter(ended).collect()
     }
 
     /// Makes a proxy propose the most recently proposed settings with a new value at one JSON pointer, as an
-    /// operator would. The call is retried while its answer contains one of `retry_answers`, until `timeout` has
-    /// passed. Returns `None` if the proxy does not run.
+    /// operator would. The call is retried while its answer contains one of `retry_answers`, until `timeout`
+    /// has passed. Returns `None` if the proxy does not run.
     fn propose(
         &self,
         proposed: &mut Value,
@@ -413,8 +415,9 @@
         Ok(Some(answer))
     }
 
-    /// Waits until all proxies report that they apply this version of a kind alone, and returns whether that
-    /// happened in time. It may not: a proposer gives up a change that loses its ballot.
+    /// Waits until all proxies report this version as the only one of its kind that they apply, and returns
+    /// whether that happened in time. A change never comes into force if its proposer gives up after a lost
+    /// ballot.
     fn wait_until_in_force(&self, kind: &str, version: &str) -> bool {
         let began = Instant::now();
         while self.0.log.proxies_acting_alone_by(kind, version) < self.0.handles.len() {
@@ -437,7 +440,8 @@
         }
     }
 
-    /// The ids of the processes that run now, by proxy. Processes that are being started or ended are left out.
+    /// The ids of the processes that run now, by proxy. Processes that are being started or ended are left
+    /// out.
     pub fn process_ids(&self) -> Vec<(u32, u32)> {
         let handles = (1..).zip(&self.0.handles);
         handles.filter_map(|(n, handle)| Some((n, handle.try_lock().ok()?.running.as_ref()?.id()))).collect()
@@ -449,8 +453,8 @@
         }
     }
 
-    /// Sends SIGTERM and several more signals to the processes, kills each at the earliest time that the platform
-    /// allows, and starts it again.
+    /// Sends SIGTERM and several more signals to the processes, kills each at the earliest time that the
+    /// platform allows, and starts it again.
     fn terminate_and_restart(&self, who: &Who, span: Duration) -> Result<()> {
         let one = |n: u32| -> Result<()> {
             std::thread::sleep(self.delay_within(n, span));
@@ -490,8 +494,8 @@
                 let ids = self.ids(who);
                 self.record_down(&ids, false);
                 self.signal(&ids, if matches!(step, Step::Kill(..)) { "KILL" } else { "TERM" }, *span);
-                // Waits for the end of each process, so that no new one starts earlier. A process that was started
-                // meanwhile has another id and is not waited for.
+                // Waits for the end of each process, so that no new one starts earlier. A process that was
+                // started meanwhile has another id and is not waited for.
                 for (n, id) in &ids {
                     let mut handle = self.handle(*n);
                     handle
@@ -617,15 +621,15 @@
         let words: Vec<String> = call.split(' ').map(id).collect();
         let line = format!("{}\n", words.join(" "));
         let member = call.rsplit_once(" m").and_then(|(_, m)| m.parse().ok());
-        let (out, back) = (call.starts_with("SUSPEND"), call.starts_with("RESTORE"));
+        let (out, restores) = (call.starts_with("SUSPEND"), call.starts_with("RESTORE"));
         let retry_answers: &[&str] = if call.starts_with("FLEET") { &RETRY_ANSWERS_IN_TURN } else { &[] };
         for n in self.proxies(who) {
-            // The lock is held until the result is recorded, so that the log has two calls in the order in which
-            // the process handled them.
+            // The lock is held until the result is recorded, so that the log has two calls in the order in
+            // which the process handled them.
             let handle = self.handle(n);
             let Some(proxy) = handle.running.as_ref() else { continue };
             // The proxy may use the member again before its answer arrives.
-            if let Some(member) = member.filter(|_| back) {
+            if let Some(member) = member.filter(|_| restores) {
                 self.0.log.record(EventKind::Hand { proxy: n, member, out: false });
             }
             let answer = call_with_retries(retry_answers, IN_TURN_TIMEOUT, || {
@@ -642,8 +646,8 @@
         }
     }
 
-    /// The answer of a running proxy to a console call, or the error if there is none, for instance from a stopped
-    /// process.
+    /// The answer of a running proxy to a console call, or the error if there is none, for instance from a
+    /// stopped process.
     fn call(&self, n: u32, call: &str) -> Option<String> {
         let handle = self.handle(n);
         let answer = handle.running.as_ref()?.call_console(&format!("{call}\n"));
@@ -662,8 +666,8 @@
     answer.split(['(', ')']).nth(1).filter(|_| answer.starts_with("200") && answer.contains("is proposed"))
 }
 
-/// Makes a call and retries it while its answer contains one of `retry_answers`, as an operator would. Returns the
-/// last answer.
+/// Makes a call and retries it while its answer contains one of `retry_answers`, as an operator would.
+/// Returns the last answer.
 fn call_with_retries(retry_answers: &[&str], timeout: Duration, call: impl Fn() -> String) -> String {
     let began = Instant::now();
     loop {
@@ -694,7 +698,7 @@
     format!("store {{\n enabled = true\n folder = \"{folder}\"\n every_ms = {every}\n}}\n")
 }
 
-/// The addresses and relays between proxies that agree on their rules.
+/// The addresses at which proxies exchange agreement messages, and the relays between them.
 struct PeerLinks {
     /// The address on which each proxy listens for the others.
     listen: Vec<SocketAddr>,
