--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -1,5 +1,5 @@
-//! A member of a group: a primary or a replica with a lag, with service times, a limited number of slots, a queue, a
-//! cold start, and the faults that the proxy must tolerate, each selected by name.
+//! A member of a group: a primary or a replica with a lag, with service times, a limited number of slots, a
+//! queue, a cold start, and the faults that the proxy must tolerate, each selected by name.
 
 use crate::group::Group;
 use crate::rig::events::{EventKind, EventLog};
@@ -81,9 +81,9 @@
 impl FromStr for Behaviour {
     type Err = String;
 
-    /// Parses the word of a scenario: `answer`, `hold` and so on. `after` sends a copy 30 ms later, `behind US` one
-    /// after that many microseconds, `broken N` resets after N bytes, `marred PLACE CODE` puts an error into the
-    /// answer.
+    /// Parses the word of a scenario: `answer`, `hold` and so on. `after` sends a copy 30 ms later, `behind
+    /// US` one after that many microseconds, `broken N` resets after N bytes, `marred PLACE CODE` puts an
+    /// error into the answer.
     fn from_str(text: &str) -> Result<Self, String> {
         let (word, number) = text.split_once(' ').unwrap_or((text, ""));
         let digits = |what| number.parse::<u64>().map_err(|_| format!("{text}: expected a number of {what}"));
@@ -118,7 +118,7 @@
 impl Behaviour {
     /// Parses `PLACE CODE`.
     fn marred(text: &str) -> Result<Self, String> {
-        let unknown = || format!("invalid error in an answer '{text}'");
+        let unknown = || format!("expected PLACE CODE for an error in an answer, got '{text}'");
         let (place, code) = text.split_once(' ').ok_or_else(unknown)?;
         let place = match place {
             "after-description" => ErrorPlace::AfterDescription,
@@ -177,8 +177,8 @@
     pub queue: usize,
     /// Shortest and longest service time; a hash of the request's id picks a value uniformly in between.
     pub service_time: (Duration, Duration),
-    /// Share of its capacity right after a start, and the time until it has all of it; none for a member that starts
-    /// warm.
+    /// Share of its capacity right after a start, and the time until it reaches full capacity; `None` if it
+    /// starts warm.
     pub cold: Option<(f64, Duration)>,
     /// Time that setting up a connection occupies a slot.
     pub handshake: Duration,
@@ -236,11 +236,13 @@
 #[derive(Clone)]
 pub struct Member(Arc<Inner>);
 
-/// What to do with an encoded answer.
+/// How an encoded answer is sent, and what the member does next.
 enum AfterAnswer {
-    Go,
+    /// Send it and read the next statement.
+    ReadNext,
+    /// Send it, and a second copy after this delay.
     Copy(Duration),
-    /// Send this many bytes first and wait with the rest.
+    /// Send this many bytes, and the rest after the behaviour changes.
     Pause(usize),
     Close,
     Reset,
@@ -252,8 +254,8 @@
         Self::start_at(Ipv4Addr::LOCALHOST, group, primary, lag_ms, capacity, None)
     }
 
-    /// Starts a member on a free port of `ip`. If `log` is given, the member records what it receives there under its
-    /// number.
+    /// Starts a member on a free port of `ip`. If `log` is given, the member records what it receives there
+    /// under its number.
     pub fn start_at(
         ip: Ipv4Addr,
         group: &Group,
@@ -356,9 +358,9 @@
 
     /// Logs a cold start, if the member starts cold.
     pub fn log_cold_start(&self) {
-        let Capacity { slots, service_time: (least, most), cold, .. } = self.0.capacity;
+        let Capacity { slots, service_time: (shortest, longest), cold, .. } = self.0.capacity;
         if let Some((share, warm)) = cold {
-            let mean = ((least + most) / 2).max(Duration::from_micros(1));
+            let mean = ((shortest + longest) / 2).max(Duration::from_micros(1));
             let rate = (slots as f64 / mean.as_secs_f64()) as u64;
             let (share, warm) = ((share * 1e3) as u64, warm.as_micros() as u64);
             self.log_event(|member| EventKind::Cold { member, share, warm, rate });
@@ -401,7 +403,8 @@
         self.state().statements.iter().cloned().collect()
     }
 
-    /// The numbers of statements received, answers written (including those to probes), and connections opened.
+    /// The numbers of statements received, answers written (including those to probes), and connections
+    /// opened.
     pub fn totals(&self) -> (u64, u64, u64) {
         let state = self.state();
         (state.statements_received, state.answers_written, state.connections_opened)
@@ -433,7 +436,7 @@
             stream.write_all(&reply[..first]).await.ok()?;
             self.state().answers_written += 1;
             match then {
-                AfterAnswer::Go => {}
+                AfterAnswer::ReadNext => {}
                 AfterAnswer::Pause(_) => {
                     self.wait_for_behaviour(|behaviour| !matches!(behaviour, Behaviour::Paused(_))).await?;
                     stream.write_all(&reply[first..]).await.ok()?;
@@ -451,10 +454,11 @@
         }
     }
 
-    /// The current service time of a request. It depends on the id, so the same id takes the same time.
-    fn service(&self, id: &str) -> Duration {
-        let (least, most) = self.0.capacity.service_time;
-        // This hasher has fixed keys, so the result is the same in every run.
+    /// The service time of a request: a hash of its id selects the value, which is divided by the current
+    /// share of the member's capacity. The same id gets the same value in every run.
+    fn service_time(&self, id: &str) -> Duration {
+        let (shortest, longest) = self.0.capacity.service_time;
+        // This hasher has fixed keys.
         let mut hasher = DefaultHasher::new();
         id.hash(&mut hasher);
         let fraction = (hasher.finish() >> 32) as f64 / (1u64 << 32) as f64;
@@ -462,14 +466,14 @@
         let warmth = self.0.capacity.cold.map_or(1.0, |(share, warm)| {
             share + (1.0 - share) * (started_at.elapsed().as_secs_f64() / warm.as_secs_f64()).min(1.0)
         });
-        (least + (most - least).mul_f64(fraction)).div_f64(warmth)
+        (shortest + (longest - shortest).mul_f64(fraction)).div_f64(warmth)
     }
 
     async fn answer(&self, sql: &str, reply: &mut Vec<u8>) -> AfterAnswer {
         if sql.is_empty() {
             wire::put(reply, b'I', &[]);
             wire::put(reply, b'Z', b"I");
-            return AfterAnswer::Go;
+            return AfterAnswer::ReadNext;
         }
         let (behaviour, primary, lag, positions) = {
             let state = self.state();
@@ -483,7 +487,7 @@
                 _ => format!("x0={:.3},x1={},q=0", position as f64 / 1e3, u8::from(primary)),
             };
             row(reply, report.as_bytes(), 25, (Some(primary), Some(position)));
-            return AfterAnswer::Go;
+            return AfterAnswer::ReadNext;
         }
         let key = sql.split('\'').nth(1).unwrap_or_default();
         let field = |name: &str| sql.rsplit_once(&format!("{name}="))?.1.split([',', ' ']).next();
@@ -521,12 +525,12 @@
                 Behaviour::FullBehind(later) => return AfterAnswer::Copy(later),
                 _ => {}
             }
-            return AfterAnswer::Go;
+            return AfterAnswer::ReadNext;
         }
         if !self.occupy_slot(id).await {
             self.log_event(refused_event);
             *reply = wire::error("53300");
-            return AfterAnswer::Go;
+            return AfterAnswer::ReadNext;
         }
         let (value, commit) = if write {
             let hex = sql.split("'\\x").nth(1).and_then(|v| v.split('\'').next()).unwrap_or_default();
@@ -555,8 +559,8 @@
         self.apply_fault(behaviour, reply).await
     }
 
-    /// Handles a read that requires a position `behind` ahead of the member. Returns the SQLSTATE of the refusal
-    /// unless the member answers anyway or catches up in time.
+    /// Handles a read that requires a position `behind` ahead of the member. Returns the SQLSTATE of the
+    /// refusal unless the member answers anyway or catches up in time.
     async fn refuse_if_behind(&self, behind: Duration, when_behind: WhenBehind) -> Option<&'static str> {
         let max_wait = match when_behind {
             WhenBehind::Answers => return None,
@@ -573,8 +577,8 @@
 
     /// Waits for a slot and for the service time; false if the queue is full.
     async fn occupy_slot(&self, id: &str) -> bool {
-        let service = self.service(id);
-        if service.is_zero() {
+        let service_time = self.service_time(id);
+        if service_time.is_zero() {
             return true;
         }
         let Capacity { queue, .. } = self.0.capacity;
@@ -593,7 +597,7 @@
                 }
             }
         };
-        tokio::time::sleep(service).await;
+        tokio::time::sleep(service_time).await;
         drop(slot);
         true
     }
@@ -635,24 +639,24 @@
             }
             Behaviour::Stall => {
                 reply.truncate(20);
-                AfterAnswer::Go
+                AfterAnswer::ReadNext
             }
             Behaviour::Twice => {
                 reply.extend_from_within(..);
-                AfterAnswer::Go
+                AfterAnswer::ReadNext
             }
             Behaviour::Behind(later) => AfterAnswer::Copy(later),
             Behaviour::Paused(bytes) => AfterAnswer::Pause(bytes),
             Behaviour::Marred(place, code) => {
                 insert_error(reply, place, &code);
-                AfterAnswer::Go
+                AfterAnswer::ReadNext
             }
             Behaviour::Swapped => {
                 let row = 1 + reply[DESCRIPTION_BYTES + 1..]
                     .first_chunk()
                     .map_or(0, |l| u32::from_be_bytes(*l)) as usize;
                 reply[..DESCRIPTION_BYTES + row].rotate_left(DESCRIPTION_BYTES);
-                AfterAnswer::Go
+                AfterAnswer::ReadNext
             }
             _ => {
                 if self.wait_for_behaviour(|behaviour| behaviour != Behaviour::Hold).await.is_none() {
@@ -663,7 +667,7 @@
                         reply.clear();
                         AfterAnswer::Reset
                     }
-                    _ => AfterAnswer::Go,
+                    _ => AfterAnswer::ReadNext,
                 }
             }
         }
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -42,19 +42,21 @@
     pub config_text: Option<String>,
     /// Additional environment variables.
     pub environment: Vec<(String, String)>,
-    /// Whether to start it as the deploy file does, from the repository's root: LINENTRAIL_FILE is not set.
+    /// Whether to leave LINENTRAIL_FILE unset, as the deploy file does, so that the proxy reads the
+    /// operators' file at the default path.
     pub as_shipped: bool,
-    /// The event log that records which rules the proxy applies, and the number of the proxy there. Its log filter
-    /// must include the target `rules`.
+    /// The event log that records which rules the proxy applies, and the number of the proxy there. Its log
+    /// filter must include the target `rules`.
     pub rules: Option<(u32, EventLog)>,
-    /// How long after SIGTERM it still accepts clients; none for 3 s, longer than any test takes to connect one.
+    /// How long after SIGTERM it still accepts clients. `None` selects 3 s, longer than any test takes to
+    /// connect a client.
     pub accept_after_term: Option<Duration>,
 }
 
 /// The settings of a class.
-pub fn class(name: &str, repeat: &str, (aim, deadline): (u64, u64)) -> Value {
-    json!({"name": name, "aim_us": aim, "deadline_us": deadline, "late_value": 0.5, "idempotency": repeat,
-        "group": "all", "window_us": 5_000_000, "stream": false, "importance": 1.0})
+pub fn class(name: &str, idempotency: &str, (aim, deadline): (u64, u64)) -> Value {
+    json!({"name": name, "aim_us": aim, "deadline_us": deadline, "late_value": 0.5,
+        "idempotency": idempotency, "group": "all", "window_us": 5_000_000, "stream": false, "importance": 1.0})
 }
 
 /// The users' four classes: name, aim and deadline in ms. The class of writes comes last.
@@ -68,14 +70,14 @@
 /// The settings of those classes, with aims and deadlines multiplied by `times`.
 pub fn classes(times: u64) -> Value {
     let class_settings = |(name, aim, deadline): (&str, u64, u64)| {
-        let repeat = if name == "place-order" { "non_idempotent" } else { "read_like" };
-        class(name, repeat, (aim * 1000 * times, deadline * 1000 * times))
+        let idempotency = if name == "place-order" { "non_idempotent" } else { "read_like" };
+        class(name, idempotency, (aim * 1000 * times, deadline * 1000 * times))
     };
     CLASSES.map(class_settings).to_vec().into()
 }
 
-/// Settings of one instance with the users' four classes and one tenant. Aims and deadlines are long, so that test
-/// results do not depend on the machine's speed.
+/// Settings of one instance with the users' four classes and one tenant. Aims and deadlines are long, so that
+/// test results do not depend on the machine's speed.
 pub fn settings() -> Value {
     let long = (8_000_000, 15_000_000);
     json!({
@@ -374,6 +376,7 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
         let memory =
             status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok());
-        cpu.zip(memory).ok_or_else(|| Error::other("/proc does not say what the process uses"))
+        cpu.zip(memory)
+            .ok_or_else(|| Error::other("/proc lacks the CPU time or the resident memory of the process"))
     }
 }
