--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Daily operation, with the real program between stand-ins: the console, members that the operators suspend, and
-//! upgrades in which a new process takes over the listener.
+//! Daily operation, with the real program between stand-ins: the console, members that the operators suspend,
+//! and upgrades in which a new process takes over the listener.
 #![allow(missing_docs)]
 
 mod scenario;
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_console_is_reachable_while_clients_hold_all_their_descriptors() {
-    // A small proxy has descriptors for four clients; further connections wait to be accepted.
+    // `start small` leaves descriptors for four clients; further connections wait to be accepted.
     run_scenario(
         "member p primary
          start console small
@@ -279,10 +279,12 @@
     pub struct Results {
         pub served: AtomicU64,
         pub refused: AtomicU64,
+        /// Reads that did not return the value of the preceding booking.
         pub stale: AtomicU64,
         /// Connections that ended during a request, or that could not be opened.
         pub broken: AtomicU64,
-        pub wrong: AtomicU64,
+        /// Requests that failed and may have had their effect.
+        pub failed: AtomicU64,
         stopped: AtomicBool,
     }
 
@@ -296,8 +298,8 @@
         to.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One client: alternates a booking on its own key and a read of that key which carries the commit, as the
-    /// platform's clients do. Returns the number of bookings that were served.
+    /// One client: alternates a booking on its own key and a read of that key, which requires the position of
+    /// the current time and so has to return the booking. Returns the number of bookings that were served.
     pub fn client(to: SocketAddr, number: usize, results: Arc<Results>) -> tokio::task::JoinHandle<u64> {
         runtime().spawn(async move {
             let (mut conn, mut n, mut written) = (None::<PgClient>, 0u64, 0);
@@ -314,14 +316,14 @@
                 };
                 let write = n.is_multiple_of(2);
                 let value = (n / 2).to_be_bytes().to_vec();
-                let ask = ClientRequest {
+                let request = ClientRequest {
                     class: if write { "place-order" } else { "my-booking" },
                     key: format!("load{number}"),
                     value: write.then(|| value.clone()),
                     wait_ms: 8_000,
                     after: (!write).then(linentrail_standins::now_ms),
                 };
-                if pg.send(&wire::query(&ask.sql(&request_id()))).await.is_err() {
+                if pg.send(&wire::query(&request.sql(&request_id()))).await.is_err() {
                     add(&results.broken);
                     continue;
                 }
@@ -336,13 +338,13 @@
                         n += 1;
                     }
                     Ok(ClientAnswer::Refused(_)) => add(&results.refused),
-                    Ok(ClientAnswer::Failed(_)) => add(&results.wrong),
+                    Ok(ClientAnswer::Failed(_)) => add(&results.failed),
                     Err(_) => {
                         add(&results.broken);
                         continue;
                     }
                 }
-                // Gives a close that follows the answer directly the time to arrive before the next request.
+                // Waits, so that a close that directly follows the answer is seen before the next request.
                 tokio::time::sleep(std::time::Duration::from_millis(2)).await;
                 conn = (!pg.ended().await).then_some(pg);
             }
@@ -382,20 +384,20 @@
     let clients: Vec<_> = (0..12).map(|n| load::client(address, n, results.clone())).collect();
     for _ in 0..4 {
         std::thread::sleep(std::time::Duration::from_millis(500));
-        let next = Proxy::start(&setup).expect("the next one starts");
+        let next = Proxy::start(&setup).expect("the next process starts");
         let mut former = std::mem::replace(&mut proxy, next);
-        former.signal("TERM").expect("it lives");
-        assert!(former.wait().expect("its end").success());
+        former.signal("TERM").expect("the former process is running");
+        assert!(former.wait().expect("the exit status of the former process").success());
     }
     std::thread::sleep(std::time::Duration::from_millis(300));
     results.stop();
     let written: u64 =
         clients.into_iter().map(|c| linentrail_standins::runtime().block_on(c).expect("a client")).sum();
-    let counts = [&results.served, &results.refused, &results.stale, &results.broken, &results.wrong]
+    let counts = [&results.served, &results.refused, &results.stale, &results.broken, &results.failed]
         .map(|c| c.load(Relaxed));
-    let [served, _, stale, broken, wrong] = counts;
+    let [served, _, stale, broken, failed] = counts;
     assert!(served > 100, "{counts:?}");
-    assert_eq!((stale, broken, wrong), (0, 0, 0), "served, refused, stale, broken, wrong: {counts:?}");
+    assert_eq!((stale, broken, failed), (0, 0, 0), "served, refused, stale, broken, failed: {counts:?}");
     assert_eq!(group.runs(), (written, Vec::new()));
     drop(proxy);
     let _ = std::fs::remove_dir_all(shared);
@@ -463,7 +465,8 @@
 
 #[test]
 fn an_open_request_keeps_the_class_settings_of_its_arrival() {
-    // A booking arrives while its class is unsafe, and the class then becomes safe to retry; and the other way round.
+    // A booking arrives while its class is unsafe, and the class then becomes safe to retry; and the other
+    // way round.
     for (before, after, expected) in
         [("non_idempotent", "read_like", "error XX000"), ("read_like", "non_idempotent", "row 01")]
     {
@@ -493,9 +496,9 @@
 
 #[test]
 fn a_session_reads_through_the_next_process_what_it_wrote_through_the_former() {
-    // The replica lags by 600 s, and the read carries no position that would rule the replica out. The former process
-    // sends the write's answer when it no longer accepts clients, so that the read can only go through the next
-    // process.
+    // The replica lags by 600 s, and the read carries no position that would rule the replica out. The former
+    // process sends the write's answer when it no longer accepts clients, so that the read can only go
+    // through the next process.
     run_scenario(
         "member p primary
          member r replica 600000
@@ -582,20 +585,20 @@
     let to = proxy.pg;
     let flood = |n: usize| {
         runtime().spawn(async move {
-            let mut pg = PgClient::connect(to).await.expect("it listens");
+            let mut pg = PgClient::connect(to).await.expect("a connection to the proxy");
             let mut answered = 0u64;
             loop {
                 let mut queries = Vec::new();
                 for _ in 0..16 {
                     let key = format!("k{n}");
-                    let ask = ClientRequest {
+                    let request = ClientRequest {
                         class: "monthly-report",
                         key,
                         value: None,
                         wait_ms: 8_000,
                         after: None,
                     };
-                    queries.extend(wire::query(&ask.sql(&request_id())));
+                    queries.extend(wire::query(&request.sql(&request_id())));
                 }
                 if pg.send(&queries).await.is_err() {
                     return answered;
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,80 +1,85 @@
 //! A small language for scenarios on loopback sockets: the real program between stand-in clients, members and
-//! discovery. Each line is one step, `who verb what`. Steps run in order, and a step whose expectation fails fails
-//! the test.
+//! discovery. Each line is one step, `who verb what`. Steps run in order, and a step whose expectation fails
+//! fails the test.
 //!
 //! ```text
-//! member p primary            starts a member of group 1; replicas give their lag in ms: member r replica 400
-//! start [option ...]          starts the proxy with the members so far as its list. Options: odata: serves OData;
-//!                             dnssd: has no list and browses DNS-SD for members; watching: watches discovery;
-//!                             pushed: lists come from the proxy's own discovery agent, and the drain grace is 500
-//!                             ms; small: 40 descriptors; few: 60; scant: 16 MiB of memory; brief: the settings say
-//!                             that members close connections idle for 500 ms; patient: connecting to a member may
-//!                             take 30 s; console: has a console; handed: inherits its listener and gets a folder
-//!                             that its processes share; traced: logs each request (the log is printed if the test
-//!                             fails)
-//! dns does list p 2           the DNS server announces member p with this time to live in seconds; `broken p 2`:
-//!                             without its TXT record; `drop p`: not any longer; `garbage`: answers with no DNS
-//!                             message
+//! member p primary            starts a member of group 1; replicas give their lag in ms: member r replica
+//!                             400
+//! start [option ...]          starts the proxy with the members so far as its list. Options: odata: serves
+//!                             OData; dnssd: has no list and browses DNS-SD for members; watching: watches
+//!                             discovery; pushed: lists come from the proxy's own discovery agent, and the
+//!                             drain grace is 500 ms; small: 40 descriptors; few: 60; scant: 16 MiB of
+//!                             memory; brief: the settings say that members close connections idle for 500
+//!                             ms; patient: connecting to a member may take 30 s; console: has a console;
+//!                             handed: inherits its listener and gets a folder that its processes share;
+//!                             traced: logs each request (the log is printed if the test fails)
+//! dns does list p 2           the DNS server announces member p with this time to live in seconds; `broken p
+//!                             2`: without its TXT record; `drop p`: no longer announces it; `garbage`: sends
+//!                             answers that are no DNS messages
 //! list does leaving p         discovery reports p as `active`, `leaving` or `left` (start watching)
 //! list does moves p q         discovery reports the address of q for p; q is a member that it does not list
-//! list does overbooked        well | overbooked | reset | silent | cut | noise | older | many | hasty: how calls are
-//!                             answered from now on; waiting calls are answered that way at the next change
-//! list expect 1 watches       waits for this many calls: `watches`, `confirms` (watches that do not wait) or `whole`
-//!                             (the full list); 0: there has been none
-//! list expect heard           the proxy has confirmed the latest version by its next call
-//! list does move              the configuration names another discovery service, which starts with the same list.
-//!                             `config does half` writes half of the configuration file, `config does whole` all of
-//!                             it, and `hup` sends SIGHUP
-//! config adds NAME read_like any   adds a class to the configuration; `config drops NAME` removes it; `config sets
-//!                             limits/max_attempts 2` sets a value of the settings, `config lacks limits/max_attempts`
-//!                             removes it. All take effect with `config does whole` and `hup`; a value that is set
-//!                             before `start` applies from the start
-//! counts NAME 1               waits until a counter of the proxy reaches this value; `counts NAME under 9`: is below
-//!                             it now
-//! p does hold                 answer | hold | reset | half | full | error | miss: how p handles statements from now
-//!                             on; twice: a second copy immediately after the answer; after: one 30 ms later; behind
-//!                             US: one this many microseconds later; broken N: a reset after N bytes of the answer;
-//!                             stall: half an answer and no more; swapped: a row before its description; unready:
-//!                             full without ReadyForQuery; noisy: full, followed by invalid bytes; shut: leaves the
-//!                             startup of new connections unanswered; boast: a report that cannot be true; mute:
-//!                             answers without role and position; unplaced: without position; full-behind US: full,
-//!                             and a copy this many microseconds later; marred PLACE CODE: an error
-//!                             `after-description`, `after-row` or `after-completion` of a row, or a complete one
-//!                             `before` or `behind` the answer
+//! list does overbooked        well | overbooked | reset | silent | cut | noise | older | many | hasty: how
+//!                             calls are answered from now on; waiting calls are answered that way at the
+//!                             next change
+//! list expect 1 watches       waits for this many calls: `watches`, `confirms` (watches that do not wait) or
+//!                             `whole` (the full list); 0: there has been none
+//! list expect heard           waits until a call of the proxy names the latest version of the list
+//! list does move              the configuration names another discovery service, which starts with the same
+//!                             list. `config does half` writes half of the configuration file, `config does
+//!                             whole` all of it, and `hup` sends SIGHUP
+//! config adds NAME read_like any   adds a class to the configuration; `config drops NAME` removes it;
+//!                             `config sets limits/max_attempts 2` sets a value of the settings, `config
+//!                             lacks limits/max_attempts` removes it. All take effect with `config does
+//!                             whole` and `hup`; a value that is set before `start` applies from the start
+//! counts NAME 1               waits until a counter of the proxy reaches this value; `counts NAME under 9`:
+//!                             is below it now
+//! p does hold                 answer | hold | reset | half | full | error | miss: how p handles statements
+//!                             from now on; twice: a second copy immediately after the answer; after: one 30
+//!                             ms later; behind US: one this many microseconds later; broken N: a reset after
+//!                             N bytes of the answer; stall: half an answer and no more; swapped: a row
+//!                             before its description; unready: full without ReadyForQuery; noisy: full,
+//!                             followed by invalid bytes; shut: leaves the startup of new connections
+//!                             unanswered; boast: a report that cannot be true; mute: answers without role
+//!                             and position; unplaced: without position; full-behind US: full, and a copy
+//!                             this many microseconds later; marred PLACE CODE: an error `after-description`,
+//!                             `after-row` or `after-completion` of a row, or a complete one `before` or
+//!                             `behind` the answer
 //! p does replica 9000         sets the role and the lag of p
 //! a send read K C [after=MS]  client a sends a read of key K in class C by PostgreSQL ...
-//! a send write K HEX          ... or a booking; `raw TEXT` sends a statement as it is, `bytes HEX` sends bytes,
-//!                             `bytes` only connects, `hello` connects and sends the startup message, `flood N` sends
-//!                             N more bytes, `sync` a Sync, `bye` a Terminate, `wire TEXT` text to OData, with \n for
-//!                             line ends
+//! a send write K HEX          ... or a booking; `raw TEXT` sends a statement as it is, `bytes HEX` sends
+//!                             bytes, `bytes` only connects, `hello` connects and sends the startup message,
+//!                             `flood N` sends N more bytes, `sync` a Sync, `bye` a Terminate, `wire TEXT`
+//!                             text to OData, with \n for line ends
 //! o send GET K C [h=v ...]    client o sends a read by OData; also `POST K HEX` and `http METHOD TARGET`
-//! a expect row HEX            the next answer: also `row -` if empty, `error CODE [detail]`, `empty`, `closed`; for
-//!                             OData `STATUS [text in the response]`
-//! a expect no refusal         an answer of any kind except 53300 or 57P03 (503 by OData), which promise that a retry
-//!                             is harmless
+//! a expect row HEX            the next answer: also `row -` if empty, `error CODE [detail]`, `empty`,
+//!                             `closed`; for OData `STATUS [text in the response]`
+//! a expect no refusal         an answer of any kind except 53300 or 57P03 (503 by OData), which promise that
+//!                             a retry is harmless
 //! sum 1 read K                all members together have received this many such statements
 //! p expect 1 write K          waits until p has received this many such statements; more are an error
 //! p expect under 2 write k    p has received fewer such statements so far
 //! p expect 2 opened           waits until p has received this many connections
 //! a close                     resets the connection; `a fin` closes the sending side, and a still receives
-//! descriptors noted           stores the number of the proxy's descriptors; `descriptors more 6`: there are at least
-//!                             6 more; `descriptors back 1`: waits until there is at most 1 more
-//! stop                        sends SIGTERM to the proxy; `gone` waits until it has ended
-//! console 200 SUSPEND p       a call to the console is answered with this status within a second; the name of a
-//!                             member stands for its id, and \n for a line end within the call
+//! descriptors noted           stores the number of the proxy's descriptors; `descriptors more 6`: there are
+//!                             at least 6 more; `descriptors back 1`: waits until there is at most 1 more
+//! stop                        sends SIGTERM to the proxy; `gone` waits until it has exited with status 0
+//! console 200 SUSPEND p       a call to the console is answered with this status within a second; the name
+//!                             of a member stands for its id, and \n for a line end within the call
 //! silent 40                   this many callers connect to the console and send nothing
 //! upgrade                     a second process takes over from the first, which continues to run as `former`
-//! o,n race POST K HEX ...     sends one request on the connections of two OData clients at the same moment; `o,n
-//!                             expect one 201 and 412`: their answers, in either order
-//! both SUSPEND a b            calls the consoles of both processes at once, alternating between them, once for each
-//!                             member
-//! former hangs                stops (SIGSTOP) the process that the next `upgrade` makes the former one; `former
-//!                             resumes` after `upgrade` continues it
+//! o,n race POST K HEX ...     sends one request on the connections of two OData clients at the same moment;
+//!                             `o,n expect one 201 and 412`: their answers, in either order
+//! both SUSPEND a b            calls the consoles of both processes at once, alternating between them, once
+//!                             for each member
+//! former hangs                stops (SIGSTOP) the process that the next `upgrade` makes the former one;
+//!                             `former resumes` after `upgrade` continues it
 //! back out                    kills the new process, so that the former one goes on alone
-//! shared NAME is TEXT         writes a file in the shared folder; `shared NAME missing`: there is no such file;
-//!                             `blocked` puts a folder in its place, and `free` removes that folder
-//! former 200 RESTORE p        as `console`, at the former process; `former stop`, `former gone` and `former kill`
-//! wait 50                     waits this many ms; `clock` starts a stopwatch that must not have passed `within 3000`
+//! shared NAME is TEXT         writes a file in the shared folder; `shared NAME missing`: there is no such
+//!                             file; `blocked` puts a folder in its place, and `free` removes that folder
+//! former 200 RESTORE p        as `console`, at the former process; `former stop`, `former gone` and `former
+//!                             kill`
+//! wait 50                     waits this many ms; `clock` starts a stopwatch, and `within 3000` fails if it
+//!                             shows more ms
 //! ```
 #![allow(dead_code)]
 
@@ -115,7 +120,7 @@
     dns: DnsServer,
     registry: Registry,
     config: Value,
-    /// Paths and values of the settings that were set before the start.
+    /// Paths and values of the settings that the script sets before `start`.
     preset: Vec<(String, Value)>,
     stopwatch: Option<Instant>,
     descriptors: usize,
@@ -127,7 +132,7 @@
     ids: u64,
 }
 
-/// Creates a folder for the processes of one proxy; the harness removes it when dropped.
+/// Creates a folder that the processes of one proxy share. `ScenarioRunner` removes it when dropped.
 fn create_shared_folder() -> std::path::PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -169,7 +174,7 @@
             ["wait", ms] => thread::sleep(Duration::from_millis(ms.parse().unwrap())),
             ["clock"] => self.stopwatch = Some(Instant::now()),
             ["within", ms] => {
-                let passed = self.stopwatch.expect("clock comes first").elapsed().as_millis();
+                let passed = self.stopwatch.expect("`clock` must come before `within`").elapsed().as_millis();
                 assert!(passed <= ms.parse().unwrap(), "{line}: {passed} ms");
             }
             ["member", name, "primary"] => self.start_member(name, true, 0),
@@ -177,13 +182,16 @@
             ["start", ref with @ ..] => self.start(with),
             ["descriptors", "noted"] => self.descriptors = self.proxy().descriptors().unwrap(),
             ["descriptors", "more", by] => {
-                let most = self.descriptors + by.parse::<usize>().unwrap();
-                assert!(self.proxy().descriptors().unwrap() >= most, "{line}");
+                let minimum = self.descriptors + by.parse::<usize>().unwrap();
+                assert!(self.proxy().descriptors().unwrap() >= minimum, "{line}");
             }
             ["descriptors", "back", more] => {
-                let noted = self.descriptors + more.parse::<usize>().unwrap();
-                let held = || self.proxy().descriptors().unwrap();
-                wait_until(|| held() <= noted, || format!("{line}: {} of {noted}", held()));
+                let limit = self.descriptors + more.parse::<usize>().unwrap();
+                let open = || self.proxy().descriptors().unwrap();
+                wait_until(
+                    || open() <= limit,
+                    || format!("{line}: {} open, expected at most {limit}", open()),
+                );
             }
             ["list", "does", "move"] => {
                 let whole = self.registry.list();
@@ -227,7 +235,7 @@
                 let heard = || self.registry.calls().newest_version == self.registry.version();
                 wait_until(heard, || format!("{line}: {:?}", self.registry.calls()));
             }
-            ["list", "expect", least, kind] => self.expect_calls(line, least.parse().unwrap(), kind),
+            ["list", "expect", minimum, kind] => self.expect_calls(line, minimum.parse().unwrap(), kind),
             ["list", "does", "moves", who, to] => {
                 let index = self.members.iter().position(|(n, _)| n == who).expect("a member");
                 self.registry.set_address(index, self.member_named(to).address());
@@ -237,11 +245,12 @@
                 self.registry.set_lifecycle(index, lifecycle);
             }
             ["dns", "does", ref what @ ..] => self.set_dns(what),
-            ["counts", name, least] => self.expect_counter(name, least.parse().unwrap()),
+            ["counts", name, minimum] => self.expect_counter(name, minimum.parse().unwrap()),
             ["sum", count, what, key] => {
                 let what = format!("{what} {key}");
-                let given: usize = self.members.iter().map(|(_, member)| member.statement_count(&what)).sum();
-                assert_eq!(given, count.parse::<usize>().unwrap(), "{line}");
+                let received: usize =
+                    self.members.iter().map(|(_, member)| member.statement_count(&what)).sum();
+                assert_eq!(received, count.parse::<usize>().unwrap(), "{line}");
             }
             ["console", code, ..] => self.expect_console(self.proxy(), code, rest(2), line),
             ["silent", n] => {
@@ -250,7 +259,7 @@
                 self.silent_callers.extend((0..n.parse().unwrap()).map(connect));
             }
             ["upgrade"] => {
-                let next = Proxy::start(&self.setup).expect("the next one starts");
+                let next = Proxy::start(&self.setup).expect("the next process starts");
                 self.former = self.proxy.replace(next);
             }
             ["back", "out"] => self.proxy = self.former.take(),
@@ -309,8 +318,8 @@
             [who, "race", ref what @ ..] => self.race(who, what),
             [who, "expect", "one", one, "and", other] => self.expect_both(who, [one, other], line),
             [who, "expect", "under", most, what, key] => {
-                let given = self.member_named(who).statement_count(&format!("{what} {key}"));
-                assert!(given < most.parse().unwrap(), "{line}: {given}");
+                let received = self.member_named(who).statement_count(&format!("{what} {key}"));
+                assert!(received < most.parse().unwrap(), "{line}: {received}");
             }
             [who, "expect", count, what, key] if self.members.iter().any(|(n, _)| n == who) => {
                 self.expect_statements(who, count.parse().unwrap(), &format!("{what} {key}"), line)
@@ -343,7 +352,7 @@
     }
 
     fn proxy(&self) -> &Proxy {
-        self.proxy.as_ref().expect("start comes first")
+        self.proxy.as_ref().expect("`start` must come before this step")
     }
 
     /// Calls the console and expects an answer with this status within a second.
@@ -390,21 +399,21 @@
         }
     }
 
-    fn expect_counter(&self, name: &str, least: u64) {
+    fn expect_counter(&self, name: &str, minimum: u64) {
         let counters = || self.proxy().counters().unwrap();
-        let reached = || counters().get(name).is_some_and(|n| *n >= least);
-        wait_until(reached, || format!("{name} stays under {least}: {:?}", counters()));
+        let reached = || counters().get(name).is_some_and(|n| *n >= minimum);
+        wait_until(reached, || format!("{name} did not reach {minimum}: {:?}", counters()));
     }
 
-    fn expect_calls(&self, line: &str, least: usize, kind: &str) {
+    fn expect_calls(&self, line: &str, minimum: usize, kind: &str) {
         let received = || match (self.registry.calls(), kind) {
             (calls, "watches") => calls.watches,
             (calls, "whole") => calls.whole,
             (calls, "confirms") => calls.confirms,
-            _ => panic!("{line}: watches, confirms or whole"),
+            _ => panic!("{line}: expected watches, confirms or whole"),
         };
-        assert!(least > 0 || received() == 0, "{line}: {:?}", self.registry.calls());
-        wait_until(|| received() >= least, || format!("{line}: {:?}", self.registry.calls()));
+        assert!(minimum > 0 || received() == 0, "{line}: {:?}", self.registry.calls());
+        wait_until(|| received() >= minimum, || format!("{line}: {:?}", self.registry.calls()));
     }
 
     fn start(&mut self, with: &[&str]) {
@@ -461,8 +470,8 @@
         };
         self.proxy = Some(Proxy::start(&setup).expect("the proxy starts"));
         self.setup = setup;
-        // OData Repeatable Requests count in whole seconds, so wait until the second in which the process started
-        // is over.
+        // OData Repeatable Requests count in whole seconds, so wait until the second in which the process
+        // started is over.
         if odata {
             thread::sleep(Duration::from_millis(1_050 - now_ms() % 1_000));
         }
