--- a/crates/standins/src/rig/events.rs
+++ b/crates/standins/src/rig/events.rs
@@ -406,7 +406,7 @@
     }
 
     /// The number of proxies that report this version as the only one of its kind that they apply.
-    pub fn proxies_acting_alone_by(&self, kind: &str, version: &str) -> usize {
+    pub fn proxies_applying_only(&self, kind: &str, version: &str) -> usize {
         let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         let mut last = HashMap::new();
         for event in &inner.events {
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -420,7 +420,7 @@
     /// ballot.
     fn wait_until_in_force(&self, kind: &str, version: &str) -> bool {
         let began = Instant::now();
-        while self.0.log.proxies_acting_alone_by(kind, version) < self.0.handles.len() {
+        while self.0.log.proxies_applying_only(kind, version) < self.0.handles.len() {
             if began.elapsed() > IN_FORCE_TIMEOUT {
                 return false;
             }
