--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -314,7 +314,7 @@
 #[derive(Default)]
 struct Checker {
     verdict: Verdict,
-    asked: HashMap<u64, RequestState>,
+    requests: HashMap<u64, RequestState>,
     proxies: HashMap<u32, Proxy>,
     run_counts: HashMap<u64, u32>,
     keys: HashMap<String, KeyHistory>,
@@ -358,9 +358,9 @@
 
 /// How much of `from..to` lies within the spans.
 fn overlap(spans: &[(Micros, Micros)], from: Micros, to: Micros) -> Micros {
-    let of = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
+    let shared_part = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
     let first = spans.partition_point(|span| span.1 <= from);
-    spans[first..].iter().take_while(|span| span.0 < to).map(of).sum()
+    spans[first..].iter().take_while(|span| span.0 < to).map(shared_part).sum()
 }
 
 /// Judges a whole run; `lost` is the number of events that did not fit in the log.
@@ -409,7 +409,7 @@
         match what {
             EventKind::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
                 self.verdict.asked += 1;
-                let asked = RequestState {
+                let request = RequestState {
                     at,
                     proxy: *proxy,
                     key: key.clone(),
@@ -425,21 +425,21 @@
                     may_have_run: Vec::new(),
                     refused: false,
                 };
-                if self.asked.insert(*id, asked).is_some() {
+                if self.requests.insert(*id, request).is_some() {
                     self.verdict.add_breach(Rule::Log, at, format!("request id {id} is used twice"));
                 }
             }
             EventKind::Sent { id, first } => {
-                let asked = self.asked.get_mut(id);
-                asked
+                let request = self.requests.get_mut(id);
+                request
                     .into_iter()
-                    .for_each(|asked| (asked.sent, asked.first_on_connection) = (Some(at), *first));
+                    .for_each(|request| (request.sent, request.first_on_connection) = (Some(at), *first));
             }
             EventKind::Left { id } => {
-                self.asked
+                self.requests
                     .get_mut(id)
                     .into_iter()
-                    .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
+                    .for_each(|request| (request.left, request.ended) = (Some(at), Some(at)));
             }
             EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.machine_slack),
             EventKind::Begun { id, proxy } => drop(self.unfinished.insert(*id, (*proxy, at))),
@@ -483,9 +483,9 @@
                 let seen = self.called.add(at, 1_000_000);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].called;
                 *peak = seen.max(*peak);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.whole += u64::from(*whole);
-                let n = of.whole;
+                let state = self.proxies.entry(*proxy).or_default();
+                state.whole += u64::from(*whole);
+                let n = state.whole;
                 if *whole && bounds.whole_lists.is_some_and(|limit| n > limit) {
                     let what = format!("proxy {proxy} called for the whole list {n} times");
                     self.verdict.add_breach(Rule::Whole, at, what);
@@ -514,20 +514,20 @@
             }
             EventKind::Exec { proxy } => {
                 self.end_version_spans(*proxy, None, at);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.began = at;
-                of.whole = 0;
-                of.applied = BTreeMap::new();
+                let state = self.proxies.entry(*proxy).or_default();
+                state.began = at;
+                state.whole = 0;
+                state.applied = BTreeMap::new();
                 // Discovery reports draining members to each new process again.
-                of.draining.clear();
+                state.draining.clear();
                 if !bounds.suspensions_kept {
-                    of.suspended.clear();
+                    state.suspended.clear();
                 }
             }
             EventKind::Serves { proxy } => {
-                let of = self.proxies.entry(*proxy).or_default();
-                of.up = true;
-                of.gaps.iter_mut().filter(|g| g.to == Micros::MAX).for_each(|g| g.to = at);
+                let state = self.proxies.entry(*proxy).or_default();
+                state.up = true;
+                state.gaps.iter_mut().filter(|g| g.to == Micros::MAX).for_each(|g| g.to = at);
             }
             EventKind::Link { proxy, member, well } => {
                 let held = &mut self.proxies.entry(*proxy).or_default().held;
@@ -537,8 +537,8 @@
             }
             EventKind::Acts { proxy, kind, versions, since } => {
                 self.end_version_spans(*proxy, Some(kind), *since);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.applied.insert(kind.clone(), (versions.clone(), *since));
+                let state = self.proxies.entry(*proxy).or_default();
+                state.applied.insert(kind.clone(), (versions.clone(), *since));
             }
             EventKind::Resumed { proxy } => {
                 let gaps = &mut self.proxies.entry(*proxy).or_default().gaps;
@@ -567,16 +567,16 @@
     /// A process that received SIGTERM was killed or has ended. Requests that were sent more than
     /// `ANSWER_DUE_AFTER_TERM` after SIGTERM, and that the process has read, must have had their answers.
     fn check_shutdown(&mut self, at: Micros, proxy: u32) {
-        let Some(of) = self.proxies.get_mut(&proxy) else { return };
-        let Some(term) = of.ending.take() else { return };
-        of.ended.push((term, at));
+        let Some(state) = self.proxies.get_mut(&proxy) else { return };
+        let Some(term) = state.ending.take() else { return };
+        state.ended.push((term, at));
         let late = |a: &RequestState| {
             (a.reached_member || a.first_on_connection)
                 && a.ended.is_none()
                 && a.sent.is_some_and(|sent| sent > term + ANSWER_DUE_AFTER_TERM)
         };
         let found = self
-            .asked
+            .requests
             .iter()
             .filter(|(_, a)| a.proxy == proxy && late(a))
             .map(|(id, a)| (*id, a.sent.unwrap_or(at)));
@@ -596,7 +596,7 @@
     fn check_count(
         &mut self,
         rule: Rule,
-        of: u32,
+        subject: u32,
         at: Micros,
         seen: u64,
         limit: Option<u64>,
@@ -604,8 +604,8 @@
     ) {
         let Some(limit) = limit.filter(|_| self.faulted) else { return };
         if seen <= limit {
-            self.exceeded.remove(&(rule, of));
-        } else if self.exceeded.insert((rule, of)) {
+            self.exceeded.remove(&(rule, subject));
+        } else if self.exceeded.insert((rule, subject)) {
             self.verdict.add_breach(rule, at, text());
         }
     }
@@ -617,26 +617,26 @@
 
     /// How much of a span the machine did not schedule the rig, plus the same for the proxy.
     fn delayed(&self, proxy: u32, from: Micros, to: Micros) -> Micros {
-        let of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
-        of(None) + of(Some(proxy))
+        let delay_of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
+        delay_of(None) + delay_of(Some(proxy))
     }
 
     /// Checks the outcome of a request: a final answer in time, and recent enough data for reads.
     fn check_answer(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
-        let since = self.asked.get(&id).map_or(at, |a| a.at);
+        let since = self.requests.get(&id).map_or(at, |a| a.at);
         let stalled = self.stalled(since, at);
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             self.verdict.add_breach(Rule::Log, at, format!("request {id} ended but was never sent"));
             return;
         };
-        if asked.ended.replace(at).is_some() {
+        if request.ended.replace(at).is_some() {
             self.verdict.add_breach(Rule::Answer, at, format!("request {id} got two answers"));
             return;
         }
-        let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stalled);
-        asked.refused = how == RequestEnd::Refused;
-        let harmless = asked.effect.is_none_or(Effect::may_be_refused_after_a_run);
-        if let Some(run) = asked.first_run().filter(|_| asked.refused && !harmless) {
+        let (proxy, until) = (request.proxy, since + request.wait + bounds.late + stalled);
+        request.refused = how == RequestEnd::Refused;
+        let harmless = request.effect.is_none_or(Effect::may_be_refused_after_a_run);
+        if let Some(run) = request.first_run().filter(|_| request.refused && !harmless) {
             let what = format!("request {id} at proxy {proxy} was reported as refused: {run}");
             self.verdict.add_breach(Rule::Once, at, what);
         }
@@ -644,7 +644,7 @@
         // answering; the client then retries. That does not cover a request that reached a member, as the
         // proxy has read it, nor the first request of a connection, as it does not follow another one.
         let shutting_down = self.proxies.get(&proxy).is_some_and(|p| p.shuts_down_within(since, at));
-        let between_requests = !asked.reached_member && !asked.first_on_connection;
+        let between_requests = !request.reached_member && !request.first_on_connection;
         let unread =
             how == RequestEnd::Broken && between_requests && (shutting_down || bounds.descriptors_exhausted);
         let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
@@ -658,8 +658,8 @@
             return;
         }
         let began = self.proxies.get(&proxy).map_or(0, |p| p.began);
-        let key = self.keys.entry(asked.key.clone()).or_default();
-        if let Some(value) = asked.writes {
+        let key = self.keys.entry(request.key.clone()).or_default();
+        if let Some(value) = request.writes {
             match key.ran.iter().position(|(_, ran)| *ran == value) {
                 Some(commit) => key.acknowledged.push(Acknowledged { at, proxy, commit }),
                 None => {
@@ -670,7 +670,7 @@
             return;
         }
         // The number of commits of its key that the read must reflect.
-        let due = match asked.shows {
+        let due = match request.shows {
             ReadGuarantee::Any => 0,
             ReadGuarantee::Session => key.commits_due(since, |_| true),
             ReadGuarantee::SessionAtProcess => {
@@ -684,11 +684,12 @@
         };
         match shown {
             None => {
-                let what = format!("read {id} of {} returned a value that was never written", asked.key);
+                let what = format!("read {id} of {} returned a value that was never written", request.key);
                 self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(shown) if shown < due => {
-                let what = format!("read {id} of {} reflects {shown} commits, must reflect {due}", asked.key);
+                let what =
+                    format!("read {id} of {} reflects {shown} commits, must reflect {due}", request.key);
                 self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(_) => {}
@@ -697,9 +698,9 @@
 
     /// Ends the spans of the versions that a proxy has applied so far, of one kind or of all kinds.
     fn end_version_spans(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
-        let of = self.proxies.entry(proxy).or_default();
+        let state = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
-            of.applied.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
+            state.applied.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
         {
             self.applied_spans.push((name.clone(), proxy, versions.clone(), *since, at));
             *since = at;
@@ -737,7 +738,7 @@
 
     /// Checks a statement that a member has received.
     fn check_statement(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
-        let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
+        let Some((proxy, sent_at)) = self.requests.get(&id).map(|a| (a.proxy, a.at)) else {
             self.verdict.add_breach(
                 Rule::Log,
                 at,
@@ -745,15 +746,15 @@
             );
             return;
         };
-        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.reached_member = true);
+        self.requests.get_mut(&id).into_iter().for_each(|request| request.reached_member = true);
         self.check_attempt(at, member, id, bounds.machine_slack);
         self.check_client_present(at, member, id, bounds.machine_slack);
         let stalled = self.stalled(at.saturating_sub(bounds.drain), at);
-        let of = self.proxies.entry(proxy).or_default();
+        let state = self.proxies.entry(proxy).or_default();
         // A statement that a link held back may have been sent at any time since the request was sent.
-        let held = of.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= asked));
+        let held = state.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= sent_at));
         for (rule, since) in
-            [(Rule::Drain, of.draining.get(&member)), (Rule::Hand, of.suspended.get(&member))]
+            [(Rule::Drain, state.draining.get(&member)), (Rule::Hand, state.suspended.get(&member))]
         {
             if let Some(since) = since.filter(|t| !held && at > **t + bounds.drain + stalled) {
                 let what = format!(
@@ -794,16 +795,16 @@
     /// Checks that the earlier attempts and the answer of a request permit a further attempt, and records the
     /// attempt.
     fn check_attempt(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
-        let Some(asked) = self.asked.get(&id) else { return };
-        let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
-        if asked.refused && !effect.may_be_refused_after_a_run() {
+        let Some(request) = self.requests.get(&id) else { return };
+        let (Some(effect), proxy) = (request.effect, request.proxy) else { return };
+        if request.refused && !effect.may_be_refused_after_a_run() {
             let what = format!(
                 "member {member} got request {id} from proxy {proxy}, {} the proxy had reported as refused",
-                asked.description()
+                request.description()
             );
             self.verdict.add_breach(Rule::Once, at, what);
         }
-        let late = match (effect, asked.may_have_run.first()) {
+        let late = match (effect, request.may_have_run.first()) {
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some(first)) => {
@@ -813,32 +814,32 @@
                 at > first.at + window + slack && !self.link_holds_back(proxy, member, first.at)
             }
         };
-        if let Some(run) = asked.first_run().filter(|_| late) {
+        if let Some(run) = request.first_run().filter(|_| late) {
             let what = format!("member {member} got request {id} from proxy {proxy} again: {run}");
             self.verdict.add_breach(Rule::Once, at, what);
         }
         let attempt = Attempt { member, at, ran: false };
-        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.may_have_run.push(attempt));
+        self.requests.get_mut(&id).into_iter().for_each(|request| request.may_have_run.push(attempt));
     }
 
     /// Marks an attempt as run by the member that received it.
     fn mark_run(&mut self, member: u32, id: u64) {
-        let attempts = self.asked.get_mut(&id).map(|asked| &mut asked.may_have_run);
+        let attempts = self.requests.get_mut(&id).map(|request| &mut request.may_have_run);
         let attempt = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
         attempt.into_iter().for_each(|attempt| attempt.ran = true);
     }
 
     /// Removes an attempt that its member refused and therefore never ran.
     fn remove_attempt(&mut self, member: u32, id: u64) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        if let Some(n) = asked.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
-            asked.may_have_run.remove(n);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if let Some(n) = request.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
+            request.may_have_run.remove(n);
         }
     }
 
     /// Checks that no attempt starts for a client that has disconnected.
     fn check_client_present(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
-        let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
+        let Some((proxy, Some(left))) = self.requests.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
         let allowed = ATTEMPT_AFTER_LEAVING_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
         let held = self.link_holds_back(proxy, member, left);
@@ -860,9 +861,9 @@
 
     /// Checks the time limit in a statement against the time that the client has left.
     fn check_time_limit(&mut self, at: Micros, id: u64, wait: Micros, machine_slack: Micros) {
-        let Some(asked) = self.asked.get(&id) else { return };
-        let (proxy, Some(sent)) = (asked.proxy, asked.sent) else { return };
-        let left = (sent + asked.wait).saturating_sub(at);
+        let Some(request) = self.requests.get(&id) else { return };
+        let (proxy, Some(sent)) = (request.proxy, request.sent) else { return };
+        let left = (sent + request.wait).saturating_sub(at);
         let delayed = self.delayed(proxy, sent, at);
         let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + delayed;
         let had_link_faults = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
@@ -890,13 +891,13 @@
         let open_clients: Vec<u64> = self.unfinished.keys().copied().collect();
         open_clients.into_iter().for_each(|id| self.check_close(last, id, bounds.machine_slack));
         let mut open: Vec<(&u64, &RequestState)> =
-            self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
+            self.requests.iter().filter(|(_, a)| a.ended.is_none()).collect();
         open.sort_unstable_by_key(|(id, _)| **id);
         let mut breaches = Vec::new();
-        for (id, asked) in open {
-            let until = asked.at + asked.wait + bounds.late;
-            if last >= until && !unavailable(self.proxies.get(&asked.proxy), asked.at, until) {
-                breaches.push((until, format!("request {id} at proxy {} has no answer", asked.proxy)));
+        for (id, request) in open {
+            let until = request.at + request.wait + bounds.late;
+            if last >= until && !unavailable(self.proxies.get(&request.proxy), request.at, until) {
+                breaches.push((until, format!("request {id} at proxy {} has no answer", request.proxy)));
             }
         }
         breaches.into_iter().for_each(|(at, what)| self.verdict.add_breach(Rule::Answer, at, what));
--- a/crates/standins/src/rig/events.rs
+++ b/crates/standins/src/rig/events.rs
@@ -411,7 +411,7 @@
         let mut last = HashMap::new();
         for event in &inner.events {
             match &event.what {
-                EventKind::Acts { proxy, kind: of, versions, .. } if of == kind => {
+                EventKind::Acts { proxy, kind: applied_kind, versions, .. } if applied_kind == kind => {
                     last.insert(*proxy, versions);
                 }
                 EventKind::Exec { proxy } => drop(last.remove(proxy)),
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -369,13 +369,13 @@
 
     /// Sends a signal to each process at a random time within the span, or to all at once if the span is
     /// zero. Processes that another fault has ended meanwhile are skipped.
-    fn signal(&self, of: &[(u32, u32)], which: &str, span: Duration) {
+    fn signal(&self, processes: &[(u32, u32)], which: &str, span: Duration) {
         if span.is_zero() {
-            let _ = signal_all(&of.iter().map(|(_, id)| *id).collect::<Vec<_>>(), which);
+            let _ = signal_all(&processes.iter().map(|(_, id)| *id).collect::<Vec<_>>(), which);
             return;
         }
         std::thread::scope(|scope| {
-            for (n, id) in of {
+            for (n, id) in processes {
                 scope.spawn(move || {
                     std::thread::sleep(self.delay_within(*n, span));
                     let _ = signal_all(&[*id], which);
@@ -447,8 +447,8 @@
         handles.filter_map(|(n, handle)| Some((n, handle.try_lock().ok()?.running.as_ref()?.id()))).collect()
     }
 
-    fn record_down(&self, of: &[(u32, u32)], stopped: bool) {
-        for (proxy, _) in of {
+    fn record_down(&self, processes: &[(u32, u32)], stopped: bool) {
+        for (proxy, _) in processes {
             self.0.log.record(EventKind::Down { proxy: *proxy, stopped });
         }
     }
@@ -656,8 +656,8 @@
 
     /// The counters of each running proxy, by its number.
     pub fn counters(&self) -> BTreeMap<u32, BTreeMap<String, u64>> {
-        let of = |n| Some((n, self.handle(n).running.as_ref()?.counters().ok()?));
-        (1..=self.0.script.proxies).filter_map(of).collect()
+        let counters_of = |n| Some((n, self.handle(n).running.as_ref()?.counters().ok()?));
+        (1..=self.0.script.proxies).filter_map(counters_of).collect()
     }
 }
 
