--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -56,7 +56,8 @@
 /// The settings of a class.
 pub fn class(name: &str, idempotency: &str, (aim, deadline): (u64, u64)) -> Value {
     json!({"name": name, "aim_us": aim, "deadline_us": deadline, "late_value": 0.5,
-        "idempotency": idempotency, "group": "all", "window_us": 5_000_000, "stream": false, "importance": 1.0})
+        "idempotency": idempotency, "group": "all", "window_us": 5_000_000, "stream": false,
+        "importance": 1.0})
 }
 
 /// The users' four classes: name, aim and deadline in ms. The class of writes comes last.
