--- a/crates/standins/src/rig/checker.rs
+++ b/crates/standins/src/rig/checker.rs
@@ -1,5 +1,5 @@
-//! The checker: judges a run by its event log alone, independently of how the proxies are implemented. It makes one
-//! pass over the events in order and reports the breaches of the rules, with some measurements.
+//! The checker: judges a run by its event log alone, independently of how the proxies are implemented. It
+//! makes one pass over the events in order and reports the breaches of the rules, with some measurements.
 
 use super::events::{Effect, Event, EventKind, Micros, ReadGuarantee, RequestEnd};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -12,15 +12,15 @@
 pub const COLD_SPAN: Micros = 1_500_000;
 /// Statements that a cold member may get in a window whatever its rate, so that single trial requests pass.
 const COLD_ALLOWANCE: f64 = 4.0;
-/// After a stall of this length, time limits have expired through no fault of any party, and a connection that breaks
-/// without an answer is no breach.
+/// After a stall of this length, time limits have expired through no fault of any party, and a connection
+/// that breaks without an answer is no breach.
 const LONG_STALL_MIN: Micros = 1_000_000;
 /// Maximum difference between the clocks of processes on one machine.
 const CLOCK_TOLERANCE: Micros = 10_000;
 /// Maximum time that a statement travels from a proxy to a member.
 const TRANSIT_MAX: Micros = 150_000;
 /// An attempt may start at most this long after its client has closed the connection.
-const LEFT_MAX: Micros = 100_000;
+const ATTEMPT_AFTER_LEAVING_MAX: Micros = 100_000;
 /// The time limit in a statement may exceed the time that its client has left by this much.
 const DEADLINE_SLACK: Micros = 150_000;
 /// A client that does not complete a message gets an error or a close within this time.
@@ -43,7 +43,8 @@
     pub descriptors_exhausted: bool,
     /// A member's suspension outlasts the process that accepted it.
     pub suspensions_kept: bool,
-    /// Added to all time limits that no other bound sets, to allow for slow machines.
+    /// Allowance for slow machines, added to the time limits of the rules `Left`, `Deadline` and
+    /// `Unfinished`, and to the time for which a keyed request may be sent again.
     pub machine_slack: Micros,
     /// A cold member gets at most this multiple of what it can process.
     pub cold: f64,
@@ -80,8 +81,8 @@
 pub enum Rule {
     /// Each request gets exactly one final answer, in time.
     Answer,
-    /// No request runs more often than its class allows, and none is reported as refused if it may have run and a
-    /// retry would do harm.
+    /// No request runs more often than its class allows, and none is reported as refused if it may have run
+    /// and a retry would do harm.
     Once,
     /// No read returns older data than its class allows.
     Stale,
@@ -182,12 +183,12 @@
     /// When its last byte was written.
     sent: Option<Micros>,
     /// It is the first request on its connection.
-    first: bool,
+    first_on_connection: bool,
     /// When its client disconnected.
     left: Option<Micros>,
     ended: Option<Micros>,
     /// A member has received it, which proves that its proxy has read it.
-    given: bool,
+    reached_member: bool,
     /// The effect of a repeat; `None` where the log lacks it.
     effect: Option<Effect>,
     /// Attempts that members have received and not refused, in order.
@@ -244,10 +245,11 @@
     gaps: Vec<Gap>,
     /// Calls of the current process for the whole list.
     whole: u64,
-    /// Members whose link holds back what is sent, with the time when it stopped doing so (`None`: it still does).
+    /// Members whose link holds back what is sent, with the time when it stopped doing so (`None`: it still
+    /// does).
     held: HashMap<u32, Option<Micros>>,
-    /// The versions it applies, by kind of document, and since when.
-    acts: BTreeMap<String, (Vec<String>, Micros)>,
+    /// The versions that the proxy applies, by kind of document, and since when.
+    applied: BTreeMap<String, (Vec<String>, Micros)>,
     /// Draining members, with the time when that was reported.
     draining: HashMap<u32, Micros>,
     /// Suspended members, with the time of the suspension.
@@ -257,10 +259,14 @@
 /// A member that is still cold.
 struct Cold {
     since: Micros,
+    /// Share of its capacity at the start.
     share: f64,
+    /// How long until it is warm.
     warm: Micros,
+    /// Statements per second when warm.
     rate: f64,
-    given: VecDeque<Micros>,
+    /// When it received the statements of the last `COLD_SPAN`.
+    received: VecDeque<Micros>,
     /// The current excess was already reported.
     reported: bool,
 }
@@ -283,8 +289,8 @@
 }
 
 impl KeyHistory {
-    /// The number of commits that a read sent at `since` must reflect, given the acknowledged writes that `counts`
-    /// selects.
+    /// The number of commits that a read sent at `since` must reflect, given the acknowledged writes that
+    /// `counts` selects.
     fn commits_due(&self, since: Micros, counts: impl Fn(&Acknowledged) -> bool) -> usize {
         let before = self.acknowledged.iter().filter(|write| write.at < since && counts(write));
         before.map(|write| write.commit + 1).max().unwrap_or(0)
@@ -308,7 +314,7 @@
 #[derive(Default)]
 struct Checker {
     verdict: Verdict,
-    asked: HashMap<u64, RequestState>,
+    requests: HashMap<u64, RequestState>,
     proxies: HashMap<u32, Proxy>,
     run_counts: HashMap<u64, u32>,
     keys: HashMap<String, KeyHistory>,
@@ -320,19 +326,21 @@
     exceeded: HashSet<(Rule, u32)>,
     faulted: bool,
     /// Spans in which a proxy applied versions, with or without a lease: kind, proxy, versions, from, to.
-    acted: Vec<(String, u32, Vec<String>, Micros, Micros)>,
+    applied_spans: Vec<(String, u32, Vec<String>, Micros, Micros)>,
     /// Lease spans that each proxy has reported, merged so that they do not touch.
     leases: HashMap<u32, Vec<(Micros, Micros)>>,
-    /// Bad clients that must still get a close: their proxy, and since when.
+    /// Bad clients, which do not complete a message, whose connections must still be closed: their proxy, and
+    /// since when.
     unfinished: HashMap<u64, (u32, Micros)>,
     /// Stalls of the machine: from, to.
     stalls: Vec<(Micros, Micros)>,
-    /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not scheduled.
-    /// The spans of a party do not overlap.
+    /// Spans (from, to) in which a proxy, or a thread of the rig (`None`), was ready to run and was not
+    /// scheduled. The spans of a party do not overlap.
     delays: HashMap<Option<u32>, Vec<(Micros, Micros)>>,
 }
 
-/// The delays of each party. A delay that reaches back into an earlier one is counted from the end of that one.
+/// The delays of each party. A delay that reaches back into an earlier one is counted from the end of that
+/// one.
 fn delays(events: &[Event]) -> HashMap<Option<u32>, Vec<(Micros, Micros)>> {
     let mut delays: HashMap<Option<u32>, Vec<(Micros, Micros)>> = HashMap::new();
     for event in events {
@@ -350,14 +358,15 @@
 
 /// How much of `from..to` lies within the spans.
 fn overlap(spans: &[(Micros, Micros)], from: Micros, to: Micros) -> Micros {
-    let of = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
+    let shared_part = |(began, ended): &(Micros, Micros)| (*ended).min(to).saturating_sub((*began).max(from));
     let first = spans.partition_point(|span| span.1 <= from);
-    spans[first..].iter().take_while(|span| span.0 < to).map(of).sum()
+    spans[first..].iter().take_while(|span| span.0 < to).map(shared_part).sum()
 }
 
 /// Judges a whole run; `lost` is the number of events that did not fit in the log.
 pub fn judge(events: &[Event], lost: u64, bounds: &Bounds) -> Verdict {
-    // Stalls are collected first: after a stall, a party may record events before the rig records the stall itself.
+    // Stalls are collected first: after a stall, a party may record events before the rig records the stall
+    // itself.
     let stall = |e: &Event| match e.what {
         EventKind::Stall { us } => Some((e.at.saturating_sub(us), e.at)),
         _ => None,
@@ -367,7 +376,8 @@
         delays: delays(events),
         ..Checker::default()
     };
-    // Leases too: the thread that reads a process's log may record a lease after a member recorded its use.
+    // Leases are also collected first: the thread that reads a process's log may record a lease only after a
+    // member has recorded a statement that was sent under it.
     for event in events {
         if let EventKind::Leased { proxy, from, until } = event.what {
             let spans = checker.leases.entry(proxy).or_default();
@@ -399,7 +409,7 @@
         match what {
             EventKind::Asked { id, proxy, key, writes, shows, effect, wait, .. } => {
                 self.verdict.asked += 1;
-                let asked = RequestState {
+                let request = RequestState {
                     at,
                     proxy: *proxy,
                     key: key.clone(),
@@ -407,27 +417,29 @@
                     shows: *shows,
                     wait: *wait,
                     sent: None,
-                    first: false,
+                    first_on_connection: false,
                     left: None,
                     ended: None,
-                    given: false,
+                    reached_member: false,
                     effect: *effect,
                     may_have_run: Vec::new(),
                     refused: false,
                 };
-                if self.asked.insert(*id, asked).is_some() {
+                if self.requests.insert(*id, request).is_some() {
                     self.verdict.add_breach(Rule::Log, at, format!("request id {id} is used twice"));
                 }
             }
             EventKind::Sent { id, first } => {
-                let asked = self.asked.get_mut(id);
-                asked.into_iter().for_each(|asked| (asked.sent, asked.first) = (Some(at), *first));
+                let request = self.requests.get_mut(id);
+                request
+                    .into_iter()
+                    .for_each(|request| (request.sent, request.first_on_connection) = (Some(at), *first));
             }
             EventKind::Left { id } => {
-                self.asked
+                self.requests
                     .get_mut(id)
                     .into_iter()
-                    .for_each(|asked| (asked.left, asked.ended) = (Some(at), Some(at)));
+                    .for_each(|request| (request.left, request.ended) = (Some(at), Some(at)));
             }
             EventKind::Allowed { id, wait } => self.check_time_limit(at, *id, *wait, bounds.machine_slack),
             EventKind::Begun { id, proxy } => drop(self.unfinished.insert(*id, (*proxy, at))),
@@ -464,16 +476,16 @@
             EventKind::Cold { member, share, warm, rate } => {
                 let (share, rate) = (*share as f64 / 1e3, *rate as f64);
                 let cold =
-                    Cold { since: at, share, warm: *warm, rate, given: VecDeque::new(), reported: false };
+                    Cold { since: at, share, warm: *warm, rate, received: VecDeque::new(), reported: false };
                 self.cold.insert(*member, cold);
             }
             EventKind::Called { proxy, whole } => {
                 let seen = self.called.add(at, 1_000_000);
                 let peak = &mut self.verdict.peaks[usize::from(self.faulted)].called;
                 *peak = seen.max(*peak);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.whole += u64::from(*whole);
-                let n = of.whole;
+                let state = self.proxies.entry(*proxy).or_default();
+                state.whole += u64::from(*whole);
+                let n = state.whole;
                 if *whole && bounds.whole_lists.is_some_and(|limit| n > limit) {
                     let what = format!("proxy {proxy} called for the whole list {n} times");
                     self.verdict.add_breach(Rule::Whole, at, what);
@@ -502,20 +514,20 @@
             }
             EventKind::Exec { proxy } => {
                 self.end_version_spans(*proxy, None, at);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.began = at;
-                of.whole = 0;
-                of.acts = BTreeMap::new();
+                let state = self.proxies.entry(*proxy).or_default();
+                state.began = at;
+                state.whole = 0;
+                state.applied = BTreeMap::new();
                 // Discovery reports draining members to each new process again.
-                of.draining.clear();
+                state.draining.clear();
                 if !bounds.suspensions_kept {
-                    of.suspended.clear();
+                    state.suspended.clear();
                 }
             }
             EventKind::Serves { proxy } => {
-                let of = self.proxies.entry(*proxy).or_default();
-                of.up = true;
-                of.gaps.iter_mut().filter(|g| g.to == Micros::MAX).for_each(|g| g.to = at);
+                let state = self.proxies.entry(*proxy).or_default();
+                state.up = true;
+                state.gaps.iter_mut().filter(|g| g.to == Micros::MAX).for_each(|g| g.to = at);
             }
             EventKind::Link { proxy, member, well } => {
                 let held = &mut self.proxies.entry(*proxy).or_default().held;
@@ -525,8 +537,8 @@
             }
             EventKind::Acts { proxy, kind, versions, since } => {
                 self.end_version_spans(*proxy, Some(kind), *since);
-                let of = self.proxies.entry(*proxy).or_default();
-                of.acts.insert(kind.clone(), (versions.clone(), *since));
+                let state = self.proxies.entry(*proxy).or_default();
+                state.applied.insert(kind.clone(), (versions.clone(), *since));
             }
             EventKind::Resumed { proxy } => {
                 let gaps = &mut self.proxies.entry(*proxy).or_default().gaps;
@@ -552,19 +564,19 @@
         }
     }
 
-    /// A process that received SIGTERM was killed or has ended. Requests that were sent more than `TAKEN_AFTER_END`
-    /// after SIGTERM, and that it has read, must have had their answers.
+    /// A process that received SIGTERM was killed or has ended. Requests that were sent more than
+    /// `ANSWER_DUE_AFTER_TERM` after SIGTERM, and that the process has read, must have had their answers.
     fn check_shutdown(&mut self, at: Micros, proxy: u32) {
-        let Some(of) = self.proxies.get_mut(&proxy) else { return };
-        let Some(term) = of.ending.take() else { return };
-        of.ended.push((term, at));
+        let Some(state) = self.proxies.get_mut(&proxy) else { return };
+        let Some(term) = state.ending.take() else { return };
+        state.ended.push((term, at));
         let late = |a: &RequestState| {
-            (a.given || a.first)
+            (a.reached_member || a.first_on_connection)
                 && a.ended.is_none()
                 && a.sent.is_some_and(|sent| sent > term + ANSWER_DUE_AFTER_TERM)
         };
         let found = self
-            .asked
+            .requests
             .iter()
             .filter(|(_, a)| a.proxy == proxy && late(a))
             .map(|(id, a)| (*id, a.sent.unwrap_or(at)));
@@ -579,12 +591,12 @@
         }
     }
 
-    /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only after
-    /// the count was within it.
+    /// Reports a count that exceeds its limit after the first fault. The same limit is reported again only
+    /// after the count was within it.
     fn check_count(
         &mut self,
         rule: Rule,
-        of: u32,
+        subject: u32,
         at: Micros,
         seen: u64,
         limit: Option<u64>,
@@ -592,8 +604,8 @@
     ) {
         let Some(limit) = limit.filter(|_| self.faulted) else { return };
         if seen <= limit {
-            self.exceeded.remove(&(rule, of));
-        } else if self.exceeded.insert((rule, of)) {
+            self.exceeded.remove(&(rule, subject));
+        } else if self.exceeded.insert((rule, subject)) {
             self.verdict.add_breach(rule, at, text());
         }
     }
@@ -605,34 +617,34 @@
 
     /// How much of a span the machine did not schedule the rig, plus the same for the proxy.
     fn delayed(&self, proxy: u32, from: Micros, to: Micros) -> Micros {
-        let of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
-        of(None) + of(Some(proxy))
+        let delay_of = |party| self.delays.get(&party).map_or(0, |spans| overlap(spans, from, to));
+        delay_of(None) + delay_of(Some(proxy))
     }
 
     /// Checks the outcome of a request: a final answer in time, and recent enough data for reads.
     fn check_answer(&mut self, at: Micros, id: u64, how: RequestEnd, value: u64, bounds: &Bounds) {
-        let since = self.asked.get(&id).map_or(at, |a| a.at);
+        let since = self.requests.get(&id).map_or(at, |a| a.at);
         let stalled = self.stalled(since, at);
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             self.verdict.add_breach(Rule::Log, at, format!("request {id} ended but was never sent"));
             return;
         };
-        if asked.ended.replace(at).is_some() {
+        if request.ended.replace(at).is_some() {
             self.verdict.add_breach(Rule::Answer, at, format!("request {id} got two answers"));
             return;
         }
-        let (proxy, until) = (asked.proxy, since + asked.wait + bounds.late + stalled);
-        asked.refused = how == RequestEnd::Refused;
-        let harmless = asked.effect.is_none_or(Effect::may_be_refused_after_a_run);
-        if let Some(run) = asked.first_run().filter(|_| asked.refused && !harmless) {
+        let (proxy, until) = (request.proxy, since + request.wait + bounds.late + stalled);
+        request.refused = how == RequestEnd::Refused;
+        let harmless = request.effect.is_none_or(Effect::may_be_refused_after_a_run);
+        if let Some(run) = request.first_run().filter(|_| request.refused && !harmless) {
             let what = format!("request {id} at proxy {proxy} was reported as refused: {run}");
             self.verdict.add_breach(Rule::Once, at, what);
         }
-        // A process that shuts down or lacks descriptors may close a connection between requests without answering;
-        // the client then retries. That does not cover a request that reached a member, as the proxy has read it,
-        // nor the first request of a connection, as it does not follow another one.
+        // A process that shuts down or lacks descriptors may close a connection between requests without
+        // answering; the client then retries. That does not cover a request that reached a member, as the
+        // proxy has read it, nor the first request of a connection, as it does not follow another one.
         let shutting_down = self.proxies.get(&proxy).is_some_and(|p| p.shuts_down_within(since, at));
-        let between_requests = !asked.given && !asked.first;
+        let between_requests = !request.reached_member && !request.first_on_connection;
         let unread =
             how == RequestEnd::Broken && between_requests && (shutting_down || bounds.descriptors_exhausted);
         let unanswered = how == RequestEnd::Broken && stalled < LONG_STALL_MIN
@@ -646,8 +658,8 @@
             return;
         }
         let began = self.proxies.get(&proxy).map_or(0, |p| p.began);
-        let key = self.keys.entry(asked.key.clone()).or_default();
-        if let Some(value) = asked.writes {
+        let key = self.keys.entry(request.key.clone()).or_default();
+        if let Some(value) = request.writes {
             match key.ran.iter().position(|(_, ran)| *ran == value) {
                 Some(commit) => key.acknowledged.push(Acknowledged { at, proxy, commit }),
                 None => {
@@ -658,7 +670,7 @@
             return;
         }
         // The number of commits of its key that the read must reflect.
-        let due = match asked.shows {
+        let due = match request.shows {
             ReadGuarantee::Any => 0,
             ReadGuarantee::Session => key.commits_due(since, |_| true),
             ReadGuarantee::SessionAtProcess => {
@@ -672,11 +684,12 @@
         };
         match shown {
             None => {
-                let what = format!("read {id} of {} returned a value that was never written", asked.key);
+                let what = format!("read {id} of {} returned a value that was never written", request.key);
                 self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(shown) if shown < due => {
-                let what = format!("read {id} of {} reflects {shown} commits, must reflect {due}", asked.key);
+                let what =
+                    format!("read {id} of {} reflects {shown} commits, must reflect {due}", request.key);
                 self.verdict.add_breach(Rule::Stale, at, what);
             }
             Some(_) => {}
@@ -685,11 +698,11 @@
 
     /// Ends the spans of the versions that a proxy has applied so far, of one kind or of all kinds.
     fn end_version_spans(&mut self, proxy: u32, kind: Option<&str>, at: Micros) {
-        let of = self.proxies.entry(proxy).or_default();
+        let state = self.proxies.entry(proxy).or_default();
         for (name, (versions, since)) in
-            of.acts.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
+            state.applied.iter_mut().filter(|(name, _)| kind.is_none_or(|k| k == **name))
         {
-            self.acted.push((name.clone(), proxy, versions.clone(), *since, at));
+            self.applied_spans.push((name.clone(), proxy, versions.clone(), *since, at));
             *since = at;
         }
     }
@@ -699,18 +712,18 @@
         let proxies: Vec<u32> = self.proxies.keys().copied().collect();
         proxies.into_iter().for_each(|proxy| self.end_version_spans(proxy, None, Micros::MAX));
         // Without a lease a proxy applies no version.
-        let mut acted = Vec::new();
-        for (kind, proxy, versions, from, to) in std::mem::take(&mut self.acted) {
+        let mut applied = Vec::new();
+        for (kind, proxy, versions, from, to) in std::mem::take(&mut self.applied_spans) {
             for (lease_start, until) in self.leases.get(&proxy).into_iter().flatten() {
                 let (from, to) = (from.max(*lease_start), to.min(*until));
                 if from < to {
-                    acted.push((kind.clone(), proxy, versions.clone(), from, to));
+                    applied.push((kind.clone(), proxy, versions.clone(), from, to));
                 }
             }
         }
-        acted.sort_by_key(|(_, _, _, from, _)| *from);
-        for (n, (kind, proxy, versions, from, to)) in acted.iter().enumerate() {
-            let then = acted[n + 1..].iter().take_while(|other| other.3 + CLOCK_TOLERANCE < *to);
+        applied.sort_by_key(|(_, _, _, from, _)| *from);
+        for (n, (kind, proxy, versions, from, to)) in applied.iter().enumerate() {
+            let then = applied[n + 1..].iter().take_while(|other| other.3 + CLOCK_TOLERANCE < *to);
             for (_, other, theirs, since, _) in then.filter(|other| other.0 == *kind && other.1 != *proxy) {
                 if !versions.iter().any(|v| theirs.contains(v)) {
                     let span = (*to - since.max(from)) / 1000;
@@ -725,7 +738,7 @@
 
     /// Checks a statement that a member has received.
     fn check_statement(&mut self, at: Micros, member: u32, id: u64, bounds: &Bounds) {
-        let Some((proxy, asked)) = self.asked.get(&id).map(|a| (a.proxy, a.at)) else {
+        let Some((proxy, sent_at)) = self.requests.get(&id).map(|a| (a.proxy, a.at)) else {
             self.verdict.add_breach(
                 Rule::Log,
                 at,
@@ -733,15 +746,15 @@
             );
             return;
         };
-        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.given = true);
+        self.requests.get_mut(&id).into_iter().for_each(|request| request.reached_member = true);
         self.check_attempt(at, member, id, bounds.machine_slack);
         self.check_client_present(at, member, id, bounds.machine_slack);
         let stalled = self.stalled(at.saturating_sub(bounds.drain), at);
-        let of = self.proxies.entry(proxy).or_default();
+        let state = self.proxies.entry(proxy).or_default();
         // A statement that a link held back may have been sent at any time since the request was sent.
-        let held = of.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= asked));
+        let held = state.held.get(&member).is_some_and(|until| until.is_none_or(|t| t >= sent_at));
         for (rule, since) in
-            [(Rule::Drain, of.draining.get(&member)), (Rule::Hand, of.suspended.get(&member))]
+            [(Rule::Drain, state.draining.get(&member)), (Rule::Hand, state.suspended.get(&member))]
         {
             if let Some(since) = since.filter(|t| !held && at > **t + bounds.drain + stalled) {
                 let what = format!(
@@ -763,70 +776,72 @@
             self.cold.remove(&member);
             return;
         }
-        cold.given.push_back(at);
-        while cold.given.front().is_some_and(|t| *t + COLD_SPAN <= at) {
-            cold.given.pop_front();
+        cold.received.push_back(at);
+        while cold.received.front().is_some_and(|t| *t + COLD_SPAN <= at) {
+            cold.received.pop_front();
         }
         let warmth = cold.share + (1.0 - cold.share) * age as f64 / cold.warm as f64;
         let can = cold.rate * warmth * age.min(COLD_SPAN) as f64 / 1e6;
-        let given = cold.given.len();
-        let over = given as f64 > bounds.cold * can + COLD_ALLOWANCE;
+        let received = cold.received.len();
+        let over = received as f64 > bounds.cold * can + COLD_ALLOWANCE;
         if over && !cold.reported {
             let what =
-                format!("cold member {member} got {given} statements in 1.5 s and can process {can:.1}");
+                format!("cold member {member} got {received} statements in 1.5 s and can process {can:.1}");
             self.verdict.add_breach(Rule::Cold, at, what);
         }
         cold.reported = over;
     }
 
-    /// Checks whether the earlier attempts and answers of a request allow that a member receives it.
+    /// Checks that the earlier attempts and the answer of a request permit a further attempt, and records the
+    /// attempt.
     fn check_attempt(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
-        let Some(asked) = self.asked.get(&id) else { return };
-        let (Some(effect), proxy) = (asked.effect, asked.proxy) else { return };
-        if asked.refused && !effect.may_be_refused_after_a_run() {
+        let Some(request) = self.requests.get(&id) else { return };
+        let (Some(effect), proxy) = (request.effect, request.proxy) else { return };
+        if request.refused && !effect.may_be_refused_after_a_run() {
             let what = format!(
                 "member {member} got request {id} from proxy {proxy}, {} the proxy had reported as refused",
-                asked.description()
+                request.description()
             );
             self.verdict.add_breach(Rule::Once, at, what);
         }
-        let late = match (effect, asked.may_have_run.first()) {
+        let late = match (effect, request.may_have_run.first()) {
             (Effect::Safe, _) | (_, None) => false,
             (Effect::Unsafe, Some(_)) => true,
             (Effect::Keyed { window, .. }, Some(first)) => {
-                // The window starts when the first attempt is sent, and each attempt may be in transit for a while.
+                // The window starts when the first attempt is sent, and each attempt may be in transit for a
+                // while.
                 let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + self.stalled(first.at, at);
                 at > first.at + window + slack && !self.link_holds_back(proxy, member, first.at)
             }
         };
-        if let Some(run) = asked.first_run().filter(|_| late) {
+        if let Some(run) = request.first_run().filter(|_| late) {
             let what = format!("member {member} got request {id} from proxy {proxy} again: {run}");
             self.verdict.add_breach(Rule::Once, at, what);
         }
         let attempt = Attempt { member, at, ran: false };
-        self.asked.get_mut(&id).into_iter().for_each(|asked| asked.may_have_run.push(attempt));
+        self.requests.get_mut(&id).into_iter().for_each(|request| request.may_have_run.push(attempt));
     }
 
-    /// A member has run an attempt that it received.
+    /// Marks an attempt as run by the member that received it.
     fn mark_run(&mut self, member: u32, id: u64) {
-        let attempts = self.asked.get_mut(&id).map(|asked| &mut asked.may_have_run);
+        let attempts = self.requests.get_mut(&id).map(|request| &mut request.may_have_run);
         let attempt = attempts.and_then(|all| all.iter_mut().find(|a| a.member == member && !a.ran));
         attempt.into_iter().for_each(|attempt| attempt.ran = true);
     }
 
-    /// A member has refused an attempt, which therefore never ran.
+    /// Removes an attempt that its member refused and therefore never ran.
     fn remove_attempt(&mut self, member: u32, id: u64) {
-        let Some(asked) = self.asked.get_mut(&id) else { return };
-        if let Some(n) = asked.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
-            asked.may_have_run.remove(n);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if let Some(n) = request.may_have_run.iter().rposition(|a| a.member == member && !a.ran) {
+            request.may_have_run.remove(n);
         }
     }
 
     /// Checks that no attempt starts for a client that has disconnected.
     fn check_client_present(&mut self, at: Micros, member: u32, id: u64, machine_slack: Micros) {
-        let Some((proxy, Some(left))) = self.asked.get(&id).map(|a| (a.proxy, a.left)) else { return };
+        let Some((proxy, Some(left))) = self.requests.get(&id).map(|a| (a.proxy, a.left)) else { return };
         let late = at.saturating_sub(left);
-        let allowed = LEFT_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
+        let allowed = ATTEMPT_AFTER_LEAVING_MAX + TRANSIT_MAX + machine_slack + self.stalled(left, at);
         let held = self.link_holds_back(proxy, member, left);
         if late > allowed && !held && !unavailable(self.proxies.get(&proxy), left, at) {
             let what = format!(
@@ -837,7 +852,8 @@
         }
     }
 
-    /// Whether the link between them may have held back what was sent at or after `since`.
+    /// Whether the link between the proxy and the member may have held back what was sent at or after
+    /// `since`.
     fn link_holds_back(&self, proxy: u32, member: u32, since: Micros) -> bool {
         let held = self.proxies.get(&proxy).and_then(|p| p.held.get(&member));
         held.is_some_and(|until| until.is_none_or(|t| t >= since))
@@ -845,13 +861,13 @@
 
     /// Checks the time limit in a statement against the time that the client has left.
     fn check_time_limit(&mut self, at: Micros, id: u64, wait: Micros, machine_slack: Micros) {
-        let Some(asked) = self.asked.get(&id) else { return };
-        let (proxy, Some(sent)) = (asked.proxy, asked.sent) else { return };
-        let left = (sent + asked.wait).saturating_sub(at);
+        let Some(request) = self.requests.get(&id) else { return };
+        let (proxy, Some(sent)) = (request.proxy, request.sent) else { return };
+        let left = (sent + request.wait).saturating_sub(at);
         let delayed = self.delayed(proxy, sent, at);
         let slack = DEADLINE_SLACK + TRANSIT_MAX + machine_slack + delayed;
-        let links = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
-        if wait > left + slack && !links && !unavailable(self.proxies.get(&proxy), sent, at) {
+        let had_link_faults = self.proxies.get(&proxy).is_some_and(|p| !p.held.is_empty());
+        if wait > left + slack && !had_link_faults && !unavailable(self.proxies.get(&proxy), sent, at) {
             let [wait, left, delayed] = [wait, left, delayed].map(|us| us / 1000);
             let what =
                 format!("request {id} has a time limit of {wait} ms, its client {left} ms left; delayed for {delayed} ms");
@@ -859,7 +875,7 @@
         }
     }
 
-    /// Checks that a bad client got its error or close in time.
+    /// Checks that a bad client got an error or a close in time.
     fn check_close(&mut self, at: Micros, id: u64, machine_slack: Micros) {
         let Some((proxy, since)) = self.unfinished.remove(&id) else { return };
         let allowed = UNFINISHED_MAX + UNFINISHED_SLACK + machine_slack + self.stalled(since, at);
@@ -875,13 +891,13 @@
         let open_clients: Vec<u64> = self.unfinished.keys().copied().collect();
         open_clients.into_iter().for_each(|id| self.check_close(last, id, bounds.machine_slack));
         let mut open: Vec<(&u64, &RequestState)> =
-            self.asked.iter().filter(|(_, a)| a.ended.is_none()).collect();
+            self.requests.iter().filter(|(_, a)| a.ended.is_none()).collect();
         open.sort_unstable_by_key(|(id, _)| **id);
         let mut breaches = Vec::new();
-        for (id, asked) in open {
-            let until = asked.at + asked.wait + bounds.late;
-            if last >= until && !unavailable(self.proxies.get(&asked.proxy), asked.at, until) {
-                breaches.push((until, format!("request {id} at proxy {} has no answer", asked.proxy)));
+        for (id, request) in open {
+            let until = request.at + request.wait + bounds.late;
+            if last >= until && !unavailable(self.proxies.get(&request.proxy), request.at, until) {
+                breaches.push((until, format!("request {id} at proxy {} has no answer", request.proxy)));
             }
         }
         breaches.into_iter().for_each(|(at, what)| self.verdict.add_breach(Rule::Answer, at, what));
