--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -84,9 +84,9 @@
     /// two clocks, so that a step of the wall clock between two starts does not make an old id look new.
     clock_ahead: Time,
     limits: LedgerSize,
-    span: Time,
+    retention: Time,
     /// How long ids are remembered while the other process may forget them earlier than this one.
-    shared_span: Time,
+    shared_retention: Time,
 }
 
 impl Inner {
@@ -164,11 +164,18 @@
 }
 
 impl RepeatIds {
-    /// Creates an empty ledger of up to this size, which remembers each id for `span` us.
-    pub fn new(limits: LedgerSize, span: Time, clock: Clock) -> Self {
-        let ledger = RepeatLedger::new(limits, span, clock.now());
-        let inner =
-            Inner { ledger, state: State::Alone, clock, clock_ahead: 0, limits, span, shared_span: span };
+    /// Creates an empty ledger of up to this size, which remembers each id for `retention` us.
+    pub fn new(limits: LedgerSize, retention: Time, clock: Clock) -> Self {
+        let ledger = RepeatLedger::new(limits, retention, clock.now());
+        let inner = Inner {
+            ledger,
+            state: State::Alone,
+            clock,
+            clock_ahead: 0,
+            limits,
+            retention,
+            shared_retention: retention,
+        };
         RepeatIds { inner: Arc::new(Mutex::new(inner)), peer_ids_known: Arc::new(watch::Sender::new(true)) }
     }
 
@@ -187,8 +194,8 @@
     }
 
     /// How long ids are remembered, in us.
-    pub fn span(&self) -> Time {
-        self.inner().span
+    pub fn retention(&self) -> Time {
+        self.inner().retention
     }
 
     /// Waits until the ids of the other process are known; false if that takes too long or until the deadline.
@@ -241,22 +248,22 @@
         }
     }
 
-    /// The summary for another process, which remembers ids for `peer_span` us. From now on each process may use half
-    /// of the remaining capacity, and the shorter of the two spans applies to both.
-    pub fn summarize_for_peer(&self, peer_span: Time) -> LedgerSummary {
+    /// The summary for another process, which remembers ids for `peer_retention` us. From now on each process
+    /// may use half of the remaining capacity, and the shorter of the two retention times applies to both.
+    pub fn summarize_for_peer(&self, peer_retention: Time) -> LedgerSummary {
         let mut inner = self.inner();
         let now = inner.now();
         if matches!(inner.state, State::AwaitingPeer) {
             // The awaited process has ended, and ids that it entered until now may be lost.
             inner.ledger.set_complete_since(now);
         }
-        inner.shared_span = inner.span.min(peer_span);
-        let (held, span) = (inner.ledger.size(), inner.span);
-        let shared_span = inner.shared_span;
-        inner.ledger.set_span(shared_span);
+        inner.shared_retention = inner.retention.min(peer_retention);
+        let (held, retention) = (inner.ledger.size(), inner.retention);
+        let shared_retention = inner.shared_retention;
+        inner.ledger.set_retention(shared_retention);
         inner.halve_capacity(held);
         let LedgerSize { ids, bytes } = held;
-        LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span }
+        LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span: retention }
     }
 
     /// Takes in the other process's summary; every id in its ledger has been claimed in the store.
@@ -264,11 +271,11 @@
         let mut inner = self.inner();
         inner.clock_ahead = peer.now.saturating_sub(inner.clock.now());
         let now = inner.now();
-        inner.shared_span = inner.span.min(peer.span);
-        let known_for = peer.now.saturating_sub(peer.complete_since).min(inner.shared_span);
-        let shared_span = inner.shared_span;
+        inner.shared_retention = inner.retention.min(peer.span);
+        let known_for = peer.now.saturating_sub(peer.complete_since).min(inner.shared_retention);
+        let shared_retention = inner.shared_retention;
         inner.ledger.set_complete_since(now.saturating_sub(known_for));
-        inner.ledger.set_span(shared_span);
+        inner.ledger.set_retention(shared_retention);
         inner.halve_capacity(LedgerSize { ids: peer.ids, bytes: peer.bytes });
         inner.state = State::Shared(Box::new(store));
         self.peer_ids_known.send_replace(true);
@@ -280,25 +287,26 @@
         let mut inner = self.inner();
         let now = inner.now();
         // Ids that it had not told may be lost, and ids that it had told may have been forgotten after the shorter
-        // span.
+        // retention time.
         let complete_since = match inner.state {
             State::Alone => inner.ledger.complete_since(),
             State::AwaitingPeer => now,
-            State::Shared(_) => inner.ledger.complete_since().max(now.saturating_sub(inner.shared_span)),
+            State::Shared(_) => inner.ledger.complete_since().max(now.saturating_sub(inner.shared_retention)),
         };
         inner.ledger.set_complete_since(complete_since);
-        let (span, limits) = (inner.span, inner.limits);
-        inner.ledger.set_span(span);
+        let (retention, limits) = (inner.retention, inner.limits);
+        inner.ledger.set_retention(retention);
         inner.ledger.set_capacity(limits);
         inner.state = State::Alone;
         self.peer_ids_known.send_replace(true);
     }
 
-    /// Enters an id that was claimed by another process. One whose claim cannot be read is kept for the whole span.
+    /// Enters an id that was claimed by another process. One whose claim cannot be read is kept for the whole
+    /// retention time.
     pub fn insert_foreign(&self, id: String, entry: Option<SharedEntry>) {
         let mut inner = self.inner();
-        let (now, span) = (inner.now(), inner.span);
-        let unreadable = SharedEntry { fingerprint: None, first_sent: 0, remaining: span };
+        let (now, retention) = (inner.now(), inner.retention);
+        let unreadable = SharedEntry { fingerprint: None, first_sent: 0, remaining: retention };
         inner.ledger.insert_foreign(id, entry.unwrap_or(unreadable), now);
     }
 
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -19,7 +19,7 @@
     IdConflict,
     /// The id is too old, or older than the ledger: it cannot be proved that the request has not run.
     Unprovable,
-    /// No room: no entry may be removed before its span is over.
+    /// No room: no entry may be removed before its retention time is over.
     NoRoom,
 }
 
@@ -81,24 +81,24 @@
     ticket: Option<T>,
 }
 
-/// Ledger of repeat ids and their bookings. An id is entered before its request is first sent and kept for `span`
-/// after that; an entry is never evicted before its span is over.
+/// Ledger of repeat ids and their bookings. An id is entered before its request is first sent and kept for
+/// `retention` after that; an entry is never evicted before its retention time is over.
 pub struct RepeatLedger<T> {
     capacity: LedgerSize,
     size: LedgerSize,
-    span: Time,
+    retention: Time,
     /// Every id that was first sent at or after this time is known, by the ledger's clock.
     complete_since: Time,
     entries: HashMap<String, Entry<T>>,
 }
 
 impl<T: Clone> RepeatLedger<T> {
-    /// Creates a ledger that is complete from `began` on and keeps each id for `span`.
-    pub fn new(capacity: LedgerSize, span: Time, began: Time) -> Self {
+    /// Creates a ledger that is complete from `began` on and keeps each id for `retention`.
+    pub fn new(capacity: LedgerSize, retention: Time, began: Time) -> Self {
         RepeatLedger {
             capacity,
             size: LedgerSize::default(),
-            span,
+            retention,
             complete_since: began,
             entries: HashMap::new(),
         }
@@ -114,16 +114,16 @@
                 (None, _) => Claim::ClaimedByPeer,
             };
         }
-        // An id is kept for `span` from its arrival, or from its first send if that is later by the client's clock.
-        // An unknown id that was first sent within the span, and since the ledger is complete, is therefore provably
-        // new.
-        if first_sent < self.complete_since || now > first_sent.saturating_add(self.span) {
+        // An id is kept for `retention` from its arrival, or from its first send if that is later by the
+        // client's clock. An unknown id that was first sent within the retention time, and since the ledger
+        // is complete, is therefore provably new.
+        if first_sent < self.complete_since || now > first_sent.saturating_add(self.retention) {
             return Claim::Unprovable;
         }
         if self.is_full(answer_bytes) {
             return Claim::NoRoom;
         }
-        let until = now.max(first_sent).saturating_add(self.span);
+        let until = now.max(first_sent).saturating_add(self.retention);
         let fingerprint = Some(fingerprint);
         let entry =
             Entry { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
@@ -142,7 +142,7 @@
             || self.size.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
-    /// Removes some entries whose span is over, and returns their ids.
+    /// Removes some entries whose retention time is over, and returns their ids.
     pub fn remove_expired(&mut self, now: Time) -> Vec<String> {
         let expired = self.entries.iter().filter(|(_, entry)| !entry.running && now > entry.until);
         let expired: Vec<String> = expired.take(EXPIRED_PER_CALL_MAX).map(|(id, _)| id.clone()).collect();
@@ -170,7 +170,7 @@
             return;
         }
         let SharedEntry { fingerprint, first_sent, remaining } = entry;
-        let until = now.saturating_add(remaining).max(first_sent.saturating_add(self.span));
+        let until = now.saturating_add(remaining).max(first_sent.saturating_add(self.retention));
         let entry = Entry { fingerprint, first_sent, answer_bytes: 0, until, running: false, ticket: None };
         self.insert(id, entry);
     }
@@ -197,14 +197,14 @@
         self.capacity
     }
 
-    /// Changes the capacity. Entries beyond a smaller capacity stay until their span is over.
+    /// Changes the capacity. Entries beyond a smaller capacity stay until their retention time is over.
     pub fn set_capacity(&mut self, capacity: LedgerSize) {
         self.capacity = capacity;
     }
 
     /// Changes how long ids are kept.
-    pub fn set_span(&mut self, span: Time) {
-        self.span = span;
+    pub fn set_retention(&mut self, retention: Time) {
+        self.retention = retention;
     }
 
     /// Every id that was first sent at or after this time is known.
--- a/src/core/repeat_ledger_tests.rs
+++ b/src/core/repeat_ledger_tests.rs
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn no_entry_is_removed_before_its_span_is_over() {
+fn no_entry_is_removed_before_its_retention_time_is_over() {
     let mut ledger = ledger();
     for id in ["a", "b", "c"] {
         assert_eq!(ledger.claim(id, request(1, BEGAN), BEGAN, 7), Claim::New);
     }
-    // The client's clock is ahead: the entry is kept for a span from its first send.
+    // The client's clock is ahead: the entry is kept for the retention time from its first send.
     let ahead = BEGAN + 50;
     ledger.insert_foreign(
         "d".into(),
--- a/src/handover/id_exchange.rs
+++ b/src/handover/id_exchange.rs
@@ -96,7 +96,7 @@
         let Some(ids) = &self.ids else { return };
         ids.expect_peer();
         if peer_alive {
-            self.unsent_query = Some(Query { token: self.token.clone(), span: ids.span() });
+            self.unsent_query = Some(Query { token: self.token.clone(), span: ids.retention() });
         }
         self.poll(peer_alive).await;
     }
