--- a/src/agreement/rules.rs
+++ b/src/agreement/rules.rs
@@ -144,7 +144,7 @@
                 cold_share: a.rules.cold_share.min(b.rules.cold_share),
                 warm_after: a.rules.warm_after.max(b.rules.warm_after),
                 fall_multiple: a.rules.fall_multiple.min(b.rules.fall_multiple),
-                fall_span: a.rules.fall_span.max(b.rules.fall_span),
+                fall_window: a.rules.fall_window.max(b.rules.fall_window),
                 drain_grace: a.rules.drain_grace.min(b.rules.drain_grace),
                 removal_not_binding: a.rules.removal_not_binding && b.rules.removal_not_binding,
             },
@@ -227,7 +227,7 @@
             (
                 "rules.fall_us",
                 "a longer overload of a cold member",
-                b.rules.fall_span.cmp(&a.rules.fall_span),
+                b.rules.fall_window.cmp(&a.rules.fall_window),
             ),
             (
                 "rules.removal_not_binding",
--- a/src/agreement/rules_tests.rs
+++ b/src/agreement/rules_tests.rs
@@ -127,7 +127,7 @@
                         cold_share: f64::from(rules.0) / 4.0,
                         warm_after: rules.1 * 100,
                         fall_multiple: rules.2 as f64 / 2.0,
-                        fall_span: rules.2 * 100,
+                        fall_window: rules.2 * 100,
                         drain_grace: rules.1 * 50,
                         removal_not_binding: flags[3],
                     },
--- a/src/discovery_schedule.rs
+++ b/src/discovery_schedule.rs
@@ -10,12 +10,13 @@
 //! a few ms, the delay is negligible.
 
 use crate::interface::{Settings, Time};
-use crate::policy::list_calls::{QUEUE_WAIT_MAX, SPAN_PER_CALLER, UNSPREAD_CALLERS};
+use crate::policy::list_calls::{QUEUE_WAIT_MAX, UNSPREAD_CALLERS, WINDOW_PER_CALLER};
 use crate::policy::state::hash_fraction;
 
-/// Longest span over which the proxies' calls after a move are spread, in us. A proxy must learn of a change within
-/// 6 s after discovery had it, and the last of these seconds must leave room to retry a failed call.
-const MOVE_SPAN_MAX: Time = 2_000_000;
+/// Longest window over which the proxies' calls after a move are spread, in us. A proxy must learn of a
+/// change within 6 s after discovery had it, and the last of these seconds must leave room to retry a failed
+/// call.
+const MOVE_WINDOW_MAX: Time = 2_000_000;
 /// Upper bound for the estimate of how long discovery takes to serve one call of each proxy, in us. A watch starts at
 /// most 1.5 times this long after the list, which still reports changes made after the list within the 6 s.
 const ROUND_MAX: Time = 2_000_000;
@@ -146,17 +147,17 @@
 
     fn draw_fraction(&mut self) -> f64 {
         self.draws += 1;
-        hash_fraction(!self.seed, self.draws, SPAN_PER_CALLER)
+        hash_fraction(!self.seed, self.draws, WINDOW_PER_CALLER)
     }
 
     /// Delay of this proxy's first call after discovery has moved, in us, if `proxies` proxies call the same service.
     /// `waited` is the time since the first move after which no list has arrived yet, so that repeated moves do not
     /// postpone the call further.
     pub fn delay_after_move(&mut self, proxies: u32, waited: Time) -> Time {
-        let span =
-            (Time::from(proxies.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER).min(MOVE_SPAN_MAX);
-        let delay = (span as f64 * self.draw_fraction()) as Time;
-        delay.min(MOVE_SPAN_MAX.saturating_sub(waited))
+        let window =
+            (Time::from(proxies.saturating_sub(UNSPREAD_CALLERS)) * WINDOW_PER_CALLER).min(MOVE_WINDOW_MAX);
+        let delay = (window as f64 * self.draw_fraction()) as Time;
+        delay.min(MOVE_WINDOW_MAX.saturating_sub(waited))
     }
 
     /// Delay between a full list and the start of the watch that follows it, in us. `took` is the duration of the call
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -121,11 +121,11 @@
     pub cold_share: f64,
     /// A member has its full capacity no later than this after its start.
     pub warm_after: Time,
-    /// A cold member that gets more than this multiple of its present capacity during `fall_span` becomes
+    /// A cold member that gets more than this multiple of its present capacity during `fall_window` becomes
     /// overloaded and fails.
     pub fall_multiple: f64,
     /// How long work at a cold member counts against its budget, over all drivers together.
-    pub fall_span: Time,
+    pub fall_window: Time,
     /// How long a member that drains or is removed may still get requests after the change counts as known to
     /// the driver. A driver that has learned of the change sends nothing more; the grace only covers the time
     /// to learn of it.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -71,10 +71,10 @@
         if self.list_calls.take_due(self.now) {
             out.push(Action::Subscribe);
         }
-        let (now, limit, span) = (self.now, self.silence_limit, self.settings.rules.fall_span);
+        let (now, limit, window) = (self.now, self.silence_limit, self.settings.rules.fall_window);
         let mut silent = Vec::new();
         for (id, m) in &mut self.members {
-            m.unanswered.retain(|t| now < t + span);
+            m.unanswered.retain(|t| now < t + window);
             if m.is_silent(now, limit) {
                 silent.push((
                     *id,
--- a/src/policy/list_calls.rs
+++ b/src/policy/list_calls.rs
@@ -8,10 +8,10 @@
 //!
 //! - Discovery processes calls one after another. One call from each router takes `routers x (call + entries
 //!   told)`; a call that waited for [`QUEUE_WAIT_MAX`] fails and still costs its time. Calls spread over a
-//!   span succeed if one call of each router takes no longer than that span plus [`QUEUE_WAIT_MAX`]; a span
-//!   shorter than the total time of the calls delays none of them.
-//! - A span of [`FIRST_SPAN_MAX`] therefore serves all routers if their calls take up to 4 s in total, and
-//!   the last router has its list by then.
+//!   window succeed if one call of each router takes no longer than that window plus [`QUEUE_WAIT_MAX`]; a
+//!   window shorter than the total time of the calls delays none of them.
+//! - A window of [`FIRST_WINDOW_MAX`] therefore serves all routers if their calls take up to 4 s in total,
+//!   and the last router has its list by then.
 //! - If even these calls do not fit into the time left after the restart, the rule has priority: once
 //!   [`ListCalls::blocks_sending`] is true, nothing is sent until discovery has answered. The calls cost the
 //!   same either way, and a request that was held back is answered with a refusal.
@@ -24,12 +24,12 @@
 use super::state::hash_fraction;
 use crate::interface::{Settings, Time};
 
-/// Number of routers that may call without spreading their calls; each router beyond that extends the span
-/// for the calls of all routers by `SPAN_PER_CALLER`.
+/// Number of routers that may call without spreading their calls; each router beyond that extends the window
+/// for the calls of all routers by `WINDOW_PER_CALLER`.
 pub(crate) const UNSPREAD_CALLERS: u32 = 18;
-pub(crate) const SPAN_PER_CALLER: Time = 60_000;
-/// Longest span of the first calls of routers that may all have started at once, in us.
-const FIRST_SPAN_MAX: Time = 2_000_000;
+pub(crate) const WINDOW_PER_CALLER: Time = 60_000;
+/// Longest window of the first calls of routers that may all have started at once, in us.
+const FIRST_WINDOW_MAX: Time = 2_000_000;
 /// Minimum delay after a failed call, in us, and the window over which the next calls of up to
 /// `UNSPREAD_CALLERS` routers are spread.
 const FAILED_CALL_DELAY: Time = 300_000;
@@ -65,7 +65,7 @@
     /// The process has started with a list from an earlier run.
     pub(crate) fn started(&mut self, now: Time, set: &Settings) {
         self.blocked_from = Some(now + KNOWN_AFTER - RESTART_LIST_AGE_MAX + set.rules.drain_grace);
-        self.due_in_turn(now, 0, FIRST_SPAN_MAX, set);
+        self.due_in_turn(now, 0, FIRST_WINDOW_MAX, set);
     }
 
     /// Discovery has answered.
@@ -100,15 +100,15 @@
         self.blocked_from.is_some_and(|from| now >= from)
     }
 
-    /// Schedules the next call in this router's slot within a span. All routers may have started, or lost the
-    /// list, at the same time, and calls that wait too long fail and still cost discovery their time. Each
-    /// router therefore has a slot of its own, the same in every span, so that the calls stay apart however
-    /// often they fail.
-    fn due_in_turn(&mut self, from: Time, min_span: Time, max_span: Time, set: &Settings) {
-        let more = Time::from(set.instances.saturating_sub(UNSPREAD_CALLERS)) * SPAN_PER_CALLER;
-        let span = (min_span + more).clamp(1, max_span);
-        let slot = (span as f64 * hash_fraction(!set.seed, SPAN_PER_CALLER, 0)) as Time;
-        self.due = Some(from + (slot + span - from % span) % span);
+    /// Schedules the next call in this router's slot within a window. All routers may have started, or lost
+    /// the list, at the same time, and calls that wait too long fail and still cost discovery their time.
+    /// Each router therefore has a slot of its own, the same in every window, so that the calls stay apart
+    /// however often they fail.
+    fn due_in_turn(&mut self, from: Time, min_window: Time, max_window: Time, set: &Settings) {
+        let more = Time::from(set.instances.saturating_sub(UNSPREAD_CALLERS)) * WINDOW_PER_CALLER;
+        let window = (min_window + more).clamp(1, max_window);
+        let slot = (window as f64 * hash_fraction(!set.seed, WINDOW_PER_CALLER, 0)) as Time;
+        self.due = Some(from + (slot + window - from % window) % window);
     }
 }
 
--- a/src/policy/list_calls_tests.rs
+++ b/src/policy/list_calls_tests.rs
@@ -80,7 +80,7 @@
             // Calls that take longer than this in total cannot all succeed, and routers do not wait for
             // failed ones.
             assert!(
-                work > FIRST_SPAN_MAX + QUEUE_WAIT_MAX - 100 * MS || failed == 0,
+                work > FIRST_WINDOW_MAX + QUEUE_WAIT_MAX - 100 * MS || failed == 0,
                 "{routers} {each}: {failed}"
             );
             if failed > 0 {
@@ -106,8 +106,8 @@
         let last = confirmed.iter().copied().max().unwrap_or(0);
         assert!(failed <= failures, "{routers} routers, {each} ms: {failed} failed");
         if failed == 0 {
-            // No router waits longer than the span, or than the calls of all routers take.
-            assert!(last <= work.max(FIRST_SPAN_MAX) + 500 * MS, "{routers} routers, {each} ms: {last}");
+            // No router waits longer than the window, or than the calls of all routers take.
+            assert!(last <= work.max(FIRST_WINDOW_MAX) + 500 * MS, "{routers} routers, {each} ms: {last}");
         }
         assert!(last <= 10_000 * MS, "{routers} routers, {each} ms: {last}");
     }
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -55,16 +55,17 @@
     }
 
     /// Requests to the primary wait for this router's time slot after the group was first listed. During the
-    /// span of all slots, they go one at a time.
+    /// window of all slots, they go one at a time.
     pub(super) fn before_primary_slot(&self, open: &OpenRequest) -> bool {
-        let span =
-            self.first_use_span((self.settings.classes[open.class].aim as f64 * FIRST_USE_AIM_SHARE) as Time);
-        let slot =
-            (span as f64 * hash_fraction(self.settings.seed, open.group, FIRST_USE_SPAN_PER_ROUTER)) as Time;
+        let window = self
+            .first_use_window((self.settings.classes[open.class].aim as f64 * FIRST_USE_AIM_SHARE) as Time);
+        let slot = (window as f64
+            * hash_fraction(self.settings.seed, open.group, FIRST_USE_WINDOW_PER_ROUTER))
+            as Time;
         let busy = self.primary(open.group).is_some_and(|id| self.members[&id].in_flight > 0);
         self.groups
             .get(&open.group)
-            .is_some_and(|g| self.now < g.listed_since + if busy { span } else { slot })
+            .is_some_and(|g| self.now < g.listed_since + if busy { window } else { slot })
     }
 
     pub(super) fn accepts_primary_request(&self, id: MemberId, open: &OpenRequest) -> bool {
--- a/src/policy/reads.rs
+++ b/src/policy/reads.rs
@@ -88,17 +88,17 @@
         })
     }
 
-    /// The span over which all routers spread an action that they could all take at the same moment.
-    pub(super) fn first_use_span(&self, max: Time) -> Time {
-        (Time::from(self.settings.instances) * FIRST_USE_SPAN_PER_ROUTER).min(max)
+    /// The window over which all routers spread an action that they could all take at the same moment.
+    pub(super) fn first_use_window(&self, max: Time) -> Time {
+        (Time::from(self.settings.instances) * FIRST_USE_WINDOW_PER_ROUTER).min(max)
     }
 
     /// The member was never used, and this router's slot for its first use is still to come. All routers may
     /// learn of a member at the same moment, and their first requests would add up.
     pub(super) fn before_member_slot(&self, id: MemberId, m: &MemberState) -> bool {
         let slot = || {
-            self.first_use_span(FIRST_USE_SPAN_MAX) as f64
-                * hash_fraction(self.settings.seed, u64::from(id.0), FIRST_USE_SPAN_PER_ROUTER)
+            self.first_use_window(FIRST_USE_WINDOW_MAX) as f64
+                * hash_fraction(self.settings.seed, u64::from(id.0), FIRST_USE_WINDOW_PER_ROUTER)
         };
         m.last_sent == 0 && self.now < m.last_progress + slot() as Time
     }
@@ -161,7 +161,7 @@
         let id = self.primary(group).filter(|id| {
             let m = &self.members[id];
             let slot_over =
-                m.last_sent > 0 || self.now >= m.last_progress + self.first_use_span(FIRST_USE_SPAN_MAX);
+                m.last_sent > 0 || self.now >= m.last_progress + self.first_use_window(FIRST_USE_WINDOW_MAX);
             let fits = (late || slot_over)
                 && self.usable(m)
                 && !open.tried(*id)
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -106,8 +106,8 @@
                 self.seq += 1;
                 let needs_primary =
                     matches!(class_settings.consistency, Consistency::Write | Consistency::Fresh);
-                let span = self.settings.rules.fall_span;
-                let arrival = self.arrivals.arrival(self.now, span, (needs_primary, *repeat));
+                let window = self.settings.rules.fall_window;
+                let arrival = self.arrivals.arrival(self.now, window, (needs_primary, *repeat));
                 let open = OpenRequest {
                     class: *class,
                     group: *group,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! The load budget of members in slow start.
 //!
 //! A member that has just started does not have its full capacity yet. The settings allow all routers
-//! together `fall_multiple` times its present capacity in each span of `fall_span`; beyond that, the member
+//! together `fall_multiple` times its present capacity in any `fall_window`; beyond that, the member
 //! becomes overloaded and fails. Routers cannot communicate, and none of them knows a member's capacity. Each
 //! one knows only its own requests, so the budget is a share of those:
 //!
@@ -55,9 +55,9 @@
 }
 
 impl RetryRates {
-    fn arrival(&mut self, now: Time, span: Time, retry: bool) -> f64 {
-        let (first, retries) = (self.first.decayed(now, span), self.retries.decayed(now, span));
-        if retry { &mut self.retries } else { &mut self.first }.add(now, span);
+    fn arrival(&mut self, now: Time, window: Time, retry: bool) -> f64 {
+        let (first, retries) = (self.first.decayed(now, window), self.retries.decayed(now, window));
+        if retry { &mut self.retries } else { &mut self.first }.add(now, window);
         // Counts one first try more than was seen, so that a few retries in a row do not count as a flood.
         (first + retries + 1.0) / (first + 1.0)
     }
@@ -66,21 +66,26 @@
 impl ArrivalRates {
     /// Records an arrival and returns the rates before it. Its own arrival would make any request after a
     /// pause a burst.
-    pub fn arrival(&mut self, now: Time, span: Time, (needs_primary, retry): (bool, bool)) -> ArrivalContext {
+    pub fn arrival(
+        &mut self,
+        now: Time,
+        window: Time,
+        (needs_primary, retry): (bool, bool),
+    ) -> ArrivalContext {
         let tries_per_request =
-            if needs_primary { self.primary.arrival(now, span * RETRY_RATE_SPANS, retry) } else { 1.0 };
-        let burst_span = span / BURST_SPAN_DIVISOR;
-        let burst = self.burst(now, burst_span);
+            if needs_primary { self.primary.arrival(now, window * RETRY_RATE_WINDOWS, retry) } else { 1.0 };
+        let burst_window = window / BURST_WINDOW_DIVISOR;
+        let burst = self.burst(now, burst_window);
         if !retry {
-            self.recent.add(now, burst_span);
+            self.recent.add(now, burst_window);
             self.baseline.add(now, BASELINE_WINDOW);
         }
         ArrivalContext { burst, tries_per_request }
     }
 
-    fn burst(&self, now: Time, span: Time) -> f64 {
-        let expected = self.baseline.rate(now, BASELINE_WINDOW) * span as f64;
-        let count = self.recent.rate(now, span) * span as f64;
+    fn burst(&self, now: Time, window: Time) -> f64 {
+        let expected = self.baseline.rate(now, BASELINE_WINDOW) * window as f64;
+        let count = self.recent.rate(now, window) * window as f64;
         // Small counts say little: leaves out what random variation may add to the count.
         let certain = count - count.sqrt() / 3.0;
         if expected > 0.0 && certain >= expected * BURST_MIN {
@@ -101,23 +106,23 @@
 }
 
 impl DecayingRate {
-    fn decayed(&self, now: Time, span: Time) -> f64 {
-        self.weight * (-(now.saturating_sub(self.updated) as f64) / span.max(1) as f64).exp()
+    fn decayed(&self, now: Time, window: Time) -> f64 {
+        self.weight * (-(now.saturating_sub(self.updated) as f64) / window.max(1) as f64).exp()
     }
 
-    /// The rate in events per us, for as much of the span as was observed.
-    fn rate(&self, now: Time, span: Time) -> f64 {
+    /// The rate in events per us, for as much of the window as was observed.
+    fn rate(&self, now: Time, window: Time) -> f64 {
         let Some(since) = self.since else { return 0.0 };
-        let observed = 1.0 - (-(now.saturating_sub(since) as f64) / span.max(1) as f64).exp();
+        let observed = 1.0 - (-(now.saturating_sub(since) as f64) / window.max(1) as f64).exp();
         if observed > 0.0 {
-            self.decayed(now, span) / (span.max(1) as f64 * observed)
+            self.decayed(now, window) / (window.max(1) as f64 * observed)
         } else {
             0.0
         }
     }
 
-    fn add(&mut self, now: Time, span: Time) {
-        let weight = self.decayed(now, span) + 1.0;
+    fn add(&mut self, now: Time, window: Time) {
+        let weight = self.decayed(now, window) + 1.0;
         *self = DecayingRate { since: self.since.or(Some(now)), updated: now, weight };
     }
 }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -121,21 +121,21 @@
 };
 /// A member in slow start gets clients' retries of reads, other than fresh ones, from this weight on.
 pub(super) const SLOW_START_RETRY_WEIGHT: f64 = 0.5;
-/// Bursts are measured over the budget's span divided by this: a burst has to be recognized before the span
-/// is over.
-pub(super) const BURST_SPAN_DIVISOR: Time = 2;
+/// Bursts are measured over the budget's window divided by this: a burst has to be recognized before the
+/// window is over.
+pub(super) const BURST_WINDOW_DIVISOR: Time = 2;
 /// A rate counts as a burst from this many times the usual rate on. Smaller increases happen by chance, and
 /// the budget has room for them.
 pub(super) const BURST_MIN: f64 = 1.3;
-/// Retries are counted over this many of the budget's spans, because a flood of retries lasts and writes are
-/// few.
-pub(super) const RETRY_RATE_SPANS: Time = 3;
+/// Retries are counted over this many of the budget's windows, because a flood of retries lasts and writes
+/// are few.
+pub(super) const RETRY_RATE_WINDOWS: Time = 3;
 /// All retries of requests for a primary in slow start get at most this share of what the other requests get.
 /// Those take about three quarters of a warm primary's capacity at the group's full load, and the rest of the
 /// budget covers random variation.
 pub(super) const PRIMARY_RETRY_SHARE: f64 = 0.5;
 /// Requests that waited for a new primary get this share of the budget of a primary in slow start: they are
-/// sent within one span of the budget, in addition to the requests that arrive in that time.
+/// sent within one window of the budget, in addition to the requests that arrive in that time.
 pub(super) const WAITED_FACTOR: f64 = 0.5;
 /// The usual rate of requests is learned over this time, in us: longer than any burst, and shorter than the
 /// daily cycle.
@@ -155,9 +155,9 @@
 /// this.
 pub(super) const IDLE_LOSS_LIMIT: f64 = 0.45;
 /// Routers spread their first use of a member over this time per router, in us, each at its own slot ...
-pub(super) const FIRST_USE_SPAN_PER_ROUTER: Time = 60_000;
+pub(super) const FIRST_USE_WINDOW_PER_ROUTER: Time = 60_000;
 /// ... but over no more than this in all ...
-pub(super) const FIRST_USE_SPAN_MAX: Time = 3_000_000;
+pub(super) const FIRST_USE_WINDOW_MAX: Time = 3_000_000;
 /// ... and for a group's primary over no more than this share of a write's aim.
 pub(super) const FIRST_USE_AIM_SHARE: f64 = 0.7;
 /// Before its slot, a router uses a member for the first time only this long after the first use of another
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -254,7 +254,7 @@
                 cold_share: self.number("rules.cold_share")?,
                 warm_after: self.required("rules.warm_after_us")?,
                 fall_multiple: self.fall_multiple()?,
-                fall_span: self.required("rules.fall_us")?,
+                fall_window: self.required("rules.fall_us")?,
                 drain_grace: self.optional("rules.drain_grace_us")?.unwrap_or(0),
                 removal_not_binding: self.flag("rules.removal_not_binding")?,
             },
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,7 +45,7 @@
             cold_share: 0.2,
             warm_after: 10_000 * MS,
             fall_multiple: 2.0,
-            fall_span: 1_000 * MS,
+            fall_window: 1_000 * MS,
             drain_grace: 500 * MS,
             removal_not_binding: false,
         },
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -342,7 +342,7 @@
             d.ended(id, 0, Outcome::Errored, None);
         }
     }
-    assert!((1..=4).contains(&count), "{count} sends within one span");
+    assert!((1..=4).contains(&count), "{count} sends within one time window");
 }
 
 #[test]
@@ -617,7 +617,7 @@
     // Twenty and thirty processes; a primary and four replicas with 60 reads a second each, the full load of
     // the warm group. One replica has just started. In the third case half of the processes have, too, and
     // know the members' starts from the list only.
-    const SPAN: Time = 1_500 * MS;
+    const WINDOW: Time = 1_500 * MS;
     for (routers, fresh) in [(20u64, 0), (30, 0), (24, 12)] {
         let fleet = |seed| Settings { seed, instances: routers as u32, ..settings() };
         let mut all: Vec<RouterDriver> = (0..routers).map(|seed| RouterDriver::new(fleet(seed))).collect();
@@ -658,8 +658,8 @@
                 }
             }
             let capacity = 0.2 + 0.8 * (now - start) as f64 / settings().rules.warm_after as f64;
-            let budget = 2.0 * 60.0 * capacity * SPAN as f64 / 1e6;
-            let got = given.iter().rev().take_while(|t| **t + SPAN > now).count() as f64;
+            let budget = 2.0 * 60.0 * capacity * WINDOW as f64 / 1e6;
+            let got = given.iter().rev().take_while(|t| **t + WINDOW > now).count() as f64;
             worst = worst.max(got - budget - 2.0 * budget.sqrt() - 2.0);
         }
         assert!(worst <= 0.0, "{routers} routers: {worst:.1} more than random variation may add");
@@ -1203,9 +1203,9 @@
 #[test]
 fn a_long_request_causes_few_probes_of_a_silent_member_and_none_where_work_takes_long() {
     // Nothing is answered while it runs, as at a member that hangs.
-    let probe_count = |d: &mut RouterDriver, span: Time| {
+    let probe_count = |d: &mut RouterDriver, duration: Time| {
         let mut probe_count = 0;
-        for _ in 0..span / (50 * MS) {
+        for _ in 0..duration / (50 * MS) {
             probe_count += probes(&d.advance(50 * MS)).len();
         }
         probe_count
--- a/tests/returning.rs
+++ b/tests/returning.rs
@@ -20,14 +20,14 @@
 
 /// Each router gets a read every 40 ms, answered 30 ms later, for so long; members that a router connects to for the
 /// first time, by the moment.
-fn first_connections(routers: u32, span: Time) -> Vec<(Time, u32)> {
+fn first_connections(routers: u32, duration: Time) -> Vec<(Time, u32)> {
     let mut first = Vec::new();
     for (n, driver) in fleet(routers).iter_mut().enumerate() {
         let mut seen = BTreeMap::new();
         // Not all in the same millisecond.
         driver.now += n as Time % 40 * MS;
         let began = driver.now;
-        while driver.now < began + span {
+        while driver.now < began + duration {
             let (id, actions) = driver.request(ANY, None);
             let to = sent(&actions);
             assert_eq!(to.len(), 1, "a read goes out at once");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -67,10 +67,10 @@
     fn judge(&mut self, now: Time, warmth: f64, rules: &Rules) {
         self.got += 1;
         self.arrivals.push_back(now);
-        while self.arrivals.front().is_some_and(|first| first + rules.fall_span <= now) {
+        while self.arrivals.front().is_some_and(|first| first + rules.fall_window <= now) {
             self.arrivals.pop_front();
         }
-        let budget = FALL_MULTIPLE * CAPACITY * warmth * rules.fall_span as f64 / 1e6;
+        let budget = FALL_MULTIPLE * CAPACITY * warmth * rules.fall_window as f64 / 1e6;
         let slack = if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 };
         self.over = self.over.max(self.arrivals.len() as f64 - budget - slack);
     }
@@ -115,7 +115,7 @@
 impl World {
     fn new(servers: Vec<Server>, seed: u64) -> Self {
         let rules =
-            Rules { cold_share: 0.15, warm_after: 18 * SECOND, fall_span: 1_500 * MS, ..settings().rules };
+            Rules { cold_share: 0.15, warm_after: 18 * SECOND, fall_window: 1_500 * MS, ..settings().rules };
         let settings = Settings {
             instances: ROUTERS as u32,
             rules,
