--- a/src/cli.rs
+++ b/src/cli.rs
@@ -55,11 +55,13 @@
 /// The calls to a fleet whose proxies agree on settings and suspensions.
 #[derive(Debug, Subcommand, PartialEq, Eq)]
 pub enum FleetCommand {
-    /// Shows proxies, versions, leases, and the proxies that a change waits for; exits with 1 if no lease is valid
+    /// Shows proxies, versions, leases, and the proxies that a change waits for; exits with 1 if no lease is
+    /// valid
     Status,
     /// Shows the versions that have been in force at this proxy
     History,
-    /// Proposes the settings of a configuration and waits until they are in force; exits with 1 if they are not
+    /// Proposes the settings of a configuration and waits until they are in force; exits with 1 if they are
+    /// not
     Propose {
         /// The configuration (.json), or only its settings
         file: PathBuf,
@@ -122,7 +124,7 @@
     }
 
     #[test]
-    fn the_default_command_is_serve_and_the_format_may_stand_anywhere() {
+    fn serve_is_the_default_command_and_the_log_format_may_be_given_anywhere() {
         let plain = parse("linentrail").expect("no argument is valid");
         assert_eq!((plain.command, plain.log_format), (None, LogFormat::Text));
         let json = parse("linentrail serve --log-format json").expect("valid");
@@ -132,7 +134,7 @@
     }
 
     #[test]
-    fn unknown_arguments_end_with_status_2() {
+    fn invalid_arguments_exit_with_status_2() {
         for line in
             ["linentrail sevre", "linentrail check", "linentrail --log-format xml", "linentrail check a b"]
         {
--- a/src/config.rs
+++ b/src/config.rs
@@ -15,7 +15,7 @@
     pub listen: String,
     /// Address of the console, if there is one.
     pub console: Option<String>,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: String,
     /// Seed of the random number generator.
     pub seed: u64,
@@ -77,7 +77,8 @@
     }
 }
 
-/// Parses and validates a configuration that is to replace the running one. It is accepted as a whole or not at all.
+/// Parses and validates a configuration that is to replace the running one. It is accepted as a whole or not
+/// at all.
 ///
 /// # Errors
 /// With a single message that says what is wrong with it.
@@ -105,7 +106,8 @@
     Ok((new, validated))
 }
 
-/// Parses a configuration. A value that `variable` returns for an environment variable takes precedence over the file.
+/// Parses a configuration. A value that `variable` returns for an environment variable takes precedence over
+/// the file.
 ///
 /// # Errors
 /// With a single message on what is missing or malformed, for instance in a file that is only partly written.
@@ -149,8 +151,8 @@
     Ok((path, text))
 }
 
-/// Returns the value of an environment variable, or else of a field of the file that `BALANCER_CONFIG` names. This
-/// works even if the file is not a valid configuration.
+/// Returns the value of an environment variable, or else of a field of the file that `BALANCER_CONFIG` names.
+/// This works even if the file is not a valid configuration.
 ///
 /// # Errors
 /// If neither has a value.
@@ -161,11 +163,13 @@
     let (path, text) = read_file()?;
     let json: Option<Value> = serde_json::from_slice(&text).ok();
     let value = json.as_ref().and_then(|j| j.get(field)?.as_str()).filter(|value| !value.is_empty());
-    value.map(str::to_string).ok_or_else(|| format!("{path}: it tells no {field}, nor does {variable}"))
+    value
+        .map(str::to_string)
+        .ok_or_else(|| format!("{path}: neither the field {field} nor the variable {variable} is set"))
 }
 
-/// Returns the address on which clients connect without validating the rest of the file, since startup listens there
-/// first.
+/// Returns the address on which clients connect. The rest of the file is not validated, because startup
+/// listens on this address first.
 ///
 /// # Errors
 /// If neither `BALANCER_LISTEN` nor the file contains it.
@@ -202,8 +206,8 @@
     Ok((config, validated))
 }
 
-/// Reads the file that `BALANCER_CONFIG` names again while the process runs. The environment is as old as the
-/// process, so the address of discovery is taken from the file alone.
+/// Rereads the file that `BALANCER_CONFIG` names while the process runs. The environment variables date from
+/// the start of the process, so the address of the discovery service is taken from the file alone.
 ///
 /// # Errors
 /// As [`parse_replacement`].
@@ -258,8 +262,8 @@
                 Value::Array(items) => drop(items.remove(name.parse::<usize>().expect("an index"))),
                 _ => panic!("{path}"),
             }
-            // One class or tenant fewer is an ordinary change unless other fields depend on it, as for all classes
-            // here.
+            // One class or tenant fewer is an ordinary change unless other fields depend on it, as for all
+            // classes here.
             let tenant = within == "/settings/tenants"
                 && less.pointer(within).is_some_and(|t| t != &Value::Array(Vec::new()));
             assert_eq!(refused(&less, &running), !tenant, "without {path}");
