--- a/src/operators/hcl.rs
+++ b/src/operators/hcl.rs
@@ -1,5 +1,6 @@
-//! Strict parser of the operators' file: only known blocks and names are allowed, each at most once, and each value
-//! must have its type. All faults are collected with their locations and reported together. It does no I/O.
+//! Strict parser of the operators' file: only known blocks and names are allowed, each at most once, and each
+//! value must have its type. All faults are collected with their locations and reported together. It does no
+//! I/O.
 
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Body, Structure};
@@ -31,7 +32,7 @@
     faults: Vec<ConfigFault>,
 }
 
-/// A block that is being read. Names in it that have not been read when it is finished are unknown and thus faults.
+/// A block that is being read. [`Block::finish`] reports each name in it that has not been read as a fault.
 pub struct Block<'r, 'a> {
     reader: &'r mut Reader<'a>,
     name: &'static str,
@@ -67,22 +68,22 @@
     fn add_structure(&mut self, structure: Structure) {
         match structure {
             Structure::Attribute(a) => {
-                self.fault(a.key.span(), format!("'{}' stands in no block", a.key.as_str()))
+                self.add_fault(a.key.span(), format!("'{}' is outside of any block", a.key.as_str()))
             }
             Structure::Block(block) => {
                 let (name, span) = (block.ident.as_str().to_string(), block.ident.span());
                 if !block.labels.is_empty() {
-                    self.fault(span, format!("the block {name} has no labels"));
+                    self.add_fault(span, format!("the block {name} must not have labels"));
                 } else if let Entry::Vacant(free) = self.blocks.entry(name.clone()) {
                     free.insert(block.body);
                 } else {
-                    self.fault(span, format!("the block {name} stands here a second time"));
+                    self.add_fault(span, format!("the block {name} is defined twice"));
                 }
             }
         }
     }
 
-    fn fault(&mut self, span: Option<Range<usize>>, what: String) {
+    fn add_fault(&mut self, span: Option<Range<usize>>, what: String) {
         let location = location(self.text, span);
         self.faults.push(ConfigFault { location, what });
     }
@@ -93,11 +94,11 @@
         Block { reader: self, name, body, names_read: BTreeSet::new() }
     }
 
-    /// Returns all faults in the order of the file, once all blocks have been read. Blocks that were not read are
-    /// faults.
+    /// Returns all faults in the order of the file, once all blocks have been read. Blocks that were not read
+    /// are faults.
     pub fn finish(mut self) -> Vec<ConfigFault> {
         for (name, body) in std::mem::take(&mut self.blocks) {
-            self.fault(body.span(), format!("there is no block '{name}'"));
+            self.add_fault(body.span(), format!("unknown block '{name}'"));
         }
         self.faults.sort();
         self.faults
@@ -105,7 +106,8 @@
 }
 
 impl Block<'_, '_> {
-    /// Reads a value with `read`; returns `default` if it is missing or invalid. `what` describes valid values.
+    /// Reads a value with `read`; returns `default` if it is missing or invalid. `what` describes valid
+    /// values.
     pub fn read<T>(
         &mut self,
         name: &'static str,
@@ -121,7 +123,7 @@
                 let shown = attribute.value.to_string().trim().to_string();
                 let what = format!("{}.{name} must be {what}, not {shown}", self.name);
                 let span = attribute.value.span();
-                self.reader.fault(span, what);
+                self.reader.add_fault(span, what);
                 default
             }
         }
@@ -146,7 +148,7 @@
     /// A string that is not empty.
     pub fn text(&mut self, name: &'static str, default: &str) -> String {
         let text = |e: &Expression| e.as_str().filter(|s| !s.is_empty()).map(str::to_string);
-        self.read(name, default.to_string(), "a text", text)
+        self.read(name, default.to_string(), "a non-empty string", text)
     }
 
     /// One of several words, each with its value; the first is the default.
@@ -161,10 +163,10 @@
     pub fn add_fault(&mut self, name: &str, what: String) {
         let at =
             self.body.as_ref().and_then(|b| b.get_attribute(name).map(|a| a.value.span()).or(Some(b.span())));
-        self.reader.fault(at.flatten(), what);
+        self.reader.add_fault(at.flatten(), what);
     }
 
-    /// Finishes the block: every name in it that was not read is a fault.
+    /// Finishes the block: reports nested blocks, names that were not read, and names that are set twice.
     pub fn finish(self) {
         let Block { reader, name, body, names_read } = self;
         let mut seen = BTreeSet::new();
@@ -173,14 +175,14 @@
                 Structure::Attribute(a) => {
                     let key = a.key.as_str().to_string();
                     if !names_read.contains(&key[..]) {
-                        reader.fault(a.key.span(), format!("{name} has no '{key}'"));
+                        reader.add_fault(a.key.span(), format!("{name} has no '{key}'"));
                     } else if !seen.insert(key.clone()) {
-                        reader.fault(a.key.span(), format!("{name}.{key} stands here a second time"));
+                        reader.add_fault(a.key.span(), format!("{name}.{key} is set twice"));
                     }
                 }
                 Structure::Block(b) => {
                     let what = format!("{name} has no block '{}'", b.ident.as_str());
-                    reader.fault(b.ident.span(), what);
+                    reader.add_fault(b.ident.span(), what);
                 }
             }
         }
@@ -221,16 +223,16 @@
         assert_eq!(
             faults(text),
             [
-                "1:1: 'top' stands in no block",
+                "1:1: 'top' is outside of any block",
                 "3:13: odata.enabled must be true or false, not 3",
                 "4:10: odata.port must be a whole number from 1 to 9, not 12",
                 "5:10: odata.mode must be one of slow, fast, not \"loud\"",
-                "6:10: odata.name must be a text, not \"\"",
+                "6:10: odata.name must be a non-empty string, not \"\"",
                 "7:3: odata has no 'tea'",
                 "8:3: odata has no block 'cup'",
-                "10:1: the block odata stands here a second time",
-                "11:8: there is no block 'lunch'",
-                "13:1: the block teas has no labels",
+                "10:1: the block odata is defined twice",
+                "11:8: unknown block 'lunch'",
+                "13:1: the block teas must not have labels",
             ]
         );
     }
--- a/src/operators/mod.rs
+++ b/src/operators/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' file, `deploy/linentrail.hcl`: the settings of all features outside the platform's protocol. A
-//! setting that is left out has its default, and by default all these features are off. None of them can be turned on
-//! by an environment variable alone.
+//! The operators' file, `deploy/linentrail.hcl`: the settings of all features outside the platform's
+//! protocol. A setting that is left out has its default, and by default all these features are off. None of
+//! them can be turned on by an environment variable alone.
 
 pub mod agreement;
 pub mod hcl;
@@ -54,7 +54,7 @@
 /// When stored data is synced to disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fsync {
-    /// Commands of the operators before they are acknowledged, and snapshots.
+    /// Each command of the operators is synced before it is acknowledged, and each snapshot is synced.
     Always,
     /// Never: stored data survives a crash of the process, but not of the machine.
     Never,
@@ -84,16 +84,16 @@
     pub snapshot_interval: Duration,
     /// What to do if the configuration cannot be used.
     pub on_broken_config: OnBrokenConfig,
-    /// If suspensions may have been lost: how long after startup `STATUS` reports that the process is not ready,
-    /// unless the operators send `CONFIRM`.
+    /// If suspensions may have been lost: how long after startup `STATUS` reports that the process is not
+    /// ready, unless the operators send `CONFIRM`.
     pub confirm_timeout: Duration,
 }
 
 /// The contents of the operators' file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorsFile {
-    /// How long new clients are still accepted after SIGTERM, as whatever distributes clients among proxies notices
-    /// the shutdown late.
+    /// How long new clients are still accepted after SIGTERM, because the component that distributes clients
+    /// among the proxies learns of the shutdown late.
     pub accept_after_sigterm: Duration,
     /// Settings of the OData front.
     pub odata: OdataConfig,
@@ -111,7 +111,7 @@
 }
 
 /// How an error message describes a loopback address.
-const LOOPBACK_ADDRESS: &str = "an address and port on this machine, as \"127.0.0.1:8080\"";
+const LOOPBACK_ADDRESS: &str = "an address and port on this machine, such as \"127.0.0.1:8080\"";
 
 fn localhost(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -158,10 +158,7 @@
         confirm_timeout: Duration::from_secs(block.number("confirm_s", 0, 0..=86_400)),
     };
     if store.enabled && !store.folder.is_absolute() {
-        block.add_fault(
-            "folder",
-            "store.folder must be the whole path of a folder where the store is enabled".into(),
-        );
+        block.add_fault("folder", "store.folder must be an absolute path if the store is enabled".into());
     }
     block.finish();
     let agreement = agreement::read(&mut file, store.enabled);
@@ -180,7 +177,8 @@
 pub fn reject_legacy_file(variable: Option<&str>, exists: bool) -> Result<(), String> {
     let legacy = |what: &str| {
         Err(format!(
-            "{what} is no longer read: its settings stand in {DEFAULT_FILE}, or where {FILE_VARIABLE} says"
+            "{what} is no longer read: its settings belong in {DEFAULT_FILE}, or in the file that \
+             {FILE_VARIABLE} names"
         ))
     };
     match (variable, exists) {
@@ -190,8 +188,8 @@
     }
 }
 
-/// Reads the file that `LINENTRAIL_FILE` names, or the one at the default path; if that does not exist, all features
-/// are off.
+/// Reads the file that `LINENTRAIL_FILE` names, or the one at the default path; if that does not exist, all
+/// features are off.
 ///
 /// # Errors
 /// With all faults, on one line.
