--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,10 +1,10 @@
-//! Handover between two processes of one proxy, while a new version takes over from the old one. Rules and limits
-//! apply to both together, as to one proxy.
+//! Handover between two processes of one proxy, while a new version takes over from the old one. Rules and
+//! limits apply to both together, as to one proxy.
 //!
-//! The operators' suspensions are kept in a file that either process changes under a lock and both watch. While
-//! both run, each writes what it has learned to a file that the other imports, and each uses half of the proxy's
-//! limits. The core and the routing module do no file I/O: they receive the contents of these files as commands and
-//! events.
+//! The operators' suspensions are kept in a file that either process changes under a lock and both watch.
+//! While both run, each writes what it has learned to a file that the other imports, and each uses half of
+//! the proxy's limits. The core and the routing module do no file I/O: they receive the contents of these
+//! files as commands and events.
 
 pub mod claims;
 pub mod commits;
@@ -31,10 +31,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Interval at which the folder is polled: a suspension at one process has to apply at the other within a second.
+/// Interval at which the folder is polled: a suspension at one process has to apply at the other within a
+/// second.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a new process waits for what its peer process has learned.
-const FIRST_KNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long a new process waits at startup for what its peer process has learned.
+const FIRST_IMPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a call waits for the lock.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay between attempts while waiting for the lock or for the peer process.
@@ -46,8 +47,8 @@
 
 /// The folder of the proxy of this name, within a base folder. All processes of the proxy use the same one.
 pub fn proxy_folder(shared: &str, name: &str) -> PathBuf {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
-    PathBuf::from(shared).join(format!("linentrail-{}", name.chars().map(plain).collect::<String>()))
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
+    PathBuf::from(shared).join(format!("linentrail-{}", name.chars().map(sanitize).collect::<String>()))
 }
 
 fn commits_file(slot: usize) -> String {
@@ -64,7 +65,8 @@
     log::warn!("the file '{name}' of the handover is passed over: {why}");
 }
 
-/// Parses a file that was read. A file that is unusable is reported, and none is returned, as for a missing file.
+/// Parses a file that was read. Returns `None` for a missing file, and also for an unusable one, which is
+/// reported.
 fn parse_or_report<T, E: std::fmt::Display>(
     name: &str,
     read: io::Result<Option<Vec<u8>>>,
@@ -79,7 +81,8 @@
     }
 }
 
-/// Sends commands to the core, and records the operators' suspensions for both processes and for later starts.
+/// Sends commands to the core, and records the operators' suspensions for both processes and for later
+/// starts.
 #[derive(Clone)]
 pub struct ControlHandle {
     commands: mpsc::Sender<CoreCommand>,
@@ -99,14 +102,14 @@
         ControlHandle { store_handle, ..self }
     }
 
-    /// Sends a command to the core and waits for the reply; none once the core has ended.
+    /// Sends a command to the core and waits for the reply. Returns `None` once the core has ended.
     pub async fn request<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> CoreCommand) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.commands.send(command(reply)).await.ok()?;
         answer.await.ok()
     }
 
-    /// Sends a command that has no reply; none once the core has ended.
+    /// Sends a command that has no reply. Returns `None` once the core has ended.
     pub async fn send(&self, command: CoreCommand) -> Option<()> {
         self.commands.send(command).await.ok()
     }
@@ -144,8 +147,8 @@
         let Some(folder) = self.folder.get() else {
             return self.request(command).await.ok_or_else(ending)?.map_err(refusal);
         };
-        // Held until the file is written, so that concurrent calls at either process neither get lost nor undo this
-        // one.
+        // Held until the file is written, so that concurrent calls at either process neither get lost nor
+        // undo this one.
         let _lock = self.lock(folder).await.map_err(fault)?;
         let read = match folder.read(SUSPENSIONS_FILE) {
             // The file may hold suspensions that this process does not know of, and must not be overwritten.
@@ -198,7 +201,8 @@
 }
 
 impl Handover {
-    /// An actor for a folder that was joined; `ids` are the repeat ids of this process, if it accepts bookings.
+    /// An actor for a folder that was joined; `ids` are the repeat ids of this process, if it accepts
+    /// bookings.
     pub fn new(
         folder: Arc<HandoverFolder>,
         control: ControlHandle,
@@ -211,7 +215,8 @@
         Handover { folder, control, budget, clock, suspensions, peer_learned, id_exchange, reservation: None }
     }
 
-    /// Joins a folder that could not be used at startup, once it is usable, and watches it until the core has ended.
+    /// Joins a folder that could not be used at startup, once it is usable, and watches it until the core has
+    /// ended.
     pub async fn join_late(
         shared: SharedFolder,
         path: PathBuf,
@@ -242,9 +247,9 @@
 
     /// Imports what the peer process has learned, before the first client is accepted.
     pub async fn take_over(&mut self) {
-        // A file that was written before this process started may be outdated or left by an earlier process, so
-        // only a later version counts. The file's version decides, not a time, as the clocks of two processes may
-        // differ.
+        // A file that was written before this process started may be outdated or left by an earlier process,
+        // so only a later version counts. The file's version decides, not a time, as the clocks of two
+        // processes may differ.
         self.peer_learned = WatchedFile::since(self.folder.version(&learned_file(self.folder.peer_slot())));
         self.import_suspensions().await;
         // Replaces the file that the last process in this slot has left.
@@ -266,7 +271,7 @@
                 self.id_exchange.poll(self.folder.peer_alive()).await;
             }
         };
-        match tokio::time::timeout(FIRST_KNOWLEDGE_TIMEOUT, import).await {
+        match tokio::time::timeout(FIRST_IMPORT_TIMEOUT, import).await {
             Ok(()) => log::info!("another process of this proxy serves; what it has learned is taken over"),
             Err(_) => {
                 log::warn!(
@@ -302,7 +307,8 @@
         }
     }
 
-    /// Gives half of the limits to the peer process; what is in use beyond the other half follows as it is released.
+    /// Reserves half of the limits for the peer process. What this process uses beyond its own half is
+    /// reserved as soon as it is released.
     async fn share_limits(&mut self) {
         count(Count::handovers);
         let budget = self.budget.clone();
@@ -313,9 +319,11 @@
             std::future::pending::<()>().await;
         });
         self.reservation = Some(task.abort_handle());
-        // Before the first client everything is free and this succeeds at once; later nothing waits for it.
+        // Before the first client is accepted nothing is in use, and the reservation succeeds at once. Later
+        // it completes in the background.
         let _ = tokio::time::timeout(RETRY_INTERVAL, half_reserved).await;
-        // From now on the peer process receives each commit; earlier ones come with the next file of learned facts.
+        // From now on the peer process receives each commit; earlier ones come with the next file of learned
+        // facts.
         let path = |slot| self.folder.path_of(&commits_file(slot));
         match CommitLog::open(&path(self.folder.slot), path(self.folder.peer_slot())) {
             Ok(log) => {
@@ -337,7 +345,7 @@
         self.control.request(|reply| CoreCommand::ReplaceSuspensions(suspensions, reply)).await
     }
 
-    /// Writes what this process has learned; none once the core has ended.
+    /// Writes what this process has learned. Returns `None` once the core has ended.
     async fn export_learned(&mut self) -> Option<()> {
         let learned = self.control.request(CoreCommand::ExportLearned).await?;
         let name = learned_file(self.folder.slot);
--- a/src/knowledge/format.rs
+++ b/src/knowledge/format.rs
@@ -1,8 +1,9 @@
-//! Serialization of [`Knowledge`] for the peer process of the proxy and for later starts. This module does no I/O.
+//! Serialization of [`Knowledge`] for the peer process of the proxy and for later starts. This module does no
+//! I/O.
 //!
-//! A file is a header line with the format's name, its version, and the length and checksum of the body, followed
-//! by the body in JSON. A file that does not match its header is rejected whole: it is truncated or corrupted, or
-//! another program or a newer version wrote it.
+//! A file is a header line with the format's name, its version, and the length and checksum of the body,
+//! followed by the body in JSON. A file that does not match its header is rejected whole: it is truncated or
+//! corrupted, or another program or a newer version wrote it.
 
 use super::{Knowledge, LearnedFacts, MemberFacts, TimestampedText, MAX_ENTRIES};
 use crate::effective_list::{Suspension, Suspensions, MAX_SUSPENDED};
@@ -43,8 +44,8 @@
 /// Adds the header to a body.
 pub(crate) fn encode(body: &Value) -> Vec<u8> {
     let body = body.to_string();
-    let sum = crc32fast::hash(body.as_bytes());
-    format!("{MAGIC} {VERSION} {} {sum:08x}\n{body}", body.len()).into_bytes()
+    let checksum = crc32fast::hash(body.as_bytes());
+    format!("{MAGIC} {VERSION} {} {checksum:08x}\n{body}", body.len()).into_bytes()
 }
 
 /// Checks the header and parses the body.
@@ -54,13 +55,13 @@
     let body = &body[1..];
     let header = std::str::from_utf8(header).map_err(|_| Unusable::Foreign)?;
     let fields: Vec<&str> = header.split(' ').collect();
-    let [MAGIC, version, length, sum] = fields[..] else { return Err(Unusable::Foreign) };
+    let [MAGIC, version, length, checksum] = fields[..] else { return Err(Unusable::Foreign) };
     let version: u32 = version.parse().map_err(|_| Unusable::Foreign)?;
     if version != VERSION {
         return Err(Unusable::Version(version));
     }
     let intact =
-        length.parse() == Ok(body.len()) && u32::from_str_radix(sum, 16) == Ok(crc32fast::hash(body));
+        length.parse() == Ok(body.len()) && u32::from_str_radix(checksum, 16) == Ok(crc32fast::hash(body));
     if !intact {
         return Err(Unusable::Corrupted);
     }
@@ -114,7 +115,7 @@
     }
 }
 
-/// Serializes what the proxy has learned by the time `at`.
+/// Serializes what the proxy has learned, with the time of writing, `at`.
 pub fn write_learned(learned: &LearnedFacts, at: Time) -> Vec<u8> {
     let mut body = learned_body(learned);
     body.insert("at".into(), at.into());
@@ -127,8 +128,8 @@
         .iter()
         .map(|(name, m)| json!([&**name, m.position, m.primary, m.warm_up_start]))
         .collect();
-    // These fields have their own table: the previous release ignores a table that it does not know, but rejects
-    // entries of another length in the members' table.
+    // These fields have their own table: the previous release ignores a table that it does not know, but
+    // rejects entries of another length in the members' table.
     let extra_fields: Map<String, Value> = learned
         .members
         .iter()
@@ -167,7 +168,9 @@
     }
     let mut learned = LearnedFacts { floor, ..LearnedFacts::default() };
     for entry in members {
-        let Some([Value::String(name), position, primary, cold]) = entry.as_array().map(Vec::as_slice) else {
+        let Some([Value::String(name), position, primary, warm_up_start]) =
+            entry.as_array().map(Vec::as_slice)
+        else {
             return Err(Unusable::Malformed("member"));
         };
         // The previous release does not write this table.
@@ -179,7 +182,7 @@
             last_heard: field(1).unwrap_or(0),
             primary: primary.as_bool(),
             role_at: field(2).unwrap_or(0),
-            warm_up_start: cold.as_u64(),
+            warm_up_start: warm_up_start.as_u64(),
         };
         learned.members.insert(name.as_str().into(), facts);
     }
@@ -190,7 +193,8 @@
     Ok(learned)
 }
 
-/// Serializes a snapshot, with the time at which it is written and the number of the proxy's start that writes it.
+/// Serializes a snapshot, with the time at which it is written and the number of the proxy's start that
+/// writes it.
 pub fn write_snapshot(knowledge: &Knowledge, at: Time, start_number: u64) -> Vec<u8> {
     let text = |text: &Option<TimestampedText>| text.as_ref().map(|t| json!([t.at, &*t.text]));
     let mut body = learned_body(&knowledge.learned);
@@ -206,8 +210,8 @@
     encode(&body.into())
 }
 
-/// Parses a file that [`write_snapshot`] made. Returns the knowledge, the time at which it was written, and the
-/// number of the start that wrote it.
+/// Parses a file that [`write_snapshot`] made. Returns the knowledge, the time at which it was written, and
+/// the number of the start that wrote it.
 ///
 /// # Errors
 /// When the file is rejected.
@@ -259,7 +263,7 @@
     #[test]
     fn a_file_of_the_previous_release_is_read_without_the_fields_that_it_lacks() {
         let body = json!({"at": 5, "members": [["a", 77, true, null]], "sessions": {"k": 3}, "floor": 2});
-        let (learned, at) = read_learned(&encode(&body)).expect("it is sound");
+        let (learned, at) = read_learned(&encode(&body)).expect("valid");
         let facts = MemberFacts { position: 77, primary: Some(true), ..MemberFacts::default() };
         assert_eq!((learned.members.get("a"), at), (Some(&facts), 5));
     }
