--- a/src/agreement/proposer.rs
+++ b/src/agreement/proposer.rs
@@ -1,7 +1,8 @@
-//! A proposer (Paxos): it runs ballots until its proposal is decided. In phase 1 a majority of the voters promises
-//! to accept nothing below the ballot, and reports what it has accepted. In phase 2 the value that follows from
-//! that, or the same value for a repair, is put to the voters. Concurrent proposers can make each other's ballots
-//! fail; random backoff ends this.
+//! A proposer (Paxos): it runs ballots until its proposal is decided. In phase 1 a majority of the voters
+//! promises to accept nothing below the ballot, and reports what it has accepted. In phase 2 the proposer
+//! asks the voters to accept a value: the last accepted one with the proposal applied or, for a repair,
+//! unchanged. Concurrent proposers can make each other's ballots fail; a random backoff lets one of them
+//! succeed.
 
 use super::message::Message;
 use super::{
@@ -11,7 +12,7 @@
 use crate::policy::state::hash_fraction;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a proposer is to bring about.
+/// An operation on the agreed value, for which a proposer runs ballots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Proposal {
     /// Begin a change to this version. The first version comes into force at once and needs no parent.
@@ -23,7 +24,7 @@
     },
     /// Complete the change of this revision: all leases on what was in force before it have expired.
     Finish(u64),
-    /// Take back the change of this revision.
+    /// Revert the change of this revision.
     Abort(u64),
     /// Complete a ballot that was abandoned halfway, with whatever value it finds.
     Repair,
@@ -118,7 +119,7 @@
     last_sent: Time,
     /// When the proposal is given up.
     until: Time,
-    /// The highest ballot that it has used or heard of.
+    /// The highest ballot that this proposer has used or heard of.
     highest_ballot: Ballot,
     failed_ballots: u64,
 }
@@ -149,12 +150,12 @@
         }
     }
 
-    /// The highest ballot that it has used or heard of.
+    /// The highest ballot that this proposer has used or heard of.
     pub fn highest_ballot(&self) -> Ballot {
         self.highest_ballot
     }
 
-    /// The proposal that it runs ballots for.
+    /// The proposal that the ballots are for.
     pub fn proposal(&self) -> Proposal {
         self.proposal
     }
@@ -184,8 +185,8 @@
         self.awaited_voters().into_iter().map(|voter| (voter, message.clone())).collect()
     }
 
-    /// Abandons the ballot. The next one begins after a random delay, whose maximum grows with the number of failed
-    /// ballots up to 8 round trips.
+    /// Abandons the ballot. The next one begins after a random delay, whose maximum grows with the number of
+    /// failed ballots up to 8 round trips.
     fn back_off(&mut self, now: Time, timing: &Timing) {
         self.failed_ballots += 1;
         let max_delay = timing.round * self.failed_ballots.min(8);
@@ -193,7 +194,8 @@
         self.phase = Phase::Backoff(now + delay);
     }
 
-    /// Handles the passing of time. Returns messages to be sent, or how the proposal ended.
+    /// Begins ballots, resends messages and detects timeouts, as due at `now`. Returns messages to be sent,
+    /// or how the proposal ended.
     pub fn tick(&mut self, now: Time, timing: &Timing) -> Result<Outgoing, ProposalEnd> {
         if now >= self.until {
             return Err(ProposalEnd::Failed(ProposalError::NoMajority));
@@ -212,7 +214,8 @@
                 Ok(self.send_to_awaited(now))
             }
             Phase::Backoff(_) => Ok(Vec::new()),
-            // The limit is part of the protocol: a voter that has lost its promise votes again after this time.
+            // The limit is part of the protocol: a voter that has lost its promise votes again after this
+            // time.
             _ if now >= self.began + timing.ballot_timeout() => {
                 self.back_off(now, timing);
                 Ok(Vec::new())
@@ -222,7 +225,7 @@
         }
     }
 
-    /// When it needs the next tick.
+    /// When [`Proposer::tick`] has to be called next.
     pub fn next_wakeup(&self, timing: &Timing) -> Time {
         match self.phase {
             Phase::Backoff(at) => at.min(self.until),
@@ -367,7 +370,8 @@
         assert_eq!(first, RegisterValue { revision: 1, active: ActiveVersions::Single(version(1)) });
         let transition = chosen(voters.run(&mut proposer(2, change(2), 0), &[1], 0).0);
         assert_eq!(transition, first.next(ActiveVersions::Transition { from: version(1), to: version(2) }));
-        // Another change is refused meanwhile; proposing the same one again succeeds without a further change.
+        // Another change is refused meanwhile; proposing the same one again succeeds without a further
+        // change.
         let other =
             Proposal::Change { to: Version { number: 2, hash: Hash([9; 32]) }, parent: version(1).hash };
         assert_eq!(
--- a/src/core/repeat_ledger.rs
+++ b/src/core/repeat_ledger.rs
@@ -3,7 +3,8 @@
 use crate::interface::Time;
 use std::collections::HashMap;
 
-/// Maximum number of expired entries removed per call, so that a full ledger is emptied over several requests.
+/// Maximum number of expired entries removed per call, so that a full ledger is emptied over several
+/// requests.
 const EXPIRED_PER_CALL_MAX: usize = 64;
 
 /// Result of claiming an id.
@@ -11,7 +12,7 @@
 pub enum Claim<T> {
     /// The id is new: it was entered, and the request may be sent.
     New,
-    /// The id is known for the same request; with the ticket that was entered for it.
+    /// The id is known for the same request. Contains the ticket that was entered for it.
     Existing(T),
     /// The id is known for the same request, but another process entered it and has the answer.
     ClaimedByPeer,
@@ -28,7 +29,8 @@
 pub struct LedgerSize {
     /// Number of ids.
     pub ids: usize,
-    /// Total size of the answers in bytes, including the room reserved for answers that are still to come.
+    /// Total size of the answers in bytes, including the space reserved for answers that are not complete
+    /// yet.
     pub bytes: usize,
 }
 
@@ -75,7 +77,7 @@
     fingerprint: Option<u64>,
     first_sent: Time,
     answer_bytes: usize,
-    until: Time,
+    expires_at: Time,
     running: bool,
     /// `None` if another process entered the id.
     ticket: Option<T>,
@@ -123,10 +125,10 @@
         if self.is_full(answer_bytes) {
             return Claim::NoRoom;
         }
-        let until = now.max(first_sent).saturating_add(self.retention);
+        let expires_at = now.max(first_sent).saturating_add(self.retention);
         let fingerprint = Some(fingerprint);
         let entry =
-            Entry { fingerprint, first_sent, answer_bytes, until, running: true, ticket: Some(ticket) };
+            Entry { fingerprint, first_sent, answer_bytes, expires_at, running: true, ticket: Some(ticket) };
         self.insert(id.to_string(), entry);
         Claim::New
     }
@@ -142,9 +144,9 @@
             || self.size.bytes.saturating_add(answer_bytes) > self.capacity.bytes
     }
 
-    /// Removes some entries whose retention time is over, and returns their ids.
+    /// Removes up to `EXPIRED_PER_CALL_MAX` entries whose retention time is over, and returns their ids.
     pub fn remove_expired(&mut self, now: Time) -> Vec<String> {
-        let expired = self.entries.iter().filter(|(_, entry)| !entry.running && now > entry.until);
+        let expired = self.entries.iter().filter(|(_, entry)| !entry.running && now > entry.expires_at);
         let expired: Vec<String> = expired.take(EXPIRED_PER_CALL_MAX).map(|(id, _)| id.clone()).collect();
         expired.iter().for_each(|id| self.remove(id));
         expired
@@ -170,8 +172,9 @@
             return;
         }
         let SharedEntry { fingerprint, first_sent, remaining } = entry;
-        let until = now.saturating_add(remaining).max(first_sent.saturating_add(self.retention));
-        let entry = Entry { fingerprint, first_sent, answer_bytes: 0, until, running: false, ticket: None };
+        let expires_at = now.saturating_add(remaining).max(first_sent.saturating_add(self.retention));
+        let entry =
+            Entry { fingerprint, first_sent, answer_bytes: 0, expires_at, running: false, ticket: None };
         self.insert(id, entry);
     }
 
@@ -183,7 +186,7 @@
     /// The entry of an id as shared with other processes.
     pub fn shared_entry(&self, id: &str, now: Time) -> Option<SharedEntry> {
         let entry = self.entries.get(id)?;
-        let remaining = entry.until.saturating_sub(now);
+        let remaining = entry.expires_at.saturating_sub(now);
         Some(SharedEntry { fingerprint: entry.fingerprint, first_sent: entry.first_sent, remaining })
     }
 
