--- a/src/pg/session.rs
+++ b/src/pg/session.rs
@@ -1,15 +1,15 @@
-//! A client connection of the PostgreSQL front, from the startup to the close. Replies are sent in the order of their
-//! queries.
+//! A client connection of the PostgreSQL front, from the startup to the close. Replies are sent in the order
+//! of their queries.
 //!
 //! | state | what ends it |
 //! | --- | --- |
-//! | no command received | the client; `FIRST_MESSAGE_TIMEOUT`; others in need of a permit, or the shutdown, both after `MIN_QUIET_TIME` |
+//! | no command received | the client; `FIRST_MESSAGE_TIMEOUT`; other clients that need a permit, or the shutdown, both after `MIN_QUIET_TIME` |
 //! | message partially received | the rest of the message; `UNFINISHED_MESSAGE_TIMEOUT` |
 //! | replies pending | only the client |
-//! | idle | the client; `IDLE_TIMEOUT`; others in need of a permit; the shutdown |
+//! | idle | the client; `IDLE_TIMEOUT`; other clients that need a permit; the shutdown |
 //!
-//! Except where the client itself closes, the connection is closed through [`client_close`], which never closes a
-//! connection that has unanswered input.
+//! Except where the client itself closes, the connection is closed through [`client_close`], which never
+//! closes a connection that has unanswered input.
 
 use super::codec::{AfterError, Frontend, Reply, ServerCodec, WireError};
 use super::front::{error, last_refusal, Front};
@@ -32,14 +32,14 @@
 
 /// Maximum number of unanswered queries read from a connection, normally and while memory is short.
 const MAX_PIPELINED: usize = 16;
-const MAX_PIPELINED_TIGHT: usize = 1;
-/// Time from accepting a connection to the end of its first message after the startup. A client that sends nothing, or
-/// only part of a message, must see the connection closed within 3 s.
+const MAX_PIPELINED_LOW_MEMORY: usize = 1;
+/// Time from accepting a connection to the end of its first message after the startup. A client that sends
+/// nothing, or only part of a message, must see the connection closed within 3 s.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time that the rest of a partially received message may take.
 const UNFINISHED_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// Time after which an idle connection is closed: its permit costs memory and a descriptor, and some clients never send
-/// anything again.
+/// Time after which an idle connection is closed: its permit costs memory and a descriptor, and some clients
+/// never send anything again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Subtracted from a client's deadline, in us, to allow for the network round trip.
 const DEADLINE_MARGIN: Time = 4_000;
@@ -50,8 +50,8 @@
     /// Any message after the startup was received.
     command_seen: bool,
     /// A valid query was received.
-    understood: bool,
-    /// Input received before the first reply may have been sent as early as this.
+    valid_query_seen: bool,
+    /// The client may have sent its input as early as this; applies to input received before the first reply.
     waiting_since: Option<std::time::Instant>,
     /// A message of the extended protocol was rejected; messages up to the next Sync are ignored.
     skipping_until_sync: bool,
@@ -100,14 +100,16 @@
     pub(super) async fn run(mut self, mut closing: PhaseReceiver) -> Result<ConnectionClosed, WireError> {
         self.phase = *closing.borrow();
         self.closing_when_idle = self.phase >= ProcessPhase::Closing;
-        // The steps of the shutdown: in `Leaving` connections close after their next reply, in `Closing` when idle.
-        let mut leaving_reached = closing.clone();
-        let mut leaving_reached = pin!(wait_for_phase(&mut leaving_reached, ProcessPhase::HandingOver));
+        // The steps of the shutdown: in `HandingOver` connections close after their next
+        // reply, in `Closing` as soon as they are idle.
+        let mut handover_reached = closing.clone();
+        let mut handover_reached = pin!(wait_for_phase(&mut handover_reached, ProcessPhase::HandingOver));
         let mut closing_reached = pin!(wait_for_phase(&mut closing, ProcessPhase::Closing));
-        // Reset only if it fires too early or the deadline moves closer: nearly every wait ends long before its limit.
+        // Reset only if it fires too early or the deadline moves closer: nearly every wait ends long before
+        // its limit.
         let mut timer = pin!(tokio::time::sleep_until(self.opened + FIRST_MESSAGE_TIMEOUT));
         loop {
-            if let Some(reason) = self.end_reason() {
+            if let Some(reason) = self.close_reason() {
                 if self.terminated {
                     return Ok(Box::pin(client_close::close_after_last_message(self.conn, reason)).await);
                 }
@@ -136,12 +138,16 @@
                         ReadEvent::Message(Some(Err(fault))) => return Box::pin(self.end_with_error(fault)).await,
                     }
                 }
-                () = leaving_reached.as_mut(), if self.phase < ProcessPhase::HandingOver => self.phase = ProcessPhase::HandingOver,
+                () = handover_reached.as_mut(), if self.phase < ProcessPhase::HandingOver =>
+                    self.phase = ProcessPhase::HandingOver,
                 () = closing_reached.as_mut(), if self.phase == ProcessPhase::HandingOver => {
                     (self.phase, self.closing_when_idle) = (ProcessPhase::Closing, true);
                 }
-                // Others need a permit, or too many connections are idle; this one has been idle for longest.
-                () = self.front.clients.client_eviction_requested(!self.state.understood, self.idle_since), if is_idle => {
+                // Other clients need a permit, or too many connections are idle, and this one has been idle
+                // for longest.
+                () = self.front.clients.client_eviction_requested(!self.state.valid_query_seen, self.idle_since),
+                    if is_idle =>
+                {
                     if let Some(ended) = self.end_if_idle(CloseReason::MadeRoom).await {
                         return Ok(ended);
                     }
@@ -152,7 +158,7 @@
                         timer.as_mut().reset(until.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT));
                     }
                     Some(_) => return Box::pin(self.end_with_error(WireError::Unfinished)).await,
-                    None if self.end_reason().is_some() => {}
+                    None if self.close_reason().is_some() => {}
                     None => {
                         let reason = if self.state.command_seen { CloseReason::Idle } else { CloseReason::Silent };
                         if let Some(ended) = self.end_if_idle(reason).await {
@@ -171,12 +177,12 @@
 
     /// Whether further queries may be read now.
     fn may_read(&self) -> bool {
-        let depth = if self.front.bytes.is_scarce() { MAX_PIPELINED_TIGHT } else { MAX_PIPELINED };
+        let depth = if self.front.bytes.is_scarce() { MAX_PIPELINED_LOW_MEMORY } else { MAX_PIPELINED };
         self.pending.0.len() < depth && !self.terminated
     }
 
-    /// Returns why the connection is to be closed now, if it is.
-    fn end_reason(&self) -> Option<CloseReason> {
+    /// The reason for closing the connection now, if there is one.
+    fn close_reason(&self) -> Option<CloseReason> {
         match () {
             () if !self.is_idle() => None,
             () if self.terminated => Some(CloseReason::ClientLeft),
@@ -204,8 +210,8 @@
         }
     }
 
-    /// Closes the connection unless there is unanswered input. A client that has sent no command gets a refusal, which
-    /// answers a command that may be in transit.
+    /// Closes the connection unless there is unanswered input. A client that has sent no command gets a
+    /// refusal, which answers a command that may be in transit.
     async fn end_if_idle(&mut self, reason: CloseReason) -> Option<ConnectionClosed> {
         let final_reply = (!self.state.command_seen).then(|| last_refusal(Refusal::for_close(reason)));
         client_close::close_if_idle(&mut self.conn, reason, final_reply).await
@@ -266,7 +272,8 @@
             Frontend::Other(b'F') if !self.state.skipping_until_sync => {
                 return Some(self.paced(unsupported(AfterError::ReadyForQuery)))
             }
-            // Rejects a sequence of extended-protocol messages once; the rest, up to the Sync, gets no replies.
+            // Rejects a sequence of extended-protocol messages once; the rest, up to the Sync, gets no
+            // replies.
             Frontend::Other(b'P' | b'B' | b'D' | b'E' | b'C') if !self.state.skipping_until_sync => {
                 self.state.skipping_until_sync = true;
                 return Some(self.paced(unsupported(AfterError::AwaitSync)));
@@ -275,7 +282,7 @@
         };
         if text.trim_ascii().is_empty() {
             log::debug!(target: CONNECTION_LOG, client = self.conn.get_ref().port(); "empty query");
-            self.state.understood = true;
+            self.state.valid_query_seen = true;
             return Some(PendingReply::Ready(Reply::EmptyQuery));
         }
         Some(self.query(text).await)
@@ -289,7 +296,7 @@
         let waited = stall::queued_time(self.state.waiting_since);
         match statement::parse(text, &class_table, front.clock.now().saturating_sub(waited)) {
             Ok(mut request) => {
-                self.state.understood = true;
+                self.state.valid_query_seen = true;
                 let client = self.conn.get_ref();
                 request.deadline = front.answer_limit.cap(request.deadline.saturating_sub(DEADLINE_MARGIN));
                 request.client = Some(client.client_connection());
@@ -314,8 +321,8 @@
         self.front.pace.next_delay(self.front.clock.now())
     }
 
-    /// Handles a framing error, after which the next message cannot be found: answers the queries received before it,
-    /// unless the client has left, then sends an error and closes the connection.
+    /// Handles a framing error, after which the next message cannot be found: answers the queries received
+    /// before it, unless the client has left, then sends an error and closes the connection.
     async fn end_with_error(mut self, fault: WireError) -> Result<ConnectionClosed, WireError> {
         while !self.pending.0.is_empty() {
             let reply = tokio::select! {
