--- a/src/core/repeat_ids.rs
+++ b/src/core/repeat_ids.rs
@@ -258,12 +258,12 @@
             inner.ledger.set_complete_since(now);
         }
         inner.shared_retention = inner.retention.min(peer_retention);
-        let (held, retention) = (inner.ledger.size(), inner.retention);
+        let (held, span) = (inner.ledger.size(), inner.retention);
         let shared_retention = inner.shared_retention;
         inner.ledger.set_retention(shared_retention);
         inner.halve_capacity(held);
         let LedgerSize { ids, bytes } = held;
-        LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span: retention }
+        LedgerSummary { ids, bytes, now, complete_since: inner.ledger.complete_since(), span }
     }
 
     /// Takes in the other process's summary; every id in its ledger has been claimed in the store.
