--- a/crates/lab/src/cost/budget.rs
+++ b/crates/lab/src/cost/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: what a request of each case may cost at most, in a file that is checked in.
+//! Budgets: the maximum cost of a request in each case, read from a file in the repository.
 
 use super::Figures;
 use crate::Failure;
@@ -6,58 +6,58 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What one case may cost. What is left out has no limit.
+/// The budget of one case. A figure that is left out has no limit.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Calls for memory.
+    /// Heap allocations.
     pub allocations: Option<f64>,
-    /// Bytes that they asked for.
+    /// Bytes allocated.
     pub allocated: Option<f64>,
-    /// Calls that read, write or look at a socket.
+    /// System calls that read, write or peek at a socket.
     pub calls: Option<f64>,
-    /// Those and wake-ups.
+    /// Socket calls and wake-ups together.
     pub calls_and_wakeups: Option<f64>,
     /// Bytes copied.
     pub copied: Option<f64>,
 }
 
-/// A case that must cost less than another, by all that is counted of both.
+/// A case that must cost less than another in every figure compared.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Less {
+pub struct CheaperThan {
     /// The cheaper case.
     pub case: String,
-    /// The dearer one.
+    /// The more expensive case.
     pub than: String,
 }
 
-/// All budgets, by case, and what must cost less than what.
+/// The contents of the budgets file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budgets {
-    /// By the case's name.
+    /// Budgets by the name of the case.
     pub case: BTreeMap<String, Budget>,
-    /// Pairs of cases.
+    /// Pairs of cases of which one must cost less.
     #[serde(default)]
-    pub less: Vec<Less>,
+    pub less: Vec<CheaperThan>,
 }
 
-/// One figure over its budget.
+/// A figure that exceeds its budget.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Over {
-    /// Which case and figure.
+pub struct Excess {
+    /// The case and the figure.
     pub what: String,
-    /// What was counted, and what may be.
+    /// The measured value.
     pub counted: f64,
-    /// The budget.
+    /// The maximum allowed.
     pub budget: f64,
 }
 
 impl Budgets {
-    /// Reads the file; each case in it must be one of `known`.
+    /// Reads the file; fails if it names a case that is not in `known`.
     pub fn load(path: &Path, known: &[String]) -> Result<Self, Failure> {
-        let bad = |e: String| Failure::Unusable(format!("{}: {}", path.display(), e.replace('\n', " ")));
+        let bad = |e: String| Failure::InvalidInput(format!("{}: {}", path.display(), e.replace('\n', " ")));
         let text = std::fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
         let budgets: Budgets = toml::from_str(&text).map_err(|e| bad(e.to_string()))?;
         let pairs = budgets.less.iter().flat_map(|l| [&l.case, &l.than]);
@@ -68,26 +68,26 @@
         }
     }
 
-    /// The pairs, of those that were measured, in which the case meant to be cheaper is not.
-    pub fn not_less(&self, measured: &BTreeMap<String, Figures>) -> Vec<Over> {
+    /// The figures in which a case is not cheaper than the other case of its pair; skips pairs not measured.
+    pub fn not_less(&self, measured: &BTreeMap<String, Figures>) -> Vec<Excess> {
         let mut over = Vec::new();
-        for Less { case, than } in &self.less {
-            let (Some(cheap), Some(dear)) = (measured.get(case), measured.get(than)) else { continue };
+        for CheaperThan { case, than } in &self.less {
+            let (Some(cheap), Some(expensive)) = (measured.get(case), measured.get(than)) else { continue };
             for (name, counted, budget) in [
-                ("allocations", cheap.allocations, dear.allocations),
-                ("allocated", cheap.allocated, dear.allocated),
-                ("calls", cheap.calls(), dear.calls()),
+                ("allocations", cheap.allocations, expensive.allocations),
+                ("allocated", cheap.allocated, expensive.allocated),
+                ("calls", cheap.calls(), expensive.calls()),
             ] {
                 if counted >= budget {
-                    over.push(Over { what: format!("{case}: {name}, against {than}"), counted, budget });
+                    over.push(Excess { what: format!("{case}: {name}, against {than}"), counted, budget });
                 }
             }
         }
         over
     }
 
-    /// The figures of a case that are over.
-    pub fn over(&self, case: &str, figures: &Figures) -> Vec<Over> {
+    /// The figures of a case that exceed their budgets.
+    pub fn over(&self, case: &str, figures: &Figures) -> Vec<Excess> {
         let Some(budget) = self.case.get(case) else { return Vec::new() };
         let all = [
             ("allocations", budget.allocations, figures.allocations),
@@ -98,7 +98,7 @@
         ];
         let over = |(name, budget, counted): (&str, Option<f64>, f64)| {
             let budget = budget.filter(|b| counted > *b || counted.is_nan())?;
-            Some(Over { what: format!("{case}: {name}"), counted, budget })
+            Some(Excess { what: format!("{case}: {name}"), counted, budget })
         };
         all.into_iter().filter_map(over).collect()
     }
@@ -109,9 +109,9 @@
     use super::*;
 
     #[test]
-    fn a_figure_over_its_budget_is_named_and_one_within_is_not() {
+    fn only_figures_over_their_budget_are_reported() {
         let text = "[case.a]\nallocations = 10\ncalls = 4.5";
-        let budgets: Budgets = toml::from_str(text).expect("it can be read");
+        let budgets: Budgets = toml::from_str(text).expect("valid TOML");
         let within = Figures { allocations: 10.0, reads: 2.0, writes: 2.5, ..Figures::default() };
         assert_eq!(budgets.over("a", &within), []);
         assert_eq!(budgets.over("b", &Figures { allocations: 99.0, ..within }), []);
@@ -122,9 +122,9 @@
     }
 
     #[test]
-    fn a_case_that_is_not_cheaper_than_its_pair_is_named() {
+    fn a_case_that_is_not_cheaper_than_required_is_reported() {
         let text = "[case.a]\n[case.b]\n[[less]]\ncase = \"a\"\nthan = \"b\"";
-        let budgets: Budgets = toml::from_str(text).expect("it can be read");
+        let budgets: Budgets = toml::from_str(text).expect("valid TOML");
         let of = |allocations, writes| Figures {
             allocations,
             writes,
--- a/crates/lab/src/cost/cases.rs
+++ b/crates/lab/src/cost/cases.rs
@@ -1,44 +1,44 @@
-//! The cases that are measured.
+//! The cases whose cost is measured.
 
 use crate::drive::{Front, Tally};
 
-/// What becomes of the requests of a case.
+/// The result that the requests of a case must have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ExpectedResult {
     /// All are served.
     Served,
-    /// All members turn everything away, so that all are refused.
+    /// All are refused, because all members refuse everything.
     Refused,
-    /// All replicas take themselves for too far behind, so that the primary serves.
+    /// The primary serves all, because all replicas report that they are too far behind.
     Missed,
 }
 
-/// One case.
+/// One case to measure.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// Its name, as in the budgets.
+    /// Name, as in the budgets file.
     pub name: String,
-    /// The front.
+    /// Protocol of the clients.
     pub front: Front,
-    /// The class.
+    /// Class of the requests.
     pub class: &'static str,
-    /// Bytes of the value.
+    /// Size of the value in bytes.
     pub size: usize,
-    /// Clients, each with a connection of its own.
+    /// Number of clients, each with its own connection.
     pub clients: usize,
-    /// What becomes of the requests.
-    pub kind: Kind,
-    /// Requests in the longer run.
+    /// The expected result of the requests.
+    pub kind: ExpectedResult,
+    /// Requests to measure in total, before `--short` is applied.
     pub length: u64,
 }
 
 const SMALL: usize = 8;
 const LARGE: usize = 64 * 1024;
 
-/// All of them.
+/// All cases.
 pub fn all() -> Vec<Case> {
+    use ExpectedResult::{Missed, Refused, Served};
     use Front::{Odata, Pg};
-    use Kind::{Missed, Refused, Served};
     [
         (Pg, "yard-board", SMALL, 1, Served, 3_000),
         (Pg, "yard-board", SMALL, 8, Served, 8_000),
@@ -73,32 +73,32 @@
 }
 
 impl Case {
-    /// How long its clients wait.
+    /// How long the clients wait for an answer, in ms.
     pub fn wait_ms(&self) -> u64 {
         match self.class {
-            _ if self.kind == Kind::Missed => 10_000,
+            _ if self.kind == ExpectedResult::Missed => 10_000,
             "place-order" => 3_000,
             "yard-board" => 500,
             _ => 700,
         }
     }
 
-    /// Requests of a short and of a long stretch: few enough that most pass without a standstill of the machine, and
-    /// enough that each client has several.
-    pub fn stretches(&self) -> (u64, u64) {
-        let less = (self.clients as u64 * 3).max(25);
-        (less, less * 3)
+    /// Requests of a short and of a long segment: few enough that most segments pass without a stall of the
+    /// machine, and enough that each client sends several.
+    pub fn segment_lengths(&self) -> (u64, u64) {
+        let short = (self.clients as u64 * 3).max(25);
+        (short, short * 3)
     }
 
-    /// Whether nearly all requests ended as the case is meant: a cost of something else would tell nothing. A few may
-    /// not, on a machine that stands still for a while.
+    /// Checks that at least 49 of 50 requests had the expected result; otherwise the cost of another path was
+    /// measured. The rest allows for stalls of the machine.
     pub fn judge(&self, tally: &Tally) -> Result<(), String> {
-        let meant = if self.kind == Kind::Refused { tally.refused } else { tally.served };
-        match tally.all() > 0 && meant * 50 >= tally.all() * 49 {
+        let as_expected = if self.kind == ExpectedResult::Refused { tally.refused } else { tally.served };
+        match tally.all() > 0 && as_expected * 50 >= tally.all() * 49 {
             true => Ok(()),
             false => Err(format!(
                 "{}: {} served, {} refused, {} failed, {} without an answer",
-                self.name, tally.served, tally.refused, tally.failed, tally.broken
+                self.name, tally.served, tally.refused, tally.failed, tally.unanswered
             )),
         }
     }
--- a/crates/lab/src/cost/mod.rs
+++ b/crates/lab/src/cost/mod.rs
@@ -1,22 +1,23 @@
-//! What a request costs the proxy, for every class, small and large values, one client and many, served, refused and
-//! missed, by both fronts.
+//! Measures what a request costs the proxy, for every class, small and large values, one client and many, served,
+//! refused and missed requests, and both fronts.
 //!
-//! Counts come from the proxy itself (its feature `meter`), processor time and memory from the machine. Each case is run
-//! in many pairs of stretches, and the shorter of each pair is subtracted from the longer, so that what does not grow
-//! with requests is left out. Counts can fail a build; times are told and never judge.
+//! Counts come from the proxy itself (its feature `meter`), CPU time and memory from the operating system. Each
+//! case is run in many pairs of segments; the counts of the shorter segment are subtracted from those of the longer
+//! one, so that costs independent of the number of requests cancel out. Counts can fail a build; times are printed
+//! only.
 //!
-//! A machine that stands still for a moment makes the proxy take attempts for lost, and each costs a connection, a probe
-//! or another attempt. What a request costs by the ordinary path must not depend on that: a stretch in which any of it
-//! happened is not counted but run again.
+//! When the machine stalls, the proxy gives up attempts, and each of these costs a connection, a probe or another
+//! attempt. So that stalls don't affect the cost of the ordinary path, a segment in which any of this happened is
+//! discarded and run again.
 
 mod budget;
 mod cases;
 
-use crate::drive::{self, Front, Stop, Tally};
-use crate::world::{program, Plan, World};
+use crate::drive::{self, Front, StopFlag, Tally};
+use crate::world::{find_program, World, WorldOptions};
 use crate::Failure;
 use budget::Budgets;
-use cases::{Case, Kind};
+use cases::{Case, ExpectedResult};
 use clap::Args;
 use comfy_table::{presets, CellAlignment, Table};
 use linentrail_standins::client::ClientRequest;
@@ -29,64 +30,64 @@
 /// Options of `cost`.
 #[derive(Args)]
 pub struct Options {
-    /// The proxy, built with the feature meter; else the one beside this program
+    /// Executable of the proxy, built with the feature meter; default: linentrail in the folder of this program
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Another build, measured in turn with the first in the same run
+    /// Another build to compare with, measured alternately with the first
     #[arg(long)]
     against: Option<PathBuf>,
-    /// Budgets; the run fails when a count is over its own
+    /// File of budgets; the run fails if a count exceeds its budget
     #[arg(long)]
     budgets: Option<PathBuf>,
-    /// Only cases whose name contains this
+    /// Measures only cases whose name contains this
     #[arg(long, default_value = "")]
     only: String,
-    /// Run lengths in so many parts of the full ones
+    /// Divides the number of requests of each case by this
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=20))]
     short: u64,
-    /// How often each case is measured; the median counts
+    /// How often each case is measured; the result is the median
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=21))]
     rounds: u64,
-    /// Writes all figures here as JSON
+    /// File to write all figures to, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// What one request cost.
+/// The cost of one request.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Figures {
-    /// Calls for memory.
+    /// Heap allocations.
     pub allocations: f64,
-    /// Bytes that they asked for.
+    /// Bytes allocated.
     pub allocated: f64,
-    /// Calls that read from sockets.
+    /// System calls that read from sockets.
     pub reads: f64,
-    /// Those that found nothing.
+    /// Reads that found no data.
     pub empty_reads: f64,
-    /// Calls that wrote to sockets.
+    /// System calls that wrote to sockets.
     pub writes: f64,
-    /// Looks at sockets.
+    /// System calls that peeked at sockets.
     pub peeks: f64,
-    /// Waits for events that ended.
+    /// Wake-ups from waiting for events.
     pub wakeups: f64,
     /// Bytes copied.
     pub copied: f64,
-    /// Processor time, us.
+    /// CPU time, us.
     pub cpu_us: f64,
-    /// Attempts at members.
+    /// Attempts sent to members.
     pub attempts: f64,
     /// Connections opened to members, per 1,000 requests.
     pub connections: f64,
-    /// Median of the client's time, us.
+    /// Median latency at the client, us.
     pub median_us: f64,
-    /// The same less what the client needs without the proxy; none where there is nothing to compare with.
+    /// Median latency minus that without the proxy; NaN where there is no such measurement.
     pub added_us: f64,
-    /// Memory that the process held at rest after the runs, KiB.
+    /// Memory of the idle process after the runs, KiB.
     pub memory_kib: f64,
 }
 
 impl Figures {
-    /// All calls on sockets.
+    /// All system calls on sockets.
     pub fn calls(&self) -> f64 {
         self.reads + self.writes + self.peeks
     }
@@ -122,7 +123,7 @@
     }
 }
 
-/// What the proxy has used so far.
+/// The proxy's counters and resource use at one time.
 struct Snapshot {
     counters: BTreeMap<String, u64>,
     cpu_ns: u64,
@@ -131,7 +132,7 @@
 
 impl Snapshot {
     fn take(world: &World) -> Result<Self, Failure> {
-        let bad = |e: std::io::Error| Failure::Broken(format!("the proxy cannot be measured: {e}"));
+        let bad = |e: std::io::Error| Failure::CheckFailed(format!("the proxy cannot be measured: {e}"));
         let counters = world.proxy.counters().map_err(bad)?;
         let (cpu_ns, memory_kib) = world.proxy.usage().map_err(bad)?;
         Ok(Snapshot { counters, cpu_ns, memory_kib })
@@ -143,8 +144,8 @@
     }
 }
 
-/// What only a standstill, a clock or a fault brings about. A stretch with any of it is no ordinary one.
-const DISTURBED: [&str; 11] = [
+/// Counters that only stalls, timers or faults increase. A segment in which one of them changes is discarded.
+const DISTURBANCE_COUNTERS: [&str; 11] = [
     "overdue",
     "recalled",
     "severed",
@@ -157,114 +158,125 @@
     "list_answers",
     "list_failures",
 ];
-/// Stretches that are run for each one that must be found ordinary, at most.
-const TRIES: u64 = 40;
+/// The maximum number of segments to run for each undisturbed segment that is needed.
+const MAX_RUNS_PER_SEGMENT: u64 = 40;
 
-/// A stretch of a case: what was counted at its ends, and what became of its requests.
-struct Stretch {
+/// A segment of a case: the counters before and after it, and the results of its requests.
+struct Segment {
     before: Snapshot,
     after: Snapshot,
     tally: Tally,
 }
 
-impl Stretch {
+impl Segment {
     fn cost(&self, name: &str) -> f64 {
         self.after.since(&self.before, name)
     }
 
-    /// Whether all in it went the ordinary way, with each client on one connection.
-    fn ordinary(&self, case: &Case) -> bool {
-        let came = self.cost("pg_connections") + self.cost("odata_connections");
-        let served = case.kind != Kind::Served || self.cost("attempts") == self.tally.all() as f64;
-        served && came == case.clients as f64 && DISTURBED.iter().all(|name| self.cost(name) == 0.0)
+    /// Whether no disturbance occurred, and each client used a single connection.
+    fn undisturbed(&self, case: &Case) -> bool {
+        let connected = self.cost("pg_connections") + self.cost("odata_connections");
+        let served = case.kind != ExpectedResult::Served || self.cost("attempts") == self.tally.all() as f64;
+        served
+            && connected == case.clients as f64
+            && DISTURBANCE_COUNTERS.iter().all(|name| self.cost(name) == 0.0)
     }
 }
 
-/// The next ordinary stretch of so many requests.
-async fn stretch(
+/// Runs segments of `count` requests until one is undisturbed; reduces `tries` by each that is discarded.
+async fn run_segment(
     case: &Case,
     world: &World,
     (count, tries): (u64, &mut u64),
-    asks: &drive::Asks,
-    stop: &Stop,
-) -> Result<Stretch, Failure> {
+    new_request: &drive::RequestFactory,
+    stop: &StopFlag,
+) -> Result<Segment, Failure> {
     loop {
         let before = Snapshot::take(world)?;
-        let tally =
-            drive::closed(case.front, world.address(case.front), case.clients, count, asks, stop).await;
-        let stretch = Stretch { before, after: Snapshot::take(world)?, tally };
+        let tally = drive::run_closed_loop(
+            case.front,
+            world.address(case.front),
+            case.clients,
+            count,
+            new_request,
+            stop,
+        )
+        .await;
+        let segment = Segment { before, after: Snapshot::take(world)?, tally };
         if stop.is_set() {
-            return Err(Failure::Broken(format!("{}: interrupted", case.name)));
+            return Err(Failure::CheckFailed(format!("{}: interrupted", case.name)));
         }
-        if !stretch.after.counters.contains_key("cost_allocations") {
-            return Err(Failure::Unusable(
-                "a proxy that does not count; build it with --features meter".into(),
+        if !segment.after.counters.contains_key("cost_allocations") {
+            return Err(Failure::InvalidInput(
+                "the proxy has no cost counters; build it with --features meter".into(),
             ));
         }
-        if stretch.ordinary(case) && case.judge(&stretch.tally).is_ok() {
-            return Ok(stretch);
+        if segment.undisturbed(case) && case.judge(&segment.tally).is_ok() {
+            return Ok(segment);
         }
         *tries = tries.saturating_sub(1);
         if *tries == 0 {
-            case.judge(&stretch.tally).map_err(Failure::Broken)?;
-            let what = |name: &&str| stretch.cost(name) != 0.0;
-            let seen: Vec<&str> = DISTURBED.into_iter().filter(what).collect();
-            let what = format!("{}: no stretch without {}", case.name, seen.join(", "));
-            return Err(Failure::Broken(what));
+            case.judge(&segment.tally).map_err(Failure::CheckFailed)?;
+            let what = |name: &&str| segment.cost(name) != 0.0;
+            let seen: Vec<&str> = DISTURBANCE_COUNTERS.into_iter().filter(what).collect();
+            let what = format!("{}: no segment without {}", case.name, seen.join(", "));
+            return Err(Failure::CheckFailed(what));
         }
     }
 }
 
 /// Measures one case once.
-async fn measure(case: &Case, program: &Path, short: u64, stop: &Stop) -> Result<Figures, Failure> {
-    // A read that waits for a member is refused after a part of its aim, and how long it waits is the machine's speed.
-    let patience = if case.kind == Kind::Missed { 20 } else { 1 };
+async fn measure(case: &Case, program: &Path, short: u64, stop: &StopFlag) -> Result<Figures, Failure> {
+    // A read that waits for a member is refused after a part of its aim. How long it waits depends on the speed of
+    // the machine, so the aims are 20 times longer where reads have to wait.
+    let timeout_factor = if case.kind == ExpectedResult::Missed { 20 } else { 1 };
     let (capacity, odata) = (Capacity::default(), case.front == Front::Odata);
-    let plan = Plan { program, capacity, lag_ms: 0, odata, patience };
+    let plan = WorldOptions { program, capacity, lag_ms: 0, odata, timeout_factor };
     let world = World::start(&plan).await?;
     let key = "7f3a9c21e0b4d655";
     world.group.preset(key, vec![0x5a; case.size].into());
     for (n, member) in world.members.iter().enumerate() {
         match case.kind {
-            Kind::Served => {}
-            Kind::Refused => member.set_behaviour(Behaviour::Full),
-            Kind::Missed if n > 0 => member.set_behaviour(Behaviour::Miss),
-            Kind::Missed => {}
+            ExpectedResult::Served => {}
+            ExpectedResult::Refused => member.set_behaviour(Behaviour::Full),
+            ExpectedResult::Missed if n > 0 => member.set_behaviour(Behaviour::Miss),
+            ExpectedResult::Missed => {}
         }
     }
     let value = (case.class == "place-order").then(|| vec![0x5a; case.size]);
-    let ask = ClientRequest {
+    let request = ClientRequest {
         class: case.class,
         key: key.to_string(),
         value,
         wait_ms: case.wait_ms(),
         after: None,
     };
-    let asks: drive::Asks = Arc::new(move |_| ask.clone());
+    let new_request: drive::RequestFactory = Arc::new(move |_| request.clone());
     let to = world.address(case.front);
     let long = (case.length / short).max(case.clients as u64 * 2);
-    let (less, more) = case.stretches();
-    let pairs = long.div_ceil(more - less);
-    // Warms up: connections, estimates, buffers.
-    let warm = drive::closed(case.front, to, case.clients, long / 4, &asks, stop).await;
+    let (short_length, long_length) = case.segment_lengths();
+    let pairs = long.div_ceil(long_length - short_length);
+    // Warms up connections, estimates and buffers.
+    let warm = drive::run_closed_loop(case.front, to, case.clients, long / 4, &new_request, stop).await;
     let began = Snapshot::take(&world)?;
-    let mut tries = TRIES * pairs;
-    let (mut short, mut long_ones) = (Vec::new(), Vec::new());
+    let mut tries = MAX_RUNS_PER_SEGMENT * pairs;
+    let (mut short_segments, mut long_segments) = (Vec::new(), Vec::new());
     for _ in 0..pairs {
-        short.push(stretch(case, &world, (less, &mut tries), &asks, stop).await?);
-        long_ones.push(stretch(case, &world, (more, &mut tries), &asks, stop).await?);
+        short_segments.push(run_segment(case, &world, (short_length, &mut tries), &new_request, stop).await?);
+        long_segments.push(run_segment(case, &world, (long_length, &mut tries), &new_request, stop).await?);
     }
     let ended = Snapshot::take(&world)?;
-    let requests = (pairs * (more - less)) as f64;
-    let all = |of: &[Stretch], name: &str| of.iter().map(|s| s.cost(name)).sum::<f64>();
-    let per = |name: &str| (all(&long_ones, name) - all(&short, name)) / requests;
-    let cpu = |of: &[Stretch]| of.iter().map(|s| (s.after.cpu_ns - s.before.cpu_ns) as f64).sum::<f64>();
+    let requests = (pairs * (long_length - short_length)) as f64;
+    let all = |of: &[Segment], name: &str| of.iter().map(|s| s.cost(name)).sum::<f64>();
+    let per = |name: &str| (all(&long_segments, name) - all(&short_segments, name)) / requests;
+    let cpu = |of: &[Segment]| of.iter().map(|s| (s.after.cpu_ns - s.before.cpu_ns) as f64).sum::<f64>();
     let mut tally = Tally::new();
-    long_ones.iter().for_each(|s| tally.add(&s.tally));
+    long_segments.iter().for_each(|s| tally.add(&s.tally));
     let median_us = tally.times.value_at_quantile(0.5) as f64 / 1e3;
-    let direct = if case.kind == Kind::Served && case.front == Front::Pg {
+    let direct = if case.kind == ExpectedResult::Served && case.front == Front::Pg {
         let member = &world.members[usize::from(case.class != "place-order")];
-        let tally = drive::closed(Front::Pg, member.address(), case.clients, long, &asks, stop).await;
+        let tally =
+            drive::run_closed_loop(Front::Pg, member.address(), case.clients, long, &new_request, stop).await;
         tally.times.value_at_quantile(0.5) as f64 / 1e3
     } else {
         f64::NAN
@@ -279,7 +291,7 @@
         peeks: per("cost_peeks"),
         wakeups: per("cost_wakeups"),
         copied: per("cost_copied"),
-        cpu_us: (cpu(&long_ones) - cpu(&short)) / 1e3 / requests,
+        cpu_us: (cpu(&long_segments) - cpu(&short_segments)) / 1e3 / requests,
         attempts: per("attempts"),
         connections: connections * 1e3
             / (warm.all() as f64
@@ -318,85 +330,91 @@
 }
 
 fn row(name: &str, f: &Figures) -> Vec<String> {
-    let tell = |v: f64, digits: usize| if v.is_nan() { "-".to_string() } else { format!("{v:.digits$}") };
+    let format = |v: f64, digits: usize| if v.is_nan() { "-".to_string() } else { format!("{v:.digits$}") };
     vec![
         name.to_string(),
-        tell(f.allocations, 1),
-        tell(f.allocated, 0),
-        tell(f.reads, 2),
-        tell(f.empty_reads, 2),
-        tell(f.writes, 2),
-        tell(f.peeks, 2),
-        tell(f.wakeups, 2),
-        tell(f.calls() + f.wakeups, 2),
-        tell(f.copied, 0),
-        tell(f.cpu_us, 1),
-        tell(f.attempts, 2),
-        tell(f.connections, 1),
-        tell(f.median_us, 0),
-        tell(f.added_us, 0),
-        tell(f.memory_kib, 0),
+        format(f.allocations, 1),
+        format(f.allocated, 0),
+        format(f.reads, 2),
+        format(f.empty_reads, 2),
+        format(f.writes, 2),
+        format(f.peeks, 2),
+        format(f.wakeups, 2),
+        format(f.calls() + f.wakeups, 2),
+        format(f.copied, 0),
+        format(f.cpu_us, 1),
+        format(f.attempts, 2),
+        format(f.connections, 1),
+        format(f.median_us, 0),
+        format(f.added_us, 0),
+        format(f.memory_kib, 0),
     ]
 }
 
-/// Runs the command.
-pub async fn run(options: &Options, stop: &Stop) -> Result<(), Failure> {
+/// Runs the command `cost`.
+pub async fn run(options: &Options, stop: &StopFlag) -> Result<(), Failure> {
     let all = cases::all();
     let names: Vec<String> = all.iter().map(|c| c.name.clone()).collect();
     let budgets = options.budgets.as_ref().map(|p| Budgets::load(p, &names)).transpose()?;
     let chosen: Vec<&Case> = all.iter().filter(|c| c.name.contains(&options.only)).collect();
     if chosen.is_empty() {
-        return Err(Failure::Unusable(format!("no case has '{}' in its name", options.only)));
+        return Err(Failure::InvalidInput(format!("no case has '{}' in its name", options.only)));
     }
-    let new = program(options.program.as_ref())?;
-    let old = options.against.as_ref().map(|p| program(Some(p))).transpose()?;
-    let (mut table, mut over, mut told) = (table(), Vec::new(), Vec::new());
+    let new = find_program(options.program.as_ref())?;
+    let old = options.against.as_ref().map(|p| find_program(Some(p))).transpose()?;
+    let (mut table, mut over, mut results) = (table(), Vec::new(), Vec::new());
     let (mut failed, mut measured) = (Vec::new(), BTreeMap::new());
     for (n, case) in chosen.iter().enumerate() {
         eprintln!("[{}/{}] {}", n + 1, chosen.len(), case.name);
-        let (mut news, mut olds) = (Vec::new(), Vec::new());
+        let (mut new_figures, mut old_figures) = (Vec::new(), Vec::new());
         for _ in 0..options.rounds {
             if stop.is_set() {
                 break;
             }
             if let Some(old) = &old {
-                olds.push(measure(case, old, options.short, stop).await);
+                old_figures.push(measure(case, old, options.short, stop).await);
             }
-            news.push(measure(case, &new, options.short, stop).await);
+            new_figures.push(measure(case, &new, options.short, stop).await);
         }
         if stop.is_set() {
             break;
         }
-        // A case that cannot be measured fails the run, and yet the others are told.
+        // A case that cannot be measured fails the run, but the other cases are still measured and printed.
         let all = |rounds: Vec<Result<_, _>>| rounds.into_iter().collect::<Result<Vec<_>, _>>();
-        let (news, olds) = match (all(news), all(olds)) {
-            (Ok(news), Ok(olds)) => (Figures::median(news), Figures::median(olds)),
-            (Err(Failure::Broken(e)), _) | (_, Err(Failure::Broken(e))) => {
+        let (new_figures, old_figures) = match (all(new_figures), all(old_figures)) {
+            (Ok(new_figures), Ok(old_figures)) => {
+                (Figures::median(new_figures), Figures::median(old_figures))
+            }
+            (Err(Failure::CheckFailed(e)), _) | (_, Err(Failure::CheckFailed(e))) => {
                 failed.push(e);
                 continue;
             }
             (Err(e), _) | (_, Err(e)) => return Err(e),
         };
         if old.is_some() {
-            table.add_row(row(&format!("{} (old)", case.name), &olds));
-            told.push(serde_json::json!({"case": case.name, "build": "old", "figures": olds}));
+            table.add_row(row(&format!("{} (old)", case.name), &old_figures));
+            results.push(serde_json::json!({"case": case.name, "build": "old", "figures": old_figures}));
         }
-        table.add_row(row(&case.name, &news));
-        told.push(serde_json::json!({"case": case.name, "build": "new", "figures": news}));
-        over.extend(budgets.iter().flat_map(|b| b.over(&case.name, &news)));
-        measured.insert(case.name.clone(), news);
+        table.add_row(row(&case.name, &new_figures));
+        results.push(serde_json::json!({"case": case.name, "build": "new", "figures": new_figures}));
+        over.extend(budgets.iter().flat_map(|b| b.over(&case.name, &new_figures)));
+        measured.insert(case.name.clone(), new_figures);
     }
     println!("{table}");
     if let Some(path) = &options.json {
-        let text = serde_json::to_string_pretty(&told).unwrap_or_default();
-        std::fs::write(path, text).map_err(|e| Failure::Unusable(format!("{}: {e}", path.display())))?;
+        let text = serde_json::to_string_pretty(&results).unwrap_or_default();
+        std::fs::write(path, text).map_err(|e| Failure::InvalidInput(format!("{}: {e}", path.display())))?;
     }
     if stop.is_set() {
-        return Err(Failure::Broken(format!("interrupted after {} of {} cases", told.len(), chosen.len())));
+        return Err(Failure::CheckFailed(format!(
+            "interrupted after {} of {} cases",
+            results.len(),
+            chosen.len()
+        )));
     }
     over.extend(budgets.iter().flat_map(|b| b.not_less(&measured)));
     if !failed.is_empty() {
-        return Err(Failure::Broken(failed.join("; ")));
+        return Err(Failure::CheckFailed(failed.join("; ")));
     }
     if over.is_empty() {
         if budgets.is_some() {
@@ -410,5 +428,5 @@
         table.add_row([o.what.clone(), format!("{:.2}", o.counted), format!("{:.2}", o.budget)]);
     }
     println!("\n{table}");
-    Err(Failure::Broken(format!("{} counts are over their budgets", over.len())))
+    Err(Failure::CheckFailed(format!("{} counts are over their budgets", over.len())))
 }
--- a/crates/lab/src/drive.rs
+++ b/crates/lab/src/drive.rs
@@ -1,7 +1,8 @@
-//! Clients that ask: in a closed loop, each its next request after the last answer, or in an open loop at a rate.
+//! Load generators: closed loop (each client sends its next request after the last answer) and open loop (fixed
+//! rate).
 //!
-//! Times of the open loop count from when a request was due, not from when a client came to send it, so that a
-//! standstill is not left out of the figures (coordinated omission).
+//! The open loop measures latency from the time at which a request was due, not from when a client was free to send
+//! it, so that stalls show in the figures (this avoids coordinated omission).
 
 use hdrhistogram::Histogram;
 use linentrail_standins::client::{ClientAnswer, ClientRequest, ODataClient, PgClient};
@@ -11,14 +12,14 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Set when the run is to end early; what was measured by then is still printed.
+/// A flag that ends the run early; the results so far are still printed.
 #[derive(Clone, Default)]
-pub struct Stop(Arc<AtomicBool>);
+pub struct StopFlag(Arc<AtomicBool>);
 
-impl Stop {
-    /// One that an interrupt sets.
+impl StopFlag {
+    /// Creates a flag that SIGINT sets.
     pub fn on_interrupt() -> Self {
-        let stop = Stop::default();
+        let stop = StopFlag::default();
         let set = stop.clone();
         tokio::spawn(async move {
             if tokio::signal::ctrl_c().await.is_ok() {
@@ -28,18 +29,17 @@
         stop
     }
 
-    /// What is set, for those that cannot wait for it.
+    /// The underlying flag, for code that polls it.
     pub fn flag(&self) -> Arc<AtomicBool> {
         self.0.clone()
     }
 
-    /// Whether it is set.
     pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// By which front.
+/// The protocol of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Front {
     /// PostgreSQL's protocol.
@@ -48,110 +48,109 @@
     Odata,
 }
 
-/// What became of all requests of a run.
+/// The results of all requests of a run.
 #[derive(Clone)]
 pub struct Tally {
-    /// From asking to the answer, in ns; served ones alone.
+    /// Latency of the served requests, in ns.
     pub times: Histogram<u64>,
-    /// Answered with a value.
+    /// Requests answered with a value.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed, by an answer that says so.
+    /// Requests answered with an error.
     pub failed: u64,
-    /// Left without an answer.
-    pub broken: u64,
+    /// Requests without an answer because the connection failed.
+    pub unanswered: u64,
 }
 
-/// No times yet: of one ns to one minute, to three digits.
-pub fn times() -> Histogram<u64> {
-    // Bounds that the library takes, so that this cannot fail.
-    Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("sound bounds")
+/// An empty latency histogram: 1 ns to 1 minute, with three significant digits.
+pub fn new_histogram() -> Histogram<u64> {
+    // Cannot fail: the bounds are constant and valid.
+    Histogram::new_with_bounds(1, 60_000_000_000, 3).expect("valid bounds")
 }
 
 impl Tally {
-    /// Nothing yet.
     pub fn new() -> Self {
-        Tally { times: times(), served: 0, refused: 0, failed: 0, broken: 0 }
+        Tally { times: new_histogram(), served: 0, refused: 0, failed: 0, unanswered: 0 }
     }
 
-    /// Takes in another's.
+    /// Adds the results of another tally.
     pub fn add(&mut self, other: &Tally) {
         let _ = self.times.add(&other.times);
         self.served += other.served;
         self.refused += other.refused;
         self.failed += other.failed;
-        self.broken += other.broken;
+        self.unanswered += other.unanswered;
     }
 
-    fn take(&mut self, told: &std::io::Result<ClientAnswer>, spent: Duration) {
-        match told {
+    fn record(&mut self, answer: &std::io::Result<ClientAnswer>, elapsed: Duration) {
+        match answer {
             Ok(ClientAnswer::Served(_)) => {
                 self.served += 1;
-                let ns = u64::try_from(spent.as_nanos()).unwrap_or(u64::MAX).max(1);
+                let ns = u64::try_from(elapsed.as_nanos()).unwrap_or(u64::MAX).max(1);
                 self.times.saturating_record(ns);
             }
             Ok(ClientAnswer::Refused(_)) => self.refused += 1,
             Ok(ClientAnswer::Failed(_)) => self.failed += 1,
-            Err(_) => self.broken += 1,
+            Err(_) => self.unanswered += 1,
         }
     }
 
-    /// All requests.
+    /// The number of all requests.
     pub fn all(&self) -> u64 {
-        self.served + self.refused + self.failed + self.broken
+        self.served + self.refused + self.failed + self.unanswered
     }
 }
 
-/// A connection by either front.
-pub enum Conn {
+/// A client connection of either protocol.
+pub enum Connection {
     /// PostgreSQL's protocol.
     Pg(PgClient),
     /// OData.
     Odata(ODataClient),
 }
 
-impl Conn {
-    /// Connects.
+impl Connection {
     pub async fn open(front: Front, to: SocketAddr) -> std::io::Result<Self> {
         Ok(match front {
-            Front::Pg => Conn::Pg(PgClient::connect(to).await?),
-            Front::Odata => Conn::Odata(ODataClient::connect(to).await?),
+            Front::Pg => Connection::Pg(PgClient::connect(to).await?),
+            Front::Odata => Connection::Odata(ODataClient::connect(to).await?),
         })
     }
 
-    /// Asks, and waits for the answer.
-    pub async fn ask(&mut self, ask: &ClientRequest) -> std::io::Result<ClientAnswer> {
+    /// Sends a request and waits for the answer.
+    pub async fn request(&mut self, request: &ClientRequest) -> std::io::Result<ClientAnswer> {
         match self {
-            Conn::Pg(c) => c.request(ask).await,
-            Conn::Odata(c) => c.request(ask).await,
+            Connection::Pg(c) => c.request(request).await,
+            Connection::Odata(c) => c.request(request).await,
         }
     }
 
-    /// Bytes that came without being asked for, where the front can tell.
+    /// Received bytes that belong to no request; always 0 for OData.
     pub fn unread_bytes(&self) -> usize {
         match self {
-            Conn::Pg(c) => c.unread_bytes(),
-            Conn::Odata(_) => 0,
+            Connection::Pg(c) => c.unread_bytes(),
+            Connection::Odata(_) => 0,
         }
     }
 }
 
-/// Makes the n-th request.
-pub type Asks = Arc<dyn Fn(u64) -> ClientRequest + Send + Sync>;
+/// Creates the n-th request.
+pub type RequestFactory = Arc<dyn Fn(u64) -> ClientRequest + Send + Sync>;
 
-/// When the n-th request is due, and whether it still is one of the run.
+/// Decides when the n-th request is due and when the run ends.
 #[derive(Clone, Copy)]
 enum Pace {
-    /// So many in all, each as soon as a client is free.
+    /// This many requests in total, each as soon as a client is free.
     Count(u64),
-    /// Until then, each as soon as a client is free.
+    /// Requests until this time, each as soon as a client is free.
     Until(Instant),
-    /// From a start until an end at so many a second, whoever is free.
+    /// Start, end and requests per second, independent of answers.
     Rate(Instant, Instant, f64),
 }
 
 impl Pace {
+    /// The due time of the n-th request; `None` after the end of the run.
     fn due(self, n: u64) -> Option<Instant> {
         let now = Instant::now();
         match self {
@@ -165,47 +164,54 @@
     }
 }
 
-/// One client's part of a run.
+/// Runs one client; all clients draw request numbers from `next`.
 async fn client(
     front: Front,
     to: SocketAddr,
     pace: Pace,
     next: Arc<AtomicU64>,
-    asks: Asks,
-    stop: Stop,
+    new_request: RequestFactory,
+    stop: StopFlag,
 ) -> Tally {
     let (mut tally, mut conn) = (Tally::new(), None);
     while !stop.is_set() {
         let n = next.fetch_add(1, Ordering::Relaxed);
         let Some(due) = pace.due(n) else { break };
-        // Only where there is something to wait for: the shortest sleep takes a millisecond.
+        // Avoids a sleep where none is needed, because even the shortest sleep takes a millisecond.
         if due > Instant::now() {
             tokio::time::sleep_until(due.into()).await;
         }
-        let ask = asks(n);
-        let told = async {
+        let request = new_request(n);
+        let answer = async {
             if conn.is_none() {
-                conn = Some(Conn::open(front, to).await?);
+                conn = Some(Connection::open(front, to).await?);
             }
             match &mut conn {
-                Some(conn) => conn.ask(&ask).await,
+                Some(conn) => conn.request(&request).await,
                 None => Err(std::io::ErrorKind::NotConnected.into()),
             }
         };
-        let told = told.await;
-        tally.take(&told, due.elapsed());
-        if told.is_err() {
+        let answer = answer.await;
+        tally.record(&answer, due.elapsed());
+        if answer.is_err() {
             conn = None;
         }
     }
     tally
 }
 
-async fn all(front: Front, to: SocketAddr, clients: usize, pace: Pace, asks: &Asks, stop: &Stop) -> Tally {
+async fn run_clients(
+    front: Front,
+    to: SocketAddr,
+    clients: usize,
+    pace: Pace,
+    new_request: &RequestFactory,
+    stop: &StopFlag,
+) -> Tally {
     let next = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
     for _ in 0..clients {
-        tasks.spawn(client(front, to, pace, next.clone(), asks.clone(), stop.clone()));
+        tasks.spawn(client(front, to, pace, next.clone(), new_request.clone(), stop.clone()));
     }
     let mut all = Tally::new();
     while let Some(tally) = tasks.join_next().await {
@@ -216,29 +222,29 @@
     all
 }
 
-/// `clients` ask `count` requests in all, each its next after its last answer.
-pub async fn closed(
+/// Closed loop: `clients` send `count` requests in total.
+pub async fn run_closed_loop(
     front: Front,
     to: SocketAddr,
     clients: usize,
     count: u64,
-    asks: &Asks,
-    stop: &Stop,
+    new_request: &RequestFactory,
+    stop: &StopFlag,
 ) -> Tally {
-    all(front, to, clients, Pace::Count(count), asks, stop).await
+    run_clients(front, to, clients, Pace::Count(count), new_request, stop).await
 }
 
-/// `clients` ask for so long, at a rate where one is given, or each its next after its last answer.
-pub async fn load(
+/// Sends requests from `clients` for `duration`: open loop if `rate` is given, otherwise closed loop.
+pub async fn run_load(
     front: Front,
     to: SocketAddr,
     clients: usize,
     rate: Option<f64>,
-    span: Duration,
-    asks: &Asks,
-    stop: &Stop,
+    duration: Duration,
+    new_request: &RequestFactory,
+    stop: &StopFlag,
 ) -> Tally {
     let now = Instant::now();
-    let pace = rate.map_or(Pace::Until(now + span), |rate| Pace::Rate(now, now + span, rate));
-    all(front, to, clients, pace, asks, stop).await
+    let pace = rate.map_or(Pace::Until(now + duration), |rate| Pace::Rate(now, now + duration, rate));
+    run_clients(front, to, clients, pace, new_request, stop).await
 }
--- a/crates/lab/src/fleet/hunt.rs
+++ b/crates/lab/src/fleet/hunt.rs
@@ -1,9 +1,9 @@
-//! Hunts for breaches: draws scenarios from a seed on, runs several at a time, and shortens each that shows a breach to a
-//! file that can be kept as a test.
+//! Searches for breaches: generates random scenarios from consecutive seeds, runs several at a time, and shortens
+//! each scenario that shows a breach to a file that can be kept as a test.
 
 use super::{play, report};
-use crate::drive::Stop;
-use crate::world::program;
+use crate::drive::StopFlag;
+use crate::world::find_program;
 use crate::Failure;
 use clap::Args;
 use linentrail_standins::rig::checker::Rule;
@@ -14,19 +14,19 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// What is drawn, by whichever command.
+/// Options that `hunt` and `soak` share.
 #[derive(Args)]
 struct Seeds {
-    /// The proxy to start; else the one beside this program
+    /// Executable of the proxy to start; default: linentrail in the folder of this program
     #[arg(long)]
     program: Option<PathBuf>,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds; without it until it is stopped
+    /// How many seeds; by default runs until it is interrupted
     #[arg(long)]
     count: Option<u64>,
-    /// Each breach is written here, as a scenario that shows it
+    /// Folder for the scenarios that showed a breach
     #[arg(long)]
     keep: Option<PathBuf>,
 }
@@ -42,10 +42,10 @@
 pub struct Options {
     #[command(flatten)]
     seeds: Seeds,
-    /// Scenarios at a time
+    /// How many scenarios to run at a time
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=64))]
     jobs: u64,
-    /// Draws proxies that agree on their rules
+    /// Generates scenarios in which the proxies agree on their rules
     #[arg(long)]
     agree: bool,
 }
@@ -55,110 +55,114 @@
 pub struct SoakOptions {
     #[command(flatten)]
     seeds: Seeds,
-    /// Runs at a time
+    /// How many scenarios to run at a time
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=16))]
     jobs: u64,
-    /// Only orders and counts are judged, and no time: for machines of any speed
+    /// Checks only orders and counts, no times: for machines of any speed
     #[arg(long)]
     patient: bool,
-    /// A breach is told and not made short
+    /// Reports a breach without shortening its scenario
     #[arg(long)]
     whole: bool,
 }
 
-/// What a hunt draws and what it does with a breach.
+/// A search for breaches: the scenarios to generate, and how to handle a breach.
 struct Hunt {
     program: PathBuf,
     seeds: std::ops::Range<u64>,
     jobs: usize,
     draw: fn(u64) -> RandomScenario,
     patient: bool,
-    shortens: bool,
+    shorten_breaches: bool,
     keep: Option<PathBuf>,
 }
 
-/// Longer than any run: only orders and counts are judged then, in ms. A slow machine sends in bursts, too.
-const PATIENCE_MS: u64 = 20_000;
-const PATIENT_COLD: u64 = 100;
+/// A time bound in ms that is longer than any run, so that only orders and counts are checked.
+const RELAXED_BOUND_MS: u64 = 20_000;
+/// The bound `cold` with `--patient`; it is this high because a slow machine sends in bursts.
+const RELAXED_COLD_BOUND: u64 = 100;
 
-/// Runs many processes whose system calls fail, under faults that overlap, seed after seed.
-pub async fn soak(options: &SoakOptions, stop: &Stop) -> Result<(), Failure> {
+/// Runs the command `soak`: many processes with failing system calls and overlapping faults, for many seeds.
+pub async fn soak(options: &SoakOptions, stop: &StopFlag) -> Result<(), Failure> {
     let hunt = Hunt {
-        program: program(options.seeds.program.as_ref())?,
+        program: find_program(options.seeds.program.as_ref())?,
         seeds: options.seeds.range(),
         jobs: options.jobs as usize,
         draw: draw_soak,
         patient: options.patient,
-        shortens: !options.whole,
+        shorten_breaches: !options.whole,
         keep: options.seeds.keep.clone(),
     };
     hunt.run(stop).await
 }
 
-/// How often a shorter scenario is run before it counts as one that shows nothing: what many processes do is not the
-/// same each time.
-const TRIES: usize = 2;
+/// How often a shortened scenario is run before it counts as free of breaches: runs with many processes are not
+/// deterministic.
+const RUNS_PER_SCENARIO: usize = 2;
 
-/// The rules that a run of a drawn scenario has broken, and what was seen.
-async fn broken(
-    drawn: &RandomScenario,
+/// Runs a generated scenario; returns the rules it broke and a line for each breach.
+async fn run_scenario(
+    scenario: &RandomScenario,
     program: &Path,
-    stop: &Stop,
+    stop: &StopFlag,
 ) -> Result<(BTreeSet<Rule>, Vec<String>), Failure> {
-    let wrong = |w: Vec<_>| Failure::Broken(format!("a drawn scenario is wrong: {w:?}"));
-    let script = Script::read(&drawn.text()).map_err(wrong)?;
+    let wrong = |w: Vec<_>| Failure::CheckFailed(format!("a generated scenario is invalid: {w:?}"));
+    let script = Script::read(&scenario.text()).map_err(wrong)?;
     let verdict = play(&script, program, stop, false).await?.verdict;
-    Ok((verdict.counts.keys().copied().collect(), verdict.breaches.iter().map(report::line).collect()))
+    Ok((
+        verdict.counts.keys().copied().collect(),
+        verdict.breaches.iter().map(report::format_breach).collect(),
+    ))
 }
 
-/// Shortens on a thread that may block.
-async fn shortest(
-    drawn: RandomScenario,
+/// Shortens a scenario that broke `rules`, on a thread that may block.
+async fn shorten(
+    scenario: RandomScenario,
     rules: BTreeSet<Rule>,
     program: PathBuf,
-    stop: Stop,
+    stop: StopFlag,
 ) -> RandomScenario {
     let handle = tokio::runtime::Handle::current();
-    let first = drawn.clone();
+    let original = scenario.clone();
     let work = move || {
         let shows = |d: &RandomScenario| {
-            (0..TRIES).any(|_| {
-                let found = handle.block_on(broken(d, &program, &stop));
+            (0..RUNS_PER_SCENARIO).any(|_| {
+                let found = handle.block_on(run_scenario(d, &program, &stop));
                 found.is_ok_and(|(seen, _)| !seen.is_disjoint(&rules))
             })
         };
-        shrink(drawn, shows)
+        shrink(scenario, shows)
     };
-    tokio::task::spawn_blocking(work).await.unwrap_or(first)
+    tokio::task::spawn_blocking(work).await.unwrap_or(original)
 }
 
-/// Runs the command.
-pub async fn run(options: &Options, stop: &Stop) -> Result<(), Failure> {
+/// Runs the command `hunt`.
+pub async fn run(options: &Options, stop: &StopFlag) -> Result<(), Failure> {
     let hunt = Hunt {
-        program: program(options.seeds.program.as_ref())?,
+        program: find_program(options.seeds.program.as_ref())?,
         seeds: options.seeds.range(),
         jobs: options.jobs as usize,
         draw: if options.agree { draw_agreeing } else { draw },
         patient: false,
-        shortens: true,
+        shorten_breaches: true,
         keep: options.seeds.keep.clone(),
     };
     hunt.run(stop).await
 }
 
 impl Hunt {
-    fn drawn(&self, seed: u64) -> RandomScenario {
-        let mut drawn = (self.draw)(seed);
+    fn scenario(&self, seed: u64) -> RandomScenario {
+        let mut scenario = (self.draw)(seed);
         if self.patient {
             for bound in ["late", "drain", "patience"] {
-                drawn.world.push(format!("bound {bound} {PATIENCE_MS}"));
+                scenario.world.push(format!("bound {bound} {RELAXED_BOUND_MS}"));
             }
-            drawn.world.push(format!("bound cold {PATIENT_COLD}"));
+            scenario.world.push(format!("bound cold {RELAXED_COLD_BOUND}"));
         }
-        drawn
+        scenario
     }
 
-    async fn run(&self, stop: &Stop) -> Result<(), Failure> {
+    async fn run(&self, stop: &StopFlag) -> Result<(), Failure> {
         let program = Arc::new(self.program.clone());
         let (mut next, mut done, mut found) = (self.seeds.start, 0u64, 0u64);
         let mut kinds: BTreeMap<&str, u64> = BTreeMap::new();
@@ -167,17 +171,17 @@
             while tasks.len() < self.jobs && next < self.seeds.end && !stop.is_set() {
                 let (seed, program, stop) = (next, program.clone(), stop.clone());
                 next += 1;
-                let drawn = self.drawn(seed);
-                tasks.spawn(async move { (seed, broken(&drawn, &program, &stop).await, drawn) });
+                let scenario = self.scenario(seed);
+                tasks.spawn(async move { (seed, run_scenario(&scenario, &program, &stop).await, scenario) });
             }
             let Some(ended) = tasks.join_next().await else { break };
-            let Ok((seed, seen, drawn)) = ended else { continue };
+            let Ok((seed, seen, scenario)) = ended else { continue };
             if stop.is_set() {
                 continue;
             }
             let (rules, lines) = seen?;
             done += 1;
-            drawn.kinds().into_iter().for_each(|(kind, n)| *kinds.entry(kind).or_default() += n);
+            scenario.kinds().into_iter().for_each(|(kind, n)| *kinds.entry(kind).or_default() += n);
             if done % 20 == 0 {
                 eprintln!("{done} scenarios, {found} with a breach");
             }
@@ -187,23 +191,23 @@
             found += 1;
             println!("seed {seed}:");
             lines.iter().for_each(|l| println!("  {l}"));
-            let short = match self.shortens {
-                true => shortest(drawn, rules, program.to_path_buf(), stop.clone()).await,
-                false => drawn,
+            let short = match self.shorten_breaches {
+                true => shorten(scenario, rules, program.to_path_buf(), stop.clone()).await,
+                false => scenario,
             };
             println!("{}", short.text());
             if let Some(folder) = &self.keep {
                 let path = folder.join(format!("hunted-{seed}.rig"));
                 let text = format!("# Drawn: {}\n{}", lines[0].trim(), short.text());
                 std::fs::write(&path, text)
-                    .map_err(|e| Failure::Unusable(format!("{}: {e}", path.display())))?;
+                    .map_err(|e| Failure::InvalidInput(format!("{}: {e}", path.display())))?;
             }
         }
-        let drawn: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
-        println!("{done} scenarios, faults drawn: {}; {found} with a breach", drawn.join(", "));
+        let fault_counts: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
+        println!("{done} scenarios, faults drawn: {}; {found} with a breach", fault_counts.join(", "));
         match found {
             0 => Ok(()),
-            n => Err(Failure::Broken(format!("{n} scenarios show a breach"))),
+            n => Err(Failure::CheckFailed(format!("{n} scenarios show a breach"))),
         }
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Many real proxies between stand-ins, with faults between any two parties: a scenario is run, judged and measured, for
-//! one program or two in turn, over several seeds.
+//! Runs scenarios with many real proxies, stand-ins and faults between any two parties; checks the rules and measures
+//! the results, for one build or two builds alternately, with several seeds.
 
 pub mod hunt;
 mod plot;
 mod report;
 
-use crate::drive::Stop;
-use crate::world::program;
+use crate::drive::StopFlag;
+use crate::world::find_program;
 use crate::Failure;
 use clap::Args;
 use linentrail_standins::rig::checker;
@@ -18,30 +18,30 @@
 /// Options of `fleet`.
 #[derive(Args)]
 pub struct Options {
-    /// The scenario (docs/rig.md says how one is written)
+    /// File of the scenario (docs/rig.md describes the language)
     scenario: PathBuf,
-    /// The proxy to start; else the one beside this program
+    /// Executable of the proxy to start; default: linentrail in the folder of this program
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Another build, run in turn with the first
+    /// Another build to compare with, run alternately with the first
     #[arg(long)]
     against: Option<PathBuf>,
-    /// Runs with so many seeds, from the scenario's on
+    /// Number of seeds to run, beginning with the scenario's seed
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     seeds: u64,
-    /// So many proxies instead of the scenario's; several numbers are run in turn: 8,16,32
+    /// Number of proxies instead of the scenario's; a list such as 8,16,32 runs each number in turn
     #[arg(long, value_delimiter = ',', value_parser = clap::value_parser!(u32).range(1..=200))]
     proxies: Vec<u32>,
-    /// So many proxies are told to each, whatever there are: a wrong guess
+    /// Number of proxies that each proxy is told there are, whatever the real number: tests a wrong setting
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..))]
     told: Option<u32>,
-    /// Writes the last run's events here, a JSON object a line
+    /// File for the events of the last run, one JSON object per line
     #[arg(long)]
     log: Option<PathBuf>,
-    /// Draws the figures over the numbers of proxies here (SVG)
+    /// File for a plot of the figures over the number of proxies (SVG)
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// Writes all figures here as JSON
+    /// File to write all figures to, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -49,14 +49,14 @@
 /// Options of `judge`.
 #[derive(Args)]
 pub struct JudgeOptions {
-    /// Events as `fleet --log` wrote them
+    /// File of events written by `fleet --log`
     log: PathBuf,
-    /// The scenario with the bounds that hold
+    /// File of the scenario, which sets the bounds
     scenario: PathBuf,
 }
 
 fn read(path: &Path) -> Result<Script, Failure> {
-    let bad = |what: String| Failure::Unusable(format!("{}: {what}", path.display()));
+    let bad = |what: String| Failure::InvalidInput(format!("{}: {what}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| bad(e.to_string()))?;
     Script::read(&text).map_err(|wrong| {
         let all: Vec<String> = wrong.iter().map(ToString::to_string).collect();
@@ -64,28 +64,28 @@
     })
 }
 
-/// One run on a thread of its own, as it blocks.
-async fn play(script: &Script, program: &Path, stop: &Stop, loud: bool) -> Result<Outcome, Failure> {
+/// Runs a scenario on a blocking thread; prints its progress if `verbose`.
+async fn play(script: &Script, program: &Path, stop: &StopFlag, verbose: bool) -> Result<Outcome, Failure> {
     let (script, program, flag) = (script.clone(), program.to_path_buf(), stop.flag());
-    let said = move |what: &str| {
-        if loud {
+    let print = move |what: &str| {
+        if verbose {
             eprintln!("{what}");
         }
     };
-    let play = move || run_once(&script, &program, |_, _, _| {}, said, &flag);
+    let play = move || run_once(&script, &program, |_, _, _| {}, print, &flag);
     let done = tokio::task::spawn_blocking(play).await;
-    let failed = |what: String| Failure::Broken(format!("the run says nothing: {what}"));
+    let failed = |what: String| Failure::CheckFailed(format!("the run failed: {what}"));
     done.map_err(|e| failed(e.to_string()))?.map_err(|e| failed(e.to_string()))
 }
 
-/// Runs the command.
-pub async fn run(options: &Options, stop: &Stop) -> Result<(), Failure> {
+/// Runs the command `fleet`.
+pub async fn run(options: &Options, stop: &StopFlag) -> Result<(), Failure> {
     let mut script = read(&options.scenario)?;
     let sizes = if options.proxies.is_empty() { vec![script.proxies] } else { options.proxies.clone() };
     let as_many = script.announced_proxies == script.proxies;
-    let mut programs = vec![("new", program(options.program.as_ref())?)];
+    let mut programs = vec![("new", find_program(options.program.as_ref())?)];
     if let Some(old) = &options.against {
-        programs.insert(0, ("old", program(Some(old))?));
+        programs.insert(0, ("old", find_program(Some(old))?));
     }
     let first = script.seed;
     let mut table = report::Report::default();
@@ -101,7 +101,7 @@
             eprintln!("{proxies} proxies, seed {seed}, {name}");
             let outcome = play(&script, program, stop, options.seeds == 1 && sizes.len() == 1).await?;
             if let Some(path) = &options.log {
-                let bad = |e: std::io::Error| Failure::Unusable(format!("{}: {e}", path.display()));
+                let bad = |e: std::io::Error| Failure::InvalidInput(format!("{}: {e}", path.display()));
                 let file = std::fs::File::create(path).map_err(bad)?;
                 events::write_events(&outcome.events, std::io::BufWriter::new(file)).map_err(bad)?;
             }
@@ -129,29 +129,29 @@
     table.print();
     if let Some(path) = &options.json {
         let text = table.json().to_string();
-        std::fs::write(path, text).map_err(|e| Failure::Unusable(format!("{}: {e}", path.display())))?;
+        std::fs::write(path, text).map_err(|e| Failure::InvalidInput(format!("{}: {e}", path.display())))?;
     }
     if let Some(path) = &options.plot {
-        let bad = |e: Box<dyn std::error::Error>| Failure::Unusable(format!("{}: {e}", path.display()));
+        let bad = |e: Box<dyn std::error::Error>| Failure::InvalidInput(format!("{}: {e}", path.display()));
         plot::write(table.runs(), path).map_err(bad)?;
     }
-    match (table.broken("new"), stop.is_set()) {
+    match (table.breach_count("new"), stop.is_set()) {
         (0, false) => Ok(()),
-        (0, true) => Err(Failure::Broken("interrupted".to_string())),
-        (n, _) => Err(Failure::Broken(format!("{n} breaches"))),
+        (0, true) => Err(Failure::CheckFailed("interrupted".to_string())),
+        (n, _) => Err(Failure::CheckFailed(format!("{n} breaches"))),
     }
 }
 
-/// Judges events that were written down.
+/// Runs the command `judge`: checks recorded events.
 pub fn judge(options: &JudgeOptions) -> Result<(), Failure> {
     let script = read(&options.scenario)?;
-    let bad = |what: String| Failure::Unusable(format!("{}: {what}", options.log.display()));
+    let bad = |what: String| Failure::InvalidInput(format!("{}: {what}", options.log.display()));
     let file = std::fs::File::open(&options.log).map_err(|e| bad(e.to_string()))?;
     let events = events::read_events(std::io::BufReader::new(file)).map_err(bad)?;
     let verdict = checker::judge(&events, 0, &script.bounds);
-    verdict.breaches.iter().for_each(|b| println!("{}", report::line(b)));
+    verdict.breaches.iter().for_each(|b| println!("{}", report::format_breach(b)));
     if !verdict.passed() {
-        return Err(Failure::Broken("a rule was broken".to_string()));
+        return Err(Failure::CheckFailed("a rule was broken".to_string()));
     }
     println!("{} requests, all rules kept", verdict.asked);
     Ok(())
--- a/crates/lab/src/fleet/plot.rs
+++ b/crates/lab/src/fleet/plot.rs
@@ -1,4 +1,4 @@
-//! Figures of runs over the number of proxies, as a drawing (SVG): time to full service, and the peaks at members and at
+//! Plots figures of runs over the number of proxies (SVG): time to full service, and peaks at members and at
 //! discovery.
 
 use plotters::coord::Shift;
@@ -12,17 +12,17 @@
 const COLOURS: [RGBColor; 4] =
     [RGBColor(31, 119, 180), RGBColor(214, 39, 40), RGBColor(44, 160, 44), RGBColor(148, 103, 189)];
 
-/// A drawing's title, and where its figure stands in a run.
-type Panel = (&'static str, fn(&Value) -> Option<f64>);
+/// The title of a chart, and a function that reads its figure from a run.
+type Chart = (&'static str, fn(&Value) -> Option<f64>);
 
-const PANELS: [Panel; 4] = [
+const CHARTS: [Chart; 4] = [
     ("time to full service, ms", |run| run["full_ms"].as_f64()),
     ("new connections at one member in 250 ms, after the fault", |run| run["opened"][1].as_f64()),
     ("probes of all members in 4 s, after the fault", |run| run["probed"][1].as_f64()),
     ("calls that discovery could not answer", |run| run["unanswered"].as_f64()),
 ];
 
-/// Means by program and by the number of proxies.
+/// Means of a figure, by program and number of proxies; runs without the figure are left out.
 fn means(runs: &[Value], figure: fn(&Value) -> Option<f64>) -> BTreeMap<String, Vec<(f64, f64)>> {
     let mut all: BTreeMap<(String, u64), Vec<f64>> = BTreeMap::new();
     for run in runs {
@@ -69,10 +69,10 @@
     Ok(())
 }
 
-/// Draws what runs of several sizes have shown.
+/// Plots the figures of runs with several numbers of proxies.
 ///
 /// # Errors
-/// When there is nothing to draw or the file cannot be written.
+/// If all runs have the same number of proxies, or the file cannot be written.
 pub fn write(runs: &[Value], path: &Path) -> Result<(), Box<dyn Error>> {
     let sizes: BTreeSet<u64> = runs.iter().filter_map(|run| run["proxies"].as_u64()).collect();
     if sizes.len() < 2 {
@@ -80,7 +80,7 @@
     }
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    for (area, (title, figure)) in root.split_evenly((2, 2)).iter().zip(PANELS) {
+    for (area, (title, figure)) in root.split_evenly((2, 2)).iter().zip(CHARTS) {
         draw(area, title, &means(runs, figure))?;
     }
     root.present()?;
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn means_are_by_program_and_size_and_leave_out_what_was_never_reached() {
+    fn means_are_grouped_by_program_and_size_and_skip_missing_figures() {
         let runs = [
             run("new", 8, Some(10.0)),
             run("new", 8, Some(30.0)),
@@ -106,20 +106,20 @@
             run("new", 32, Some(50.0)),
             run("old", 8, Some(70.0)),
         ];
-        let lines = means(&runs, PANELS[0].1);
+        let lines = means(&runs, CHARTS[0].1);
         assert_eq!(lines["new"], [(8.0, 20.0), (32.0, 50.0)]);
         assert_eq!(lines["old"], [(8.0, 70.0)]);
     }
 
     #[test]
-    fn a_drawing_has_its_four_panels_and_one_size_is_none() {
+    fn a_plot_has_four_charts_and_needs_more_than_one_size() {
         let path = std::env::temp_dir().join(format!("linentrail-plot-{}.svg", std::process::id()));
         let runs = [run("new", 8, Some(10.0)), run("new", 128, Some(900.0))];
-        write(&runs, &path).expect("it can be drawn");
+        write(&runs, &path).expect("the plot is written");
         let text = std::fs::read_to_string(&path).expect("a file");
-        assert!(PANELS.iter().all(|(title, _)| text.contains(title)), "{text}");
+        assert!(CHARTS.iter().all(|(title, _)| text.contains(title)), "{text}");
         assert!(text.starts_with("<svg") && text.contains("new"));
-        std::fs::remove_file(&path).expect("it was there");
+        std::fs::remove_file(&path).expect("the file is removed");
         assert!(write(&runs[..1], &path).is_err());
     }
 }
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -1,23 +1,23 @@
-//! What runs of a scenario have shown, as a table and as JSON.
+//! The results of runs of a scenario, as a table and as JSON.
 
 use comfy_table::{presets, CellAlignment, Table};
 use linentrail_standins::rig::checker::Breach;
 use linentrail_standins::rig::run::Outcome;
 use serde_json::{json, Value};
 
-/// All runs so far.
+/// The results of all runs so far.
 #[derive(Default)]
 pub struct Report {
     rows: Vec<Value>,
     breaches: Vec<(String, u64, String)>,
 }
 
-/// A breach in a line.
-pub fn line(breach: &Breach) -> String {
+/// Formats a breach as one line.
+pub fn format_breach(breach: &Breach) -> String {
     format!("{:8.3} s  {:?}: {}", breach.at as f64 / 1e6, breach.rule, breach.what)
 }
 
-const HEADS: [&str; 14] = [
+const COLUMNS: [&str; 14] = [
     "proxies",
     "seed",
     "program",
@@ -35,53 +35,58 @@
 ];
 
 impl Report {
-    /// Takes in a run.
+    /// Adds the results of a run.
     pub fn add(&mut self, program: &str, (proxies, seed): (u32, u64), outcome: &Outcome) {
         let Outcome { verdict, recovery, counters, .. } = outcome;
         let recovery = recovery.clone().unwrap_or_default();
         let [before, after] = verdict.peaks;
         let counts: Value = verdict.counts.iter().map(|(rule, n)| (format!("{rule:?}"), json!(n))).collect();
-        // The slowest process by its own word, and the most that its word and its clients' view are apart.
-        let told = outcome.full_service_times.values().map(|(_, told)| *told).max();
-        let apart = outcome.full_service_times.values().map(|(seen, told)| seen.abs_diff(*told)).max();
+        // The longest time to full service that a process reported, and the largest difference between the time
+        // that a process reported and the time that its clients observed.
+        let reported = outcome.full_service_times.values().map(|(_, reported)| *reported).max();
+        let difference = outcome
+            .full_service_times
+            .values()
+            .map(|(observed, reported)| observed.abs_diff(*reported))
+            .max();
         let each: Vec<Value> = outcome
             .full_service_times
             .iter()
-            .map(|(p, (seen, told))| json!([p, seen / 1000, told / 1000]))
+            .map(|(p, (observed, reported))| json!([p, observed / 1000, reported / 1000]))
             .collect();
         self.rows.push(json!({
             "proxies": proxies, "seed": seed, "program": program, "asked": verdict.asked, "good_before": recovery.share_before,
             "first_half_second": recovery.share_first_half_second, "full_ms": recovery.time_to_full.map(|t| t as f64 / 1e3),
-            "told_ms": told.map(|t| t / 1000), "apart_ms": apart.map(|t| t / 1000), "each_ms": each,
+            "told_ms": reported.map(|t| t / 1000), "apart_ms": difference.map(|t| t / 1000), "each_ms": each,
             "opened": [before.opened, after.opened], "probed": [before.probed, after.probed],
             "called": [before.called, after.called], "unanswered": verdict.unanswered,
             "breaches": counts, "counters": counters,
         }));
-        let told = verdict.breaches.iter().map(|b| (program.to_string(), seed, line(b)));
-        self.breaches.extend(told);
+        let lines = verdict.breaches.iter().map(|b| (program.to_string(), seed, format_breach(b)));
+        self.breaches.extend(lines);
     }
 
-    /// The figures, a run each.
+    /// The figures, one entry for each run.
     pub fn runs(&self) -> &[Value] {
         &self.rows
     }
 
-    /// How many breaches a program has shown that were told.
-    pub fn broken(&self, program: &str) -> usize {
+    /// The number of breaches recorded for a program.
+    pub fn breach_count(&self, program: &str) -> usize {
         self.breaches.iter().filter(|b| b.0 == program).count()
     }
 
-    /// All of it.
+    /// All figures and breaches as JSON.
     pub fn json(&self) -> Value {
         let breaches: Vec<Value> =
             self.breaches.iter().map(|(p, s, b)| json!({"program": p, "seed": s, "breach": b})).collect();
         json!({"runs": self.rows, "breaches": breaches})
     }
 
-    /// Prints it.
+    /// Prints the table and the breaches.
     pub fn print(&self) {
         let mut table = Table::new();
-        table.load_preset(presets::ASCII_MARKDOWN).set_header(HEADS);
+        table.load_preset(presets::ASCII_MARKDOWN).set_header(COLUMNS);
         table.column_iter_mut().skip(3).for_each(|c| c.set_cell_alignment(CellAlignment::Right));
         for row in &self.rows {
             let share = |name: &str| format!("{:.3}", row[name].as_f64().unwrap_or(0.0));
@@ -96,7 +101,7 @@
                 row["full_ms"].as_f64().map_or("never".into(), |ms| format!("{ms:.0}")),
                 match (&row["told_ms"], &row["apart_ms"]) {
                     (Value::Null, _) => "-".to_string(),
-                    (told, apart) => format!("{told} ({apart})"),
+                    (reported, difference) => format!("{reported} ({difference})"),
                 },
                 pair("opened", 0),
                 pair("opened", 1),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab: linentrail between stand-ins on loopback, to be shown, loaded and measured.
+//! Demonstrations, load tests and cost measurements of linentrail with stand-in members and discovery on loopback.
 
 mod cost;
 mod demo;
@@ -21,28 +21,28 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What a request costs: allocations, socket calls, wake-ups, copies, processor time, time added.
+    /// Measures the cost of a request: allocations, socket calls, wake-ups, copies, CPU time and added latency.
     Cost(cost::Options),
-    /// A mixed load of all classes by both fronts between stand-ins with faults, and whether the rules were kept.
+    /// Runs a mixed load of all classes through both fronts while members fail, and checks the rules.
     Demo(demo::Options),
-    /// Many real proxies in a scenario of faults: run, judged by rules and sums, time to full service measured.
+    /// Runs many real proxies in a fault scenario, checks the rules and measures the time to full service.
     Fleet(fleet::Options),
-    /// Draws scenarios of faults until one shows a breach, and makes that one short.
+    /// Generates random fault scenarios until one shows a breach, and shortens that scenario.
     Hunt(fleet::hunt::Options),
-    /// Judges the events of a run of `fleet` again.
+    /// Checks the recorded events of a `fleet` run again.
     Judge(fleet::JudgeOptions),
-    /// Load of one class, at a rate or from clients that wait; results as JSON.
+    /// Generates load of one class, open loop or closed loop; prints the results as JSON.
     Load(load::Options),
-    /// Runs 10 to 40 real processes under overlapping faults, their system calls' among them, seed after seed
+    /// Runs 10 to 40 real processes under overlapping faults, including failing system calls, for many seeds
     Soak(fleet::hunt::SoakOptions),
 }
 
-/// Why a command ends without success.
+/// Why a command failed; decides the exit status.
 enum Failure {
-    /// The arguments or files cannot be used; exit status 2.
-    Unusable(String),
-    /// What was measured or checked is not as it should be; exit status 1.
-    Broken(String),
+    /// Invalid arguments or files; exit status 2.
+    InvalidInput(String),
+    /// A measurement or check failed; exit status 1.
+    CheckFailed(String),
 }
 
 fn main() -> ExitCode {
@@ -62,7 +62,7 @@
         }
     };
     let end = runtime.block_on(async {
-        let stop = drive::Stop::on_interrupt();
+        let stop = drive::StopFlag::on_interrupt();
         match arguments.command {
             Command::Cost(options) => cost::run(&options, &stop).await,
             Command::Demo(options) => demo::run(&options, &stop).await,
@@ -75,11 +75,11 @@
     });
     match end {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Broken(message)) => {
+        Err(Failure::CheckFailed(message)) => {
             eprintln!("linentrail-lab: {message}");
             ExitCode::FAILURE
         }
-        Err(Failure::Unusable(message)) => {
+        Err(Failure::InvalidInput(message)) => {
             eprintln!("linentrail-lab: {message}");
             ExitCode::from(2)
         }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,4 +1,4 @@
-//! A world on loopback: a group of one primary and its replicas, discovery, and the real proxy before them.
+//! A test setup on loopback: a group of one primary and its replicas, discovery, and the real proxy in front of them.
 
 use crate::drive::Front;
 use crate::Failure;
@@ -10,36 +10,36 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Replicas beside the primary.
+/// Number of replicas of the group.
 pub const REPLICAS: usize = 3;
 
-/// How a world is to be.
-pub struct Plan<'a> {
+/// Options of a test setup.
+pub struct WorldOptions<'a> {
     /// The proxy's program.
     pub program: &'a Path,
-    /// How much each member can take.
+    /// The capacity of each member.
     pub capacity: Capacity,
-    /// How far the replicas are behind, in ms.
+    /// Replication lag of the replicas, in ms.
     pub lag_ms: u64,
-    /// Whether OData is served too.
+    /// Whether the proxy also serves OData.
     pub odata: bool,
-    /// How many times longer than the users' all aims and deadlines are.
-    pub patience: u64,
+    /// Factor applied to the aims and deadlines of all classes.
+    pub timeout_factor: u64,
 }
 
-/// The running world.
+/// The running test setup.
 pub struct World {
-    /// The primary first.
+    /// The members; the first is the primary.
     pub members: Vec<Member>,
-    /// Their log.
+    /// The replication log that the members share.
     pub group: Group,
     /// The proxy.
     pub proxy: Proxy,
 }
 
 impl World {
-    /// Starts it, with the users' four classes at their own aims and deadlines.
-    pub async fn start(plan: &Plan<'_>) -> Result<Self, Failure> {
+    /// Starts the members, discovery and the proxy, with the four classes of the users.
+    pub async fn start(plan: &WorldOptions<'_>) -> Result<Self, Failure> {
         let group = Group::default();
         let start = |i| Member::start(&group, i == 0, if i == 0 { 0 } else { plan.lag_ms }, plan.capacity);
         let members: Vec<Member> = (0..=REPLICAS).map(start).collect();
@@ -47,7 +47,7 @@
         let discovery = Registry::default().start(list.clone().into()).to_string();
         let mut settings = proxy::settings();
         settings["discovery"] = "subscribe".into();
-        settings["services"] = proxy::classes(plan.patience);
+        settings["services"] = proxy::classes(plan.timeout_factor);
         let setup = Setup {
             program: plan.program.to_path_buf(),
             config: proxy::config(&discovery, &list, settings, 1024, 192),
@@ -55,15 +55,16 @@
             ..Setup::default()
         };
         let proxy = Proxy::start(&setup)
-            .map_err(|e| Failure::Unusable(format!("{}: {e}", plan.program.display())))?;
+            .map_err(|e| Failure::InvalidInput(format!("{}: {e}", plan.program.display())))?;
         if plan.odata {
-            // Repeatable Requests count in whole seconds: the process must be older than the second it began in.
+            // OData Repeatable Requests have timestamps in whole seconds, so requests must not be sent within the
+            // second in which the process started.
             tokio::time::sleep(Duration::from_millis(1_050)).await;
         }
         Ok(World { members, group, proxy })
     }
 
-    /// Where clients of a front connect; a world that was not to serve OData has one address.
+    /// The address for clients of a front; the PostgreSQL address if OData was not enabled.
     pub fn address(&self, front: Front) -> SocketAddr {
         match front {
             Front::Pg => self.proxy.pg,
@@ -72,14 +73,14 @@
     }
 }
 
-/// The proxy's program: the one named, or the one beside this program.
-pub fn program(named: Option<&PathBuf>) -> Result<PathBuf, Failure> {
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("linentrail"));
-    let path = named.cloned().or_else(beside).unwrap_or_default();
+/// The path of the proxy's executable: `given`, or `linentrail` in the folder of this executable.
+pub fn find_program(given: Option<&PathBuf>) -> Result<PathBuf, Failure> {
+    let default_path = || Some(std::env::current_exe().ok()?.parent()?.join("linentrail"));
+    let path = given.cloned().or_else(default_path).unwrap_or_default();
     match path.is_file() {
         true => Ok(path),
         false => {
-            Err(Failure::Unusable(format!("there is no program at '{}'; build it first", path.display())))
+            Err(Failure::InvalidInput(format!("there is no program at '{}'; build it first", path.display())))
         }
     }
 }
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -532,7 +532,8 @@
             let hex = sql.split("'\\x").nth(1).and_then(|v| v.split('\'').next()).unwrap_or_default();
             let value = Bytes::from(wire::unhex(hex));
             let value_number = value.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b));
-            let ran = |member| EventKind::Ran { member, id: number, key: key.to_string(), value: value_number };
+            let ran =
+                |member| EventKind::Ran { member, id: number, key: key.to_string(), value: value_number };
             let on_commit = || self.log_event(ran);
             (Some(value.clone()), self.0.group.write_with(id, key, value, now_ms(), on_commit))
         } else {
--- a/crates/standins/src/rig/world.rs
+++ b/crates/standins/src/rig/world.rs
@@ -231,7 +231,8 @@
             for entry in &mut configured_list {
                 rewrite_address(entry, &relayed);
             }
-            let mut list_address = registry.listen_for_proxy(n, log.clone(), relayed, list_relayed.contains(&n));
+            let mut list_address =
+                registry.listen_for_proxy(n, log.clone(), relayed, list_relayed.contains(&n));
             if list_relayed.contains(&n) {
                 let relay = Relay::tcp(list_address, script.seed ^ u64::from(n));
                 list_address = relay.address();
