--- a/benches/append.rs
+++ b/benches/append.rs
@@ -1,5 +1,6 @@
-//! What an appended word costs, forced onto the disk each time: this program's log against an embedded database.
-//! `cargo bench --bench append [WORDS] [FOLDER]`; never in CI, as it measures the disk.
+//! Measures the latency of appending a suspension and syncing it to disk: this program's log compared with an
+//! embedded database (redb). Run with `cargo bench --bench append [RECORDS] [FOLDER]`; not part of CI, because the
+//! results depend on the disk.
 
 use linentrail::effective_list::Suspension;
 use linentrail::knowledge::Knowledge;
@@ -11,74 +12,78 @@
 
 const TABLE: TableDefinition<&str, (bool, u64)> = TableDefinition::new("words");
 
-fn told(what: &str, mut each: Vec<Duration>, folder: &Path) {
-    each.sort_unstable();
-    let at = |part: f64| each[((each.len() - 1) as f64 * part) as usize].as_micros();
+fn print_latencies(what: &str, mut latencies: Vec<Duration>, folder: &Path) {
+    latencies.sort_unstable();
+    let percentile = |part: f64| latencies[((latencies.len() - 1) as f64 * part) as usize].as_micros();
     let bytes: u64 = std::fs::read_dir(folder)
         .map(|files| files.flatten().filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum())
         .unwrap_or(0);
     println!(
         "{what}: median {} us, 90% {} us, 99% {} us, {bytes} bytes on the disk",
-        at(0.5),
-        at(0.9),
-        at(0.99)
+        percentile(0.5),
+        percentile(0.9),
+        percentile(0.99)
     );
 }
 
-fn names(words: usize) -> Vec<String> {
-    (0..words).map(|n| format!("s-{:08x}", n % 64)).collect()
+fn member_names(records: usize) -> Vec<String> {
+    (0..records).map(|n| format!("s-{:08x}", n % 64)).collect()
 }
 
-fn log(folder: &Path, words: usize) -> Result<(), Box<dyn std::error::Error>> {
-    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is taken")?;
+fn bench_log(folder: &Path, records: usize) -> Result<(), Box<dyn std::error::Error>> {
+    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is locked by another process")?;
     let (mut store, _) = Store::open(disk, 64 << 20)?;
     store.snapshot(&Knowledge::default(), 1)?;
-    let mut each = Vec::new();
-    for (n, name) in names(words).iter().enumerate() {
-        let began = Instant::now();
+    let mut latencies = Vec::new();
+    for (n, name) in member_names(records).iter().enumerate() {
+        let started_at = Instant::now();
         store.append_suspension(name, &Suspension { suspended_at: n as u64 + 1, restored_at: None })?;
-        each.push(began.elapsed());
+        latencies.push(started_at.elapsed());
     }
-    told("log of this program", each, folder);
+    print_latencies("log of this program", latencies, folder);
     drop(store);
-    let began = Instant::now();
-    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is taken")?;
-    let (_, found) = Store::open(disk, 64 << 20)?;
-    println!("  opened again in {:?}, {} members in it", began.elapsed(), found.knowledge.suspensions.len());
+    let started_at = Instant::now();
+    let disk = DiskFolder::lock(folder, true)?.ok_or("the folder is locked by another process")?;
+    let (_, recovered) = Store::open(disk, 64 << 20)?;
+    println!(
+        "  reopened in {:?}, {} members in it",
+        started_at.elapsed(),
+        recovered.knowledge.suspensions.len()
+    );
     Ok(())
 }
 
-fn database(folder: &Path, words: usize) -> Result<(), Box<dyn std::error::Error>> {
+fn bench_database(folder: &Path, records: usize) -> Result<(), Box<dyn std::error::Error>> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join("words.redb");
-    let base = Database::create(&path)?;
-    let mut each = Vec::new();
-    for (n, name) in names(words).iter().enumerate() {
-        let began = Instant::now();
-        let change = base.begin_write()?;
-        change.open_table(TABLE)?.insert(name.as_str(), (true, n as u64 + 1))?;
-        change.commit()?;
-        each.push(began.elapsed());
+    let database = Database::create(&path)?;
+    let mut latencies = Vec::new();
+    for (n, name) in member_names(records).iter().enumerate() {
+        let started_at = Instant::now();
+        let transaction = database.begin_write()?;
+        transaction.open_table(TABLE)?.insert(name.as_str(), (true, n as u64 + 1))?;
+        transaction.commit()?;
+        latencies.push(started_at.elapsed());
     }
-    told("redb", each, folder);
-    drop(base);
-    let began = Instant::now();
-    let base = Database::open(&path)?;
-    let read = base.begin_read()?;
+    print_latencies("redb", latencies, folder);
+    drop(database);
+    let started_at = Instant::now();
+    let database = Database::open(&path)?;
+    let read = database.begin_read()?;
     let members = redb::ReadableTableMetadata::len(&read.open_table(TABLE)?)?;
-    println!("  opened again in {:?}, {members} members in it", began.elapsed());
+    println!("  reopened in {:?}, {members} members in it", started_at.elapsed());
     Ok(())
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let given: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
-    let words = given.first().map_or(Ok(1_000), |n| n.parse())?;
-    let folder = given.get(1).map_or_else(std::env::temp_dir, PathBuf::from);
+    let arguments: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
+    let records = arguments.first().map_or(Ok(1_000), |n| n.parse())?;
+    let folder = arguments.get(1).map_or_else(std::env::temp_dir, PathBuf::from);
     let folder = folder.join(format!("linentrail-append-{}", std::process::id()));
     for round in 1..=2 {
-        println!("round {round}, {words} words");
-        log(&folder.join("log"), words)?;
-        database(&folder.join("redb"), words)?;
+        println!("round {round}, {records} records");
+        bench_log(&folder.join("log"), records)?;
+        bench_database(&folder.join("redb"), records)?;
         std::fs::remove_dir_all(&folder)?;
     }
     Ok(())
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -55,9 +55,12 @@
             .map(|(p, (observed, reported))| json!([p, observed / 1000, reported / 1000]))
             .collect();
         self.rows.push(json!({
-            "proxies": proxies, "seed": seed, "program": program, "asked": verdict.asked, "good_before": recovery.share_before,
-            "first_half_second": recovery.share_first_half_second, "full_ms": recovery.time_to_full.map(|t| t as f64 / 1e3),
-            "told_ms": reported.map(|t| t / 1000), "apart_ms": difference.map(|t| t / 1000), "each_ms": each,
+            "proxies": proxies, "seed": seed, "program": program, "asked": verdict.asked,
+            "good_before": recovery.share_before,
+            "first_half_second": recovery.share_first_half_second,
+            "full_ms": recovery.time_to_full.map(|t| t as f64 / 1e3),
+            "told_ms": reported.map(|t| t / 1000), "apart_ms": difference.map(|t| t / 1000),
+            "each_ms": each,
             "opened": [before.opened, after.opened], "probed": [before.probed, after.probed],
             "called": [before.called, after.called], "unanswered": verdict.unanswered,
             "breaches": counts, "counters": counters,
--- a/tests/returning.rs
+++ b/tests/returning.rs
@@ -1,4 +1,5 @@
-//! Routers that begin all at once, and cannot talk: what each opens and asks adds up at the members.
+//! Routers of a fleet that start at the same time without communicating: the sum of the connections and probes that
+//! they open has to stay small at each member.
 #![allow(missing_docs)]
 
 mod common;
@@ -18,19 +19,19 @@
     (0..routers).map(router).collect()
 }
 
-/// Each router gets a read every 40 ms, answered 30 ms later, for so long; members that a router connects to for the
-/// first time, by the moment.
-fn first_connections(routers: u32, span: Time) -> Vec<(Time, u32)> {
+/// Gives each router a read every 40 ms, answered 30 ms later, for `duration`. Returns the time and member of each
+/// router's first connection to a member, by time.
+fn first_connections(routers: u32, duration: Time) -> Vec<(Time, u32)> {
     let mut first = Vec::new();
     for (n, driver) in fleet(routers).iter_mut().enumerate() {
         let mut seen = BTreeMap::new();
-        // Not all in the same millisecond.
+        // Spreads the first reads of the routers over 40 ms.
         driver.now += n as Time % 40 * MS;
-        let began = driver.now;
-        while driver.now < began + span {
+        let started_at = driver.now;
+        while driver.now < started_at + duration {
             let (id, actions) = driver.request(ANY, None);
             let to = sent(&actions);
-            assert_eq!(to.len(), 1, "a read goes out at once");
+            assert_eq!(to.len(), 1, "a read is sent at once");
             seen.entry(to[0].1).or_insert(driver.now);
             driver.now += 30 * MS;
             let position = driver.now - MS;
@@ -43,7 +44,7 @@
     first
 }
 
-/// The most first connections that any member gets in 250 ms.
+/// The largest number of first connections to one member within 250 ms.
 fn peak(first: &[(Time, u32)]) -> usize {
     let within = |(at, member): &(Time, u32)| {
         first.iter().filter(|(t, m)| m == member && t >= at && *t < at + 250 * MS).count()
@@ -52,50 +53,52 @@
 }
 
 #[test]
-fn first_connections_of_a_fleet_that_begins_at_once_are_spread_and_all_come() {
+fn first_connections_of_a_fleet_that_starts_at_once_are_spread_over_time() {
     for routers in [24, 48, 96] {
         let first = first_connections(routers, 4_000 * MS);
-        // Each of its 7 replicas is some router's sooner or later: nobody stays with the few it began with.
+        // Each router connects to nearly all of the 7 replicas in the end; none keeps to the few it started with.
         assert!(first.len() as u32 > routers * 6, "{} of {}", first.len(), routers * 7);
-        // Were each to open all it can, a member would get one from each router within 250 ms; 12 of 24 are allowed.
+        // If each router opened all connections at once, a member would get one from each router within 250 ms. At
+        // most half of that is allowed: 12 of 24.
         assert!(peak(&first) <= routers as usize / 2, "{routers} routers: {}", peak(&first));
     }
 }
 
 #[test]
-fn reads_that_find_no_room_open_one_member_after_the_other_before_their_turn() {
-    // With so many routers each has one read out at a member; none of these is answered.
+fn waiting_reads_open_one_member_after_another() {
+    // With 96 routers, each router may have one read open at a member. No read is answered here.
     let mut driver = fleet(96).remove(0);
-    let began = driver.now;
+    let started_at = driver.now;
     let ids: Vec<RequestId> = (0..4).map(|_| driver.request(ANY, None).0).collect();
-    let (mut opened, mut given_up) = (vec![began], Vec::new());
-    while driver.now < began + 190 * MS {
+    let (mut opened, mut given_up) = (vec![started_at], Vec::new());
+    while driver.now < started_at + 190 * MS {
         let actions = driver.advance(10 * MS);
         opened.extend(sent(&actions).iter().filter(|(_, m)| *m != 1).map(|_| driver.now));
         given_up.extend(ids.iter().filter(|id| refused(&actions, **id)).map(|_| driver.now));
     }
-    // The first at once, the next when a read has waited 40 ms and 80 ms lie between the two.
+    // The first connection opens at once; the second when a read has waited for 40 ms and the first is 80 ms old.
     assert_eq!(opened.len(), 2, "{opened:?}");
-    assert!(opened[1] >= began + 80 * MS && opened[1] <= began + 100 * MS, "{opened:?}");
-    // Room is still to come, so that they wait for more of their aim of 200 ms than the 80 that they do elsewhere.
-    assert!(given_up.iter().all(|at| *at >= began + 150 * MS) && !given_up.is_empty(), "{given_up:?}");
-    // One router alone opens what it needs soon.
-    let mut alone = fleet(1).remove(0);
-    alone.advance(61 * MS);
+    assert!(opened[1] >= started_at + 80 * MS && opened[1] <= started_at + 100 * MS, "{opened:?}");
+    // Because capacity is about to become free, reads wait for a larger part of their aim of 200 ms than the usual
+    // 80 ms.
+    assert!(given_up.iter().all(|at| *at >= started_at + 150 * MS) && !given_up.is_empty(), "{given_up:?}");
+    // A single router opens the connections that it needs within a short time.
+    let mut single = fleet(1).remove(0);
+    single.advance(61 * MS);
     for n in 1..MEMBERS {
-        let (_, actions) = alone.request(ANY, None);
+        let (_, actions) = single.request(ANY, None);
         assert_eq!(sent(&actions).len(), 1, "read {n}");
     }
 }
 
-/// Moments at which writes first go out to the primary, router by router, where each has so many waiting at its start,
-/// answered 20 ms later.
+/// For each router, the times after its start at which its writes are sent to the primary. Each router has `waiting`
+/// writes waiting when it starts; the primary answers each after 20 ms.
 fn first_writes(routers: u32, waiting: usize) -> Vec<Vec<Time>> {
     let write = |driver: &mut RouterDriver| {
-        let began = driver.now;
+        let started_at = driver.now;
         (0..waiting).for_each(|_| drop(driver.request(UNSAFE, None)));
-        let (mut went, mut out) = (Vec::new(), Vec::<(RequestId, Time)>::new());
-        while driver.now < began + 400 * MS {
+        let (mut sent_after, mut out) = (Vec::new(), Vec::<(RequestId, Time)>::new());
+        while driver.now < started_at + 400 * MS {
             let mut actions = driver.advance(10 * MS);
             while out.first().is_some_and(|(_, at)| driver.now >= at + 20 * MS) {
                 let (id, _) = out.remove(0);
@@ -105,32 +108,33 @@
             for (id, member) in sent(&actions) {
                 assert_eq!(member, 1, "the primary is known");
                 out.push((id, driver.now));
-                went.push(driver.now - began);
+                sent_after.push(driver.now - started_at);
             }
         }
-        went
+        sent_after
     };
     fleet(routers).iter_mut().map(write).collect()
 }
 
 #[test]
-fn first_writes_of_a_fleet_that_begins_at_once_are_spread_over_a_part_of_their_aim() {
+fn first_writes_of_a_fleet_that_starts_at_once_are_spread_over_a_part_of_their_aim() {
     let all = first_writes(24, 3);
-    let firsts: Vec<Time> = all.iter().map(|went| went[0]).collect();
-    // 70% of the aim of 200 ms, and a step.
-    assert!(firsts.iter().all(|at| *at <= 150 * MS), "{firsts:?}");
-    let within = |at: &Time| firsts.iter().filter(|t| *t >= at && **t < at + 50 * MS).count();
-    assert!(firsts.iter().map(within).max() <= Some(15), "{firsts:?}");
-    for went in &all {
-        assert_eq!(went.len(), 3, "all go out: {went:?}");
-        // Until all routers have had their turn one is out at a time: each more would open a connection.
-        let together = went.windows(2).filter(|w| w[1] < 140 * MS && w[1] < w[0] + 20 * MS).count();
-        assert_eq!(together, 0, "{went:?}");
+    let first_times: Vec<Time> = all.iter().map(|sent_after| sent_after[0]).collect();
+    // 70% of the aim of 200 ms, plus one step of the simulation (10 ms).
+    assert!(first_times.iter().all(|at| *at <= 150 * MS), "{first_times:?}");
+    let within = |at: &Time| first_times.iter().filter(|t| *t >= at && **t < at + 50 * MS).count();
+    assert!(first_times.iter().map(within).max() <= Some(15), "{first_times:?}");
+    for sent_after in &all {
+        assert_eq!(sent_after.len(), 3, "all are sent: {sent_after:?}");
+        // Until all routers have sent their first write, a router sends one write at a time, because each further one
+        // would open a connection.
+        let together = sent_after.windows(2).filter(|w| w[1] < 140 * MS && w[1] < w[0] + 20 * MS).count();
+        assert_eq!(together, 0, "{sent_after:?}");
     }
 }
 
 #[test]
-fn a_primary_that_was_never_known_is_sought_at_few_members_at_a_time() {
+fn an_unknown_primary_is_searched_for_with_few_probes_at_a_time() {
     let set = Settings { instances: 24, list_role: ListedRole::Absent, ..settings() };
     let mut unknown = RouterDriver::without_members(set);
     unknown.list(ListKind::Full, (1..=MEMBERS).map(|id| member(id, false)).collect());
@@ -138,8 +142,8 @@
     let (_, actions) = unknown.request(UNSAFE, None);
     let mut asked = probes(&actions);
     assert_eq!(asked.len(), 2, "{asked:?}");
-    assert!(probes(&unknown.advance(10 * MS)).is_empty(), "none has answered yet");
-    // As one answers the next is asked, until all have been.
+    assert!(probes(&unknown.advance(10 * MS)).is_empty(), "no probe has been answered yet");
+    // Each answer lets the next probe go out, until all members have been probed.
     for _ in 0..MEMBERS {
         let Some(member) = asked.first().copied() else { break };
         asked.remove(0);
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn a_member_named_for_primary_is_tried_before_others_are_asked() {
+fn a_member_that_the_operators_name_as_primary_is_tried_before_others_are_probed() {
     let set = Settings { instances: 24, list_role: ListedRole::Absent, ..settings() };
     let mut driver = RouterDriver::without_members(set);
     driver.list(ListKind::Full, (1..=MEMBERS).map(|id| member(id, false)).collect());
@@ -160,7 +164,7 @@
     driver.advance(4_000 * MS);
     let (id, actions) = driver.request(UNSAFE, None);
     assert_eq!((sent(&actions), probes(&actions)), (vec![(id, 5)], vec![]));
-    // It denies: nothing ran, the others are asked, and another is tried in its turn.
+    // The member answers that it is no primary: nothing ran, the others are probed, and another member is tried.
     let actions = driver.ended(id, 0, Outcome::Miss, note(driver.now - MS, Role::Replica));
     assert!(!probes(&actions).is_empty());
     let mut tried = sent(&actions);
