--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them, judged by the rig's checker: it knows nothing of the
-//! program's code. Verdicts rest on orders and counts; an answer may take any time here, as long as it comes.
+//! Runs several processes of the program with faults between them; the rig's checker, which is independent of the
+//! program's code, checks the rules. Verdicts rest on orders and counts, not on how long an answer takes.
 #![allow(missing_docs)]
 
 use linentrail_standins::proxy::Setup;
@@ -11,28 +11,28 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 
-/// One world at a time: each of them needs the machine.
-static TURN: Mutex<()> = Mutex::new(());
+/// Lets one scenario run at a time, because each needs the whole machine.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn play_with(text: &str, more: impl Fn(&mut Setup, u32, &Path)) -> Outcome {
-    let outcome = judged(text, more);
+fn play_with(text: &str, customize: impl Fn(&mut Setup, u32, &Path)) -> Outcome {
+    let outcome = run_scenario(text, customize);
     let Outcome { verdict, .. } = &outcome;
     assert!(verdict.passed(), "{:#?}", verdict.breaches);
     assert!(verdict.asked > 50, "{} requests", verdict.asked);
     outcome
 }
 
-fn judged(text: &str, more: impl Fn(&mut Setup, u32, &Path)) -> Outcome {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let script = Script::read(&format!("bound late 20000\n{text}")).expect("a sound scenario");
+fn run_scenario(text: &str, customize: impl Fn(&mut Setup, u32, &Path)) -> Outcome {
+    let _lock = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let script = Script::read(&format!("bound late 20000\n{text}")).expect("a valid scenario");
     let program = Path::new(env!("CARGO_BIN_EXE_linentrail"));
-    run(&script, program, more, |_| {}, &AtomicBool::new(false)).expect("it runs to its end")
+    run(&script, program, customize, |_| {}, &AtomicBool::new(false)).expect("the run completes")
 }
 
-/// Whether anything asked after the last process had come back was served.
-fn serves_again(outcome: &Outcome) -> bool {
+/// Whether more than 10 requests were served after the last process was back.
+fn serves_after_restart(outcome: &Outcome) -> bool {
     let back = |e: &Event| matches!(e.what, EventKind::Serves { .. });
-    let since = outcome.events.iter().rposition(back).expect("they serve");
+    let since = outcome.events.iter().rposition(back).expect("the processes serve");
     let served = |e: &Event| matches!(e.what, EventKind::Ended { how: RequestEnd::Served, .. });
     outcome.events[since..].iter().filter(|e| served(e)).count() > 10
 }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn all_killed_at_one_moment_and_started_again_keep_the_rules() {
+fn all_proxies_killed_and_restarted_at_once_keep_the_rules() {
     let outcome = play(
         "proxies 6
          members 4 slots 8 work 4 12 handshake 5 cold 0.3 4000
@@ -51,8 +51,8 @@
          at 1000 proxies does kill
          at 1200 proxies does start",
     );
-    assert!(serves_again(&outcome));
-    // A second kill comes while they come back.
+    assert!(serves_after_restart(&outcome));
+    // Kills most of the processes a second time while they start.
     play(
         "proxies 6
          members 4 slots 8 work 4 12 handshake 5
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn restarts_one_after_the_other_during_a_one_way_cut_keep_the_rules() {
+fn restarts_in_turn_during_a_one_way_cut_keep_the_rules() {
     play(
         "proxies 5
          members 4 groups 2 slots 8 work 4 12 lag 8
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_primary_that_moved_while_all_were_down_serves_writes_once_and_no_stale_read() {
+fn a_primary_change_while_all_proxies_are_down_causes_no_double_write_and_no_stale_read() {
     play(
         "proxies 5
          members 4 slots 8 work 4 12 lag 20
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_member_that_goes_down_and_comes_back_cold_is_not_pushed_over_and_a_draining_one_is_left_alone() {
+fn a_member_that_restarts_cold_is_not_overloaded_and_a_draining_one_gets_nothing() {
     play(
         "proxies 5
          members 4 slots 8 work 4 12 cold 0.2 3000
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn where_the_list_is_lost_hardly_a_watch_comes_before_the_last_proxy_has_its_list() {
-    // All start at once without a list, and are told that they are more than they are.
+fn after_losing_their_lists_proxies_open_few_watches_before_all_have_a_list() {
+    // All start at once without a list, and their settings name more proxies than there are.
     let outcome = play(
         "proxies 12 told 60
          members 4 slots 8 work 4 12
@@ -126,15 +126,15 @@
         .filter_map(|e| if let EventKind::Called { whole, .. } = e.what { Some(whole) } else { None })
         .collect();
     let lists = calls.iter().filter(|whole| **whole).count();
-    assert_eq!(lists, 12, "each asks once for the whole list");
-    let last = calls.iter().rposition(|whole| *whole).expect("there are some");
-    // A watch right behind each list would make it some 10.
+    assert_eq!(lists, 12, "each requests the whole list once");
+    let last = calls.iter().rposition(|whole| *whole).expect("calls for the whole list");
+    // If each list were followed by a watch at once, there would be about 10.
     assert!(last + 1 - lists <= 4, "{calls:?}");
 }
 
 #[test]
-fn processes_that_can_serve_nobody_never_tell_full_service() {
-    // All are killed and come back without a list, from a discovery that says nothing: whatever comes, no answer is good.
+fn processes_that_cannot_serve_never_report_full_service() {
+    // All are killed and restart without a stored list while discovery does not answer, so no request can be served.
     let outcome = play(
         "proxies 4
          members 4 slots 8 work 4 12
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn discovery_that_fails_while_all_start_leaves_the_rules_whole() {
+fn a_discovery_failure_while_all_start_breaks_no_rule() {
     play(
         "proxies 5
          members 4 slots 8 work 4 12
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn half_of_the_members_silent_while_all_start_leave_the_rules_whole_and_the_others_serve() {
+fn half_of_the_members_silent_while_all_start_breaks_no_rule_and_the_others_serve() {
     let outcome = play(
         "proxies 6
          members 6 slots 8 work 4 12 handshake 5
@@ -179,12 +179,12 @@
          at 1100 proxies does start
          at 3200 proxies link m4,m5,m6 well",
     );
-    assert!(serves_again(&outcome));
+    assert!(serves_after_restart(&outcome));
 }
 
 #[test]
-fn discovery_that_tells_an_older_version_to_all_that_start_takes_no_member_away() {
-    // The older list names nobody: whoever believed it could serve nobody.
+fn an_older_list_version_at_startup_removes_no_member() {
+    // The older list is empty: a proxy that accepted it could not serve any request.
     let outcome = play(
         "proxies 5
          members 4 slots 8 work 4 12
@@ -196,12 +196,12 @@
          at 2500 list does well
          at 2600 list does leaving m3",
     );
-    assert!(serves_again(&outcome));
+    assert!(serves_after_restart(&outcome));
 }
 
 #[test]
-fn members_replaced_under_their_addresses_while_all_proxies_are_down_are_not_pushed_over() {
-    // Discovery does not tell of their new start, and the stored facts are of their former lives.
+fn members_replaced_at_the_same_addresses_while_all_proxies_are_down_are_not_overloaded() {
+    // Discovery does not report that the members restarted, and the stored state describes the members before that.
     play(
         "proxies 6
          members 4 slots 8 work 4 12 cold 0.2 2500 lag 10
@@ -216,8 +216,8 @@
 }
 
 #[test]
-fn proxies_that_stood_still_act_on_nothing_that_ran_out_meanwhile() {
-    // Two drains, the operators' word and a new primary come while they are stopped.
+fn proxies_that_were_stopped_do_not_act_on_expired_state() {
+    // A drain, a suspension by the operators and a new primary come while two processes are stopped.
     play(
         "proxies 5
          members 5 slots 8 work 4 12 lag 10
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn killed_twice_with_state_wiped_torn_flipped_and_rolled_back_between_they_keep_the_rules() {
+fn two_kills_with_stores_wiped_torn_flipped_or_rolled_back_between_keep_the_rules() {
     let outcome = play(
         "proxies 12
          members 6 slots 8 work 4 12 handshake 5 lag 10
@@ -250,21 +250,22 @@
          at 2250 p8 store flipped
          at 2400 proxies does start within 100",
     );
-    assert!(serves_again(&outcome));
+    assert!(serves_after_restart(&outcome));
     let count = |name: &str| outcome.counters.get(name).copied().unwrap_or(0);
     assert_eq!(count("store_lost"), 2, "{:?}", outcome.counters);
     assert!(count("store_torn") >= 3 && count("store_rolled_back") == 3, "{:?}", outcome.counters);
 }
 
-/// How long after the step that ended so each proxy had first been told that a member drains, in ms.
-fn told_after(outcome: &Outcome, drains: u32, step: &str) -> BTreeMap<u32, u64> {
-    let began = |e: &&Event| matches!(&e.what, EventKind::Fault(text) if text.contains(step));
-    let began = outcome.events.iter().find(began).expect("the step was taken").at;
+/// The time in ms, by proxy, from the step whose text contains `step` until the proxy first learned that a member
+/// drains.
+fn drain_delays(outcome: &Outcome, drains: u32, step: &str) -> BTreeMap<u32, u64> {
+    let step_at = |e: &&Event| matches!(&e.what, EventKind::Fault(text) if text.contains(step));
+    let step_at = outcome.events.iter().find(step_at).expect("the step ran").at;
     let mut first = BTreeMap::new();
     for event in &outcome.events {
         if let EventKind::Drains { proxy, member, on: true } = event.what {
-            if member == drains && event.at >= began {
-                first.entry(proxy).or_insert((event.at - began) / 1000);
+            if member == drains && event.at >= step_at {
+                first.entry(proxy).or_insert((event.at - step_at) / 1000);
             }
         }
     }
@@ -272,9 +273,10 @@
 }
 
 #[test]
-fn behind_a_failed_or_refused_call_a_change_is_heard_of_before_it_counts_as_told() {
-    // Discovery has the change while it turns calls away; from when it can be reached again 6 s are left, and half a
-    // second more until nothing new may go to the member. Before, the pauses of a failed call grew to 8 s.
+fn after_a_failed_or_refused_call_a_change_arrives_before_proxies_are_assumed_to_know_it() {
+    // The change is made while discovery refuses calls. Once discovery is reachable again, the proxies have 6 s to
+    // learn of it; half a second later, no new request may go to the member. A retry delay that grows to 8 s would
+    // be too long.
     let outcome = play(
         "proxies 3
          members 4 slots 8 work 4 12
@@ -286,14 +288,14 @@
          at 8900 list does leaving m3
          at 9000 list does well",
     );
-    let told = told_after(&outcome, 3, "Well");
-    assert!(told.len() == 3 && told.values().all(|ms| *ms <= 6_000), "{told:?}");
+    let learned = drain_delays(&outcome, 3, "Well");
+    assert!(learned.len() == 3 && learned.values().all(|ms| *ms <= 6_000), "{learned:?}");
 }
 
 #[test]
-fn a_watch_that_fell_silent_is_open_anew_before_what_it_missed_counts_as_told() {
-    // The change goes into watches that say nothing of it; a moment later discovery is well again. What it had to tell
-    // counts as told 6 s after discovery had it, whether it came or not.
+fn a_silent_watch_is_reopened_before_proxies_are_assumed_to_know_what_it_missed() {
+    // The change is made while the open watches are silent, and discovery recovers a moment later. The rules assume
+    // that a proxy knows a change 6 s after discovery has it, whether or not it was delivered.
     let outcome = play(
         "proxies 3
          members 4 slots 8 work 4 12
@@ -303,6 +305,6 @@
          at 700 list does leaving m3
          at 800 list does well",
     );
-    let told = |e: &&Event| matches!(e.what, EventKind::Drains { member: 3, on: true, .. });
-    assert_eq!(outcome.events.iter().filter(told).count(), 3);
+    let learned = |e: &&Event| matches!(e.what, EventKind::Drains { member: 3, on: true, .. });
+    assert_eq!(outcome.events.iter().filter(learned).count(), 3);
 }
