--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -124,7 +124,8 @@
     fn new(simulated_members: Vec<SimulatedMember>, seed: u64) -> Self {
         let rules = Rules {
             cold_share: 0.15,
-            warm_after: 18 * ONE_SECOND, fall_window: 1_500 * MS,
+            warm_after: 18 * ONE_SECOND,
+            fall_window: 1_500 * MS,
             ..settings().rules
         };
         let settings = Settings {
